--- a/src/serve/ModelCalls.h
+++ b/src/serve/ModelCalls.h
@@ -10,9 +10,9 @@
 #include "base/Metrics.h"
 #include "caraway/Clock.h"
 #include "serve/Authenticator.h"
+#include "serve/EngineSlotFinder.h"
 #include "serve/EngineStream.h"
 #include "serve/LeaveGate.h"
-#include "serve/PlaceFinder.h"
 #include "serve/RequestContext.h"
 #include "serve/RetryBudget.h"
 #include "share/ShareClient.h"
@@ -37,7 +37,7 @@
 class ModelCalls
 {
 public:
-  ModelCalls(PlaceFinder& aPlaces,
+  ModelCalls(EngineSlotFinder& aPlaces,
              ShareClient& aShares,
              Authenticator& aKeys,
              LeaveGate& aLeave,
@@ -65,14 +65,14 @@
                       const ModelAnswer& aSoFar,
                       bool aOffered) const;
   Try GenerateOnce(const ModelCall& aCall,
-                   const PlaceGrant& aGrant,
+                   const EngineSlotGrant& aGrant,
                    const std::function<bool(const std::string&)>& aOnToken,
                    ModelAnswer& aSoFar);
   Result<ModelAnswer> Generate(
     const ModelCall& aCall,
     const std::function<bool(const std::string&)>& aOnToken,
     ModelAnswer& aSoFar);
-  PlaceFinder& mPlaces;
+  EngineSlotFinder& mPlaces;
   ShareClient& mShares;
   Authenticator& mKeys;
   LeaveGate& mLeave;
--- a/src/share/ShareClient.cpp
+++ b/src/share/ShareClient.cpp
@@ -22,7 +22,7 @@
 
 ShareClient::ShareClient(ShareSettings aSettings,
                          std::vector<std::string> aZones,
-                         ShareKeeper& aKeeper,
+                         ShareManager& aKeeper,
                          PeerClient& aPeers,
                          Members& aMembers,
                          const Clock& aClock)
--- a/src/share/ShareClient.h
+++ b/src/share/ShareClient.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "share/ShareGrant.h"
-#include "share/ShareKeeper.h"
+#include "share/ShareManager.h"
 
 namespace caraway {
 
@@ -32,7 +32,7 @@
 public:
   ShareClient(ShareSettings aSettings,
               std::vector<std::string> aZones,
-              ShareKeeper& aKeeper,
+              ShareManager& aKeeper,
               PeerClient& aPeers,
               Members& aMembers,
               const Clock& aClock);
@@ -82,7 +82,7 @@
 
   ShareSettings mSettings;
   std::vector<std::string> mZones; // ours first
-  ShareKeeper& mKeeper;
+  ShareManager& mKeeper;
   PeerClient& mPeers;
   Members& mMembers;
   const Clock& mClock;
--- a/src/share/ShareKeeper.cpp
+++ b/src/share/ShareManager.cpp
@@ -1,4 +1,4 @@
-#include "share/ShareKeeper.h"
+#include "share/ShareManager.h"
 
 #include <algorithm>
 
@@ -24,14 +24,14 @@
 
 } // namespace
 
-ShareKeeper::ShareKeeper(ShareSettings aSettings,
-                         std::string aSelf,
-                         std::string aAddress,
-                         PlatformApi& aPlatform,
-                         PeerClient& aPeers,
-                         Members& aMembers,
-                         ConfigHolder& aConfig,
-                         const Clock& aClock)
+ShareManager::ShareManager(ShareSettings aSettings,
+                           std::string aSelf,
+                           std::string aAddress,
+                           PlatformApi& aPlatform,
+                           PeerClient& aPeers,
+                           Members& aMembers,
+                           ConfigHolder& aConfig,
+                           const Clock& aClock)
   : mSettings(std::move(aSettings))
   , mSelf(std::move(aSelf))
   , mPlatform(aPlatform)
@@ -46,8 +46,8 @@
   mLease.mAddress = std::move(aAddress);
 }
 
-std::optional<ShareKeeper::Taken>
-ShareKeeper::Take(const std::string& aTenant, int aSlot, double aTokens)
+std::optional<ShareManager::Taken>
+ShareManager::Take(const std::string& aTenant, int aSlot, double aTokens)
 {
   std::lock_guard<std::mutex> lock(mLock);
   TimePoint now = mClock.Now();
@@ -74,7 +74,7 @@
 }
 
 void
-ShareKeeper::GiveBack(const std::string& aTenant, const ShareGrant& aGrant)
+ShareManager::GiveBack(const std::string& aTenant, const ShareGrant& aGrant)
 {
   std::lock_guard<std::mutex> lock(mLock);
   TokenBucket* bucket = mBuckets.Find(aTenant, aGrant.mSlot);
@@ -87,21 +87,21 @@
 }
 
 std::string
-ShareKeeper::HolderOf(int aSlot) const
+ShareManager::HolderOf(int aSlot) const
 {
   std::lock_guard<std::mutex> lock(mLock);
   return mLease.mTable.mSlots[aSlot].mHolder;
 }
 
 ShareTable
-ShareKeeper::Table() const
+ShareManager::Table() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   return mLease.mTable;
 }
 
 int
-ShareKeeper::SlotsHeld() const
+ShareManager::SlotsHeld() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   int held = 0;
@@ -112,20 +112,20 @@
 }
 
 bool
-ShareKeeper::Settled() const
+ShareManager::Settled() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   return ShareLeaseExcess(mLease, false).empty();
 }
 
 void
-ShareKeeper::SyncBuckets()
+ShareManager::SyncBuckets()
 {
   mBuckets.Sync(mLease.mTable, *mConfig.Current(), mClock.Now());
 }
 
 void
-ShareKeeper::Round()
+ShareManager::Round()
 {
   if (mConfig.Current()->mRevision == 0) {
     return;
@@ -150,7 +150,7 @@
 
 // Our own renewal, and with it that of all who asked meanwhile.
 bool
-ShareKeeper::RenewTogether()
+ShareManager::RenewTogether()
 {
   std::lock_guard<std::mutex> write(mWriteLock);
   std::map<std::string, int64_t> also;
@@ -162,7 +162,7 @@
 }
 
 bool
-ShareKeeper::RenewWith(const std::map<std::string, int64_t>& aAlso)
+ShareManager::RenewWith(const std::map<std::string, int64_t>& aAlso)
 {
   bool renewed = RenewByWrite(aAlso);
   for (const auto& member : aAlso) {
@@ -172,7 +172,7 @@
 }
 
 bool
-ShareKeeper::RenewByWrite(const std::map<std::string, int64_t>& aAlso)
+ShareManager::RenewByWrite(const std::map<std::string, int64_t>& aAlso)
 {
   for (int i = 0; i < kTries; ++i) {
     TimePoint begun = mClock.Now();
@@ -187,12 +187,12 @@
       { kKind, mSettings.mZone, version, RandomId(), ShareTableJson(table) });
     std::lock_guard<std::mutex> lock(mLock);
     TimePoint now = mClock.Now();
-    if (result.mEnd == WriteEnd::Done) {
+    if (result.mEnd == WriteOutcome::Done) {
       ShareLeaseRenewed(mLease, table, result.mObject.mVersion, begun, now);
       SyncBuckets();
       return true;
     }
-    if (result.mEnd != WriteEnd::Conflict) {
+    if (result.mEnd != WriteOutcome::Conflict) {
       return false;
     }
     ShareLeaseLearn(mLease,
@@ -206,7 +206,7 @@
 // One instance writes for all that ask it, so that renewals cost the platform
 // one write per zone and round and not one per instance.
 bool
-ShareKeeper::RenewByPeer(const InstanceInfo& aRenewer)
+ShareManager::RenewByPeer(const InstanceInfo& aRenewer)
 {
   Json::Value params;
   {
@@ -245,7 +245,7 @@
 }
 
 void
-ShareKeeper::AskPromises()
+ShareManager::AskPromises()
 {
   TimePoint begun = mClock.Now();
   std::vector<std::string> members;
@@ -277,16 +277,16 @@
 // A renewal of another's may come between: then we try again at once, since
 // the slots we stopped spending are nobody's meanwhile.
 void
-ShareKeeper::ReleaseExcess(bool aLeaving)
+ShareManager::ReleaseExcess(bool aLeaving)
 {
   std::set<int> handed;
   {
     std::lock_guard<std::mutex> write(mWriteLock);
-    WriteEnd end = WriteEnd::Conflict;
-    for (int i = 0; i < kTries && end == WriteEnd::Conflict; ++i) {
+    WriteOutcome end = WriteOutcome::Conflict;
+    for (int i = 0; i < kTries && end == WriteOutcome::Conflict; ++i) {
       end = ReleaseOnce(aLeaving, handed);
     }
-    if (end != WriteEnd::Done) {
+    if (end != WriteOutcome::Done) {
       return;
     }
   }
@@ -294,8 +294,8 @@
 }
 
 // Done as well when there is nothing to hand on.
-WriteEnd
-ShareKeeper::ReleaseOnce(bool aLeaving, std::set<int>& aHanded)
+WriteOutcome
+ShareManager::ReleaseOnce(bool aLeaving, std::set<int>& aHanded)
 {
   ShareTable table;
   int64_t version = 0;
@@ -305,7 +305,7 @@
     bool member = mLease.mTable.mMembers.count(mSelf) != 0;
     aHanded = ShareLeaseExcess(mLease, aLeaving);
     if (aHanded.empty() && !(aLeaving && member)) {
-      return WriteEnd::Done;
+      return WriteOutcome::Done;
     }
     // Stopped spending first; what is left then can't change any more.
     SyncBuckets();
@@ -318,16 +318,16 @@
     { kKind, mSettings.mZone, version, RandomId(), ShareTableJson(table) });
   std::lock_guard<std::mutex> lock(mLock);
   switch (result.mEnd) {
-    case WriteEnd::Done:
+    case WriteOutcome::Done:
       ShareLeaseLearn(mLease, table, result.mObject.mVersion, mClock.Now());
       break;
-    case WriteEnd::Conflict:
+    case WriteOutcome::Conflict:
       ShareLeaseLearn(mLease,
                       ShareTableParse(result.mObject.mValue),
                       result.mObject.mVersion,
                       mClock.Now());
       break;
-    case WriteEnd::Refused:
+    case WriteOutcome::Refused:
       // Never left, so we hold them still. Closed, they would be nobody's for
       // as long as the platform is out.
       ShareLeaseReopen(mLease, opened);
@@ -339,7 +339,7 @@
 }
 
 Json::Value
-ShareKeeper::TableJson() const
+ShareManager::TableJson() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   Json::Value json;
@@ -349,14 +349,14 @@
 }
 
 void
-ShareKeeper::Learn(const Json::Value& aTable, int64_t aVersion)
+ShareManager::Learn(const Json::Value& aTable, int64_t aVersion)
 {
   std::lock_guard<std::mutex> lock(mLock);
   ShareLeaseLearn(mLease, ShareTableParse(aTable), aVersion, mClock.Now());
 }
 
 void
-ShareKeeper::Leave()
+ShareManager::Leave()
 {
   ReleaseExcess(true);
 }
--- a/src/share/ShareKeeper.h
+++ b/src/share/ShareManager.h
@@ -1,6 +1,6 @@
-// ShareKeeper.h: this instance's part of its zone's shares.
-#ifndef caraway_share_ShareKeeper_h
-#define caraway_share_ShareKeeper_h
+// ShareManager.h: this instance's part of its zone's shares.
+#ifndef caraway_share_ShareManager_h
+#define caraway_share_ShareManager_h
 
 #include <functional>
 #include <map>
@@ -22,17 +22,17 @@
 
 namespace caraway {
 
-class ShareKeeper
+class ShareManager
 {
 public:
-  ShareKeeper(ShareSettings aSettings,
-              std::string aSelf,
-              std::string aAddress,
-              PlatformApi& aPlatform,
-              PeerClient& aPeers,
-              Members& aMembers,
-              ConfigHolder& aConfig,
-              const Clock& aClock);
+  ShareManager(ShareSettings aSettings,
+               std::string aSelf,
+               std::string aAddress,
+               PlatformApi& aPlatform,
+               PeerClient& aPeers,
+               Members& aMembers,
+               ConfigHolder& aConfig,
+               const Clock& aClock);
 
   // Up to aTokens of the tenant's share, if this instance may spend it; less
   // when there is less. Nothing: not the holder, or its right has lapsed.
@@ -72,7 +72,7 @@
   bool RenewByPeer(const InstanceInfo& aRenewer);
   void AskPromises();
   void ReleaseExcess(bool aLeaving);
-  WriteEnd ReleaseOnce(bool aLeaving, std::set<int>& aHanded);
+  WriteOutcome ReleaseOnce(bool aLeaving, std::set<int>& aHanded);
   void PokeHolders(const std::set<int>& aSlots);
   Json::Value TableJson() const;
   void SyncBuckets();
--- a/src/share/ShareKeeperPeers.cpp
+++ b/src/share/ShareManagerPeers.cpp
@@ -1,5 +1,5 @@
 // What other instances ask of the share keeper, and what it tells them.
-#include "share/ShareKeeper.h"
+#include "share/ShareManager.h"
 
 #include <thread>
 
@@ -17,7 +17,7 @@
 // Those we handed slots to would find out at their next renewal, seconds
 // later, and until then nobody could spend them.
 void
-ShareKeeper::PokeHolders(const std::set<int>& aSlots)
+ShareManager::PokeHolders(const std::set<int>& aSlots)
 {
   std::set<std::string> holders;
   {
@@ -39,7 +39,7 @@
 // The first to ask waits a moment for others; those that ask meanwhile find
 // on their turn that the write has taken them along.
 Json::Value
-ShareKeeper::OnRenew(const Json::Value& aParams)
+ShareManager::OnRenew(const Json::Value& aParams)
 {
   std::string member = aParams["member"].asString();
   {
@@ -75,7 +75,7 @@
 }
 
 Json::Value
-ShareKeeper::OnPromise(const Json::Value& aParams)
+ShareManager::OnPromise(const Json::Value& aParams)
 {
   std::lock_guard<std::mutex> lock(mLock);
   bool ours = aParams["of"].asString() == mSelf;
@@ -86,7 +86,7 @@
 }
 
 Json::Value
-ShareKeeper::OnTake(const Json::Value& aParams)
+ShareManager::OnTake(const Json::Value& aParams)
 {
   int slot = aParams["slot"].asInt();
   std::optional<Taken> taken;
@@ -109,7 +109,7 @@
 }
 
 Json::Value
-ShareKeeper::OnGive(const Json::Value& aParams)
+ShareManager::OnGive(const Json::Value& aParams)
 {
   ShareGrant grant;
   grant.mHolder = aParams["holder"].asString();
@@ -121,7 +121,7 @@
 }
 
 void
-ShareKeeper::AddMethods(
+ShareManager::AddMethods(
   const std::function<void(const char*, PeerMethod)>& aAdd)
 {
   aAdd("share.renew", [this](const auto& aParams) { return OnRenew(aParams); });
--- a/src/store/StoreClient.cpp
+++ b/src/store/StoreClient.cpp
@@ -69,7 +69,7 @@
     fields.push_back({ "Content-Type", "application/json" });
     fields.push_back({ "Content-Length", std::to_string(aCall.mBody.size()) });
   }
-  OutRequest request;
+  OutboundRequest request;
   request.mAddress = mAddress;
   request.mHead =
     WriteHead(aCall.mMethod + " " + aCall.mTarget + " HTTP/1.1", fields);
@@ -81,7 +81,7 @@
                 aWait + kWaitMargin,
                 [this, aWhat, asked = mReactor.Now(), done = std::move(aDone)](
                   ShortAnswer& aAnswer) {
-                  StoreOutcome outcome = aAnswer.mEnd == CallEnd::NotSent
+                  StoreOutcome outcome = aAnswer.mEnd == CallOutcome::NotSent
                                            ? StoreOutcome::NotDone
                                            : wire::ReadOutcome(aAnswer.mStatus);
                   mMetrics.Time(
--- a/src/store/StoreClient.h
+++ b/src/store/StoreClient.h
@@ -7,7 +7,7 @@
 
 #include "base/EventLog.h"
 #include "base/Metrics.h"
-#include "net/OutCall.h"
+#include "net/OutboundCall.h"
 #include "platform/StoreMessage.h"
 
 namespace caraway {
--- a/tests/property/EmptyZoneProperty.cpp
+++ b/tests/property/EmptyZoneProperty.cpp
@@ -12,7 +12,7 @@
 #include <set>
 
 #include "decide/LeaseStep.h"
-#include "decide/ZoneAdoption.h"
+#include "decide/ZoneTakeover.h"
 
 namespace caraway {
 
@@ -46,7 +46,7 @@
   std::string mName;
   bool mInside;
   LeaseStep mLease;
-  ZoneAdoption mAdoption;
+  ZoneTakeover mAdoption;
   bool mAlive = true;
   bool mLeaving = false;
   bool mListed = false; // its entry was written
@@ -242,7 +242,7 @@
 
   void Adopt(Instance& aOne)
   {
-    ZoneAdoption& adoption = aOne.mAdoption;
+    ZoneTakeover& adoption = aOne.mAdoption;
     adoption.OnLedHere(aOne.mLease.Holds(mNow));
     int rank = 0;
     for (const auto& [name, heard] : aOne.mHeard) {
@@ -253,7 +253,7 @@
       }
     }
     adoption.SetRank(rank);
-    aOne.mLease.SetYield(ZoneAdoption::kRankYield * rank);
+    aOne.mLease.SetYield(ZoneTakeover::kRankYield * rank);
     if (adoption.NeedsList(mNow) && mNow >= aOne.mTryNext) {
       aOne.mTryNext = mNow + Millis(200);
       if (!aOne.mCutFromStore && (mCalm || !Chance(5))) {
@@ -361,7 +361,7 @@
       auto listed = mListedEmpty.find(one->mName);
       if (!one->mInside &&
           (listed == mListedEmpty.end() || listed->second == TimePoint() ||
-           mNow - listed->second >= ZoneAdoption::kListLife)) {
+           mNow - listed->second >= ZoneTakeover::kListLife)) {
         mFault = one->mName + " acts without an empty list";
       }
       mActor = one->mName;
--- a/tests/property/EntryDecisionsProperty.cpp
+++ b/tests/property/EntryDecisionsProperty.cpp
@@ -4,13 +4,13 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "decide/DemandLog.h"
+#include "decide/DemandTracker.h"
 #include "decide/LoadClaims.h"
+#include "decide/LoadPriority.h"
 #include "decide/PlacementPlan.h"
-#include "decide/RepeatBudget.h"
+#include "decide/ServerRetryBudget.h"
 #include "decide/ServerView.h"
-#include "decide/StoreLoads.h"
-#include "decide/WantOrder.h"
+#include "decide/StoreLoadTracker.h"
 #include "decide/ZoneChoice.h"
 
 namespace caraway {
@@ -58,8 +58,8 @@
 RC_GTEST_PROP(RepeatBudgetRandom, AllTogetherStayWithin, ())
 {
   constexpr int kInstances = 4;
-  RepeatLimits limits{ 0.2, 40, Seconds(10) };
-  std::vector<RepeatBudget> budgets(kInstances, RepeatBudget(limits));
+  ServerRetryLimits limits{ 0.2, 40, Seconds(10) };
+  std::vector<ServerRetryBudget> budgets(kInstances, ServerRetryBudget(limits));
   std::vector<TimePoint> requests;
   std::vector<TimePoint> repeats;
   TimePoint now = kStart;
@@ -86,9 +86,9 @@
 
 // Guards against more loads from the weight store than it allows, each zone
 // beginning its part in the same seconds.
-TEST(StoreLoads, ZoneKeepsToItsPartOfTheRate)
+TEST(StoreLoadTracker, ZoneKeepsToItsPartOfTheRate)
 {
-  StoreLoads loads;
+  StoreLoadTracker loads;
   loads.SetLimits(4.8, 3, 60);
   int begun = 0;
   for (int ms = 0; ms < 5000; ms += 10) {
@@ -104,14 +104,14 @@
 
 // Guards against servers that load from the store for seconds while models wait
 // that lie on their disks: of six, one does.
-TEST(StoreLoads, MostServersOfAZoneStayFree)
+TEST(StoreLoadTracker, MostServersOfAZoneStayFree)
 {
-  StoreLoads small;
+  StoreLoadTracker small;
   small.SetLimits(100, 1, 3);
   EXPECT_EQ(Millis(0), small.Wait(kStart));
   small.Began("a", Seconds(6), kStart);
   EXPECT_EQ(Millis(6000), small.Wait(kStart));
-  StoreLoads large;
+  StoreLoadTracker large;
   large.SetLimits(100, 1, 12);
   large.Began("a", Seconds(6), kStart);
   EXPECT_EQ(Millis(0), large.Wait(kStart));
@@ -119,9 +119,9 @@
 
 // Guards against loads that slow each other down: a store that carries two at
 // full speed is found out, and zones that hear of each other share it.
-TEST(StoreLoads, LearnsWhatTheStoreCarries)
+TEST(StoreLoadTracker, LearnsWhatTheStoreCarries)
 {
-  StoreLoads loads;
+  StoreLoadTracker loads;
   loads.SetLimits(100, 1, 60);
   TimePoint now = kStart;
   for (int round = 0; round < 6; ++round) {
@@ -291,26 +291,26 @@
 
 // A burst for rare models, and the only servers of a model asked for twenty
 // times a second are gone: it is late for those who ask, and still goes first.
-TEST(WantOrder, PopularModelGoesBeforeABurstOfRareOnes)
+TEST(LoadPriority, PopularModelGoesBeforeABurstOfRareOnes)
 {
-  WantFacts rare;
+  LoadPriorityFacts rare;
   rare.mRate = 0.2;
   rare.mSince = kStart;
   rare.mNeedBy = kStart + Seconds(2);
   rare.mLoad = Millis(780);
-  WantFacts popular = rare;
+  LoadPriorityFacts popular = rare;
   popular.mRate = 20;
   popular.mSince = kStart + Millis(500);
   popular.mNeedBy = kStart + Millis(700);
   TimePoint now = kStart + Millis(600);
-  EXPECT_LT(WantRank(popular, now), WantRank(rare, now));
+  EXPECT_LT(RankLoad(popular, now), RankLoad(rare, now));
   // A further replica of it can wait, and so can a rare one that is late.
-  WantFacts replica = popular;
+  LoadPriorityFacts replica = popular;
   replica.mAsked = false;
-  EXPECT_LT(WantRank(rare, now), WantRank(replica, now));
-  WantFacts late = rare;
+  EXPECT_LT(RankLoad(rare, now), RankLoad(replica, now));
+  LoadPriorityFacts late = rare;
   late.mNeedBy = now;
-  EXPECT_LT(WantRank(rare, now), WantRank(late, now));
+  EXPECT_LT(RankLoad(rare, now), RankLoad(late, now));
 }
 
 TEST(PlacementPlan, RoomIsWhatTheAccountLeaves)
@@ -331,8 +331,8 @@
   servers.Put(Entry("s1", "a", {}), kStart);
   servers.Put(Entry("s2", "a", {}), kStart);
   std::mt19937 random(1);
-  servers.Heard("s1", ServerNews::Broken, kStart);
-  ServerWish wish;
+  servers.Heard("s1", ServerOutcome::Broken, kStart);
+  ServerRequirements wish;
   wish.mService = "e";
   wish.mZone = "a";
   for (int i = 0; i < 20; ++i) {
@@ -350,7 +350,7 @@
   servers.Put(Entry("s2", "a", { "m1" }), kStart);
   servers.PutOthers("peer", { { "s1", { { "m1", 20 } } } });
   std::mt19937 random(1);
-  ServerWish wish;
+  ServerRequirements wish;
   wish.mService = "e";
   wish.mModel = "m1";
   wish.mZone = "a";
@@ -367,7 +367,7 @@
   servers.Put(Entry("s1", "a", { "m1", "m2" }), kStart);
   servers.Doubt("s1", "m1", "", kStart);
   std::mt19937 random(1);
-  ServerWish wish;
+  ServerRequirements wish;
   wish.mService = "e";
   wish.mModel = "m1";
   wish.mZone = "a";
@@ -412,9 +412,9 @@
   EXPECT_FALSE(servers.PutContent("s1", 0, 8, { { "m1", {} } }, kStart));
 }
 
-TEST(DemandLog, MovesOnWithinSeconds)
+TEST(DemandTracker, MovesOnWithinSeconds)
 {
-  DemandLog log;
+  DemandTracker log;
   for (int i = 0; i < 80; ++i) {
     log.Add("old", 1, kStart + Millis(100 * i));
   }
--- a/tests/property/OrderAccountProperty.cpp
+++ b/tests/property/OrderAccountProperty.cpp
@@ -8,8 +8,8 @@
 #include <deque>
 #include <random>
 
-#include "decide/OrderAccount.h"
 #include "decide/PlacementPlan.h"
+#include "decide/ServerInventory.h"
 
 namespace caraway {
 
@@ -204,7 +204,7 @@
   // One that was lost with an order under way; the next one takes over.
   void OtherHolder()
   {
-    OrderAccount other(mBorn);
+    ServerInventory other(mBorn);
     if (!mReports.empty() && other.OnReport(mReports.back())) {
       ModelOrder order{ true, AnyModel(), "", other.Orders(), "", 0 };
       if (!mHeld.count(order.mModel) && other.Fits(Engine(), order, mNow)) {
@@ -275,7 +275,7 @@
   TimePoint mBusyUntil{};
   std::deque<Late> mLate;
   std::deque<ServerReport> mReports;
-  OrderAccount mAccount;
+  ServerInventory mAccount;
   int mOverfull = 0;
 };
 
@@ -307,9 +307,9 @@
 }
 
 // Guards against an account that goes back by a report from before an order.
-TEST(OrderAccount, ReportFromBeforeAnOrderTellsNothing)
+TEST(ServerInventory, ReportFromBeforeAnOrderTellsNothing)
 {
-  OrderAccount account(1);
+  ServerInventory account(1);
   ServerReport report;
   report.mOrders = 4;
   report.mModels = { { "m0", {} } };
@@ -326,9 +326,9 @@
 
 // Guards against a load that was ordered of a server's former life, arrives at
 // its next one, and finds its room given away.
-TEST(OrderAccount, RoomIsKeptForWhatAFormerLifeWasOrdered)
+TEST(ServerInventory, RoomIsKeptForWhatAFormerLifeWasOrdered)
 {
-  OrderAccount account(1);
+  ServerInventory account(1);
   ServerReport report;
   report.mBorn = 1;
   report.mOrders = 1;
@@ -342,14 +342,14 @@
   ModelOrder third{ true, "m2", "", 0, "", 0 };
   EXPECT_FALSE(account.Fits(Engine(), third, TimePoint() + Seconds(5)));
   EXPECT_TRUE(account.Fits(
-    Engine(), third, TimePoint() + OrderAccount::kLate + Seconds(1)));
+    Engine(), third, TimePoint() + ServerInventory::kLate + Seconds(1)));
 }
 
 // Guards against requests sent for seconds to a model that a server still
 // loads, its copy on disk having gone.
-TEST(OrderAccount, LoadThatIsLateIsNoLongerUsed)
+TEST(ServerInventory, LoadThatIsLateIsNoLongerUsed)
 {
-  OrderAccount account(1);
+  ServerInventory account(1);
   ServerReport report;
   report.mBorn = 1;
   ASSERT_TRUE(account.OnReport(report));
--- a/tests/property/ZoneTokensProperty.cpp
+++ b/tests/property/ZoneTokensProperty.cpp
@@ -9,8 +9,8 @@
 #include <random>
 #include <set>
 
-#include "decide/TokenParts.h"
-#include "decide/TokenPurse.h"
+#include "decide/RateSplit.h"
+#include "decide/TenantTokenBucket.h"
 #include "decide/ZoneMembers.h"
 
 namespace caraway {
@@ -203,7 +203,7 @@
   {
     for (auto& mate : mNodes) {
       if (Hears(*mate, aNode) && !Chance(10)) {
-        mate->mZone.OnPulse(aNode.mName, aNode.mZone.Pulse(mNow), mNow);
+        mate->mZone.OnHeartbeat(aNode.mName, aNode.mZone.Pulse(mNow), mNow);
       }
     }
   }
@@ -357,7 +357,7 @@
 
   void Kill(size_t aInstance)
   {
-    mPurses[aInstance] = TokenPurse();
+    mPurses[aInstance] = TenantTokenBucket();
     Make(aInstance);
   }
 
@@ -448,7 +448,7 @@
   std::mt19937 mRandom;
   TenantLimit mLimit;
   TimePoint mNow = kStart;
-  std::vector<TokenPurse> mPurses;
+  std::vector<TenantTokenBucket> mPurses;
   std::vector<Loan> mLoans;
   std::map<uint64_t, double> mTokens;
   std::vector<Grant> mGrants;
@@ -508,7 +508,7 @@
 // A tenant's callers keep connections to a few instances of seven, and ask for
 // up to six times the limit. In touch and past the first second, 0.95 of what
 // it asks for and may have is let in.
-TEST(TokenPurse, LimitIsReachedWhereverItIsAskedFor)
+TEST(TenantTokenBucket, LimitIsReachedWhereverItIsAskedFor)
 {
   TenantLimit limit = Limit(30000, 45000);
   std::vector<std::vector<double>> shapes = { { 1, 1, 1, 1, 1, 1, 1 },
@@ -527,7 +527,7 @@
 }
 
 // Guards against a large request that no single part could ever pay.
-TEST(TokenPurse, RequestLargerThanAPartPasses)
+TEST(TenantTokenBucket, RequestLargerThanAPartPasses)
 {
   TenantLimit limit = Limit(20000, 20000);
   PurseWorld world(3, 7, limit);
@@ -539,10 +539,10 @@
 
 // A tenant asks for three times its limit, mostly for what is least urgent:
 // its urgent requests still find tokens.
-TEST(TokenPurse, UrgentRoutesFindTokensInAnOverload)
+TEST(TenantTokenBucket, UrgentRoutesFindTokensInAnOverload)
 {
   TenantLimit limit = Limit(10000, 10000);
-  TokenPurse purse;
+  TenantTokenBucket purse;
   purse.SetPart(limit, 1, kStart);
   std::set<uint64_t> urgent;
   size_t paidUrgent = 0;
@@ -572,10 +572,10 @@
 
 // Guards against refunds that let more run than the limit: what is given back
 // late counts only as far as the bucket didn't spill meanwhile.
-TEST(TokenPurse, GivenBackLateNeverExceedsTheBurst)
+TEST(TenantTokenBucket, GivenBackLateNeverExceedsTheBurst)
 {
   TenantLimit limit = Limit(10000, 10000);
-  TokenPurse purse;
+  TenantTokenBucket purse;
   purse.SetPart(limit, 1, kStart);
   TimePoint now = kStart + Seconds(5);
   TokenWant want;
@@ -590,10 +590,10 @@
 
 // Guards against callers who come back together into an overload that goes on:
 // the more are refused, the later they are told to return.
-TEST(TokenPurse, RefusedAreToldToComeBackOneAfterTheOther)
+TEST(TenantTokenBucket, RefusedAreToldToComeBackOneAfterTheOther)
 {
   TenantLimit limit = Limit(10000, 10000);
-  TokenPurse purse;
+  TenantTokenBucket purse;
   purse.SetPart(limit, 1, kStart);
   std::vector<Millis> told;
   for (uint64_t id = 1; id <= 60; ++id) {
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -3,7 +3,7 @@
 #include <csignal>
 #include <fstream>
 
-#include "net/OutCall.h"
+#include "net/OutboundCall.h"
 #include "platform/WireNames.h"
 
 namespace caraway {
@@ -96,7 +96,7 @@
 void
 SoakRun::AskReadiness(size_t aIndex)
 {
-  OutRequest request;
+  OutboundRequest request;
   request.mAddress = mWorld->ReadinessAddress(aIndex);
   request.mHead =
     WriteHead(std::string("GET ") + wire::kReadyPath + " HTTP/1.1",
--- a/tests/support/MemoryPlatform.h
+++ b/tests/support/MemoryPlatform.h
@@ -46,12 +46,12 @@
     std::vector<PlatformObject>& past = Past(aWrite.mKind, aWrite.mName);
     int64_t standing = past.empty() ? 0 : past.back().mVersion;
     if (standing != aWrite.mExpected) {
-      return { WriteEnd::Conflict,
+      return { WriteOutcome::Conflict,
                past.empty() ? PlatformObject() : past.back() };
     }
     past.push_back(
       { aWrite.mName, ++mVersion, aWrite.mWriteId, aWrite.mValue });
-    return { WriteEnd::Done, past.back() };
+    return { WriteOutcome::Done, past.back() };
   }
 
   void ApplyLate(size_t aIndex)
@@ -92,15 +92,15 @@
   {
     switch (mOnWrite ? mOnWrite(aWrite) : MemoryFault::None) {
       case MemoryFault::Refused:
-        return { WriteEnd::Refused, {} };
+        return { WriteOutcome::Refused, {} };
       case MemoryFault::AnswerLost:
         Apply(aWrite);
-        return { WriteEnd::Unknown, {} };
+        return { WriteOutcome::Unknown, {} };
       case MemoryFault::Late:
         mLate.push_back(aWrite);
-        return { WriteEnd::Unknown, {} };
+        return { WriteOutcome::Unknown, {} };
       case MemoryFault::WriteLost:
-        return { WriteEnd::Unknown, {} };
+        return { WriteOutcome::Unknown, {} };
       default:
         return Apply(aWrite);
     }
--- a/tests/support/StandInStore.cpp
+++ b/tests/support/StandInStore.cpp
@@ -16,7 +16,7 @@
   }
   ~Port() override { mListen->Close(); }
 
-  void OnRequest(const std::shared_ptr<InboundConn>& aConn,
+  void OnRequest(const std::shared_ptr<InboundConnection>& aConn,
                  InboundRequest& aRequest) override
   {
     mStore.OnCall(*this, aConn, aRequest);
@@ -156,7 +156,7 @@
 
 void
 StandInStore::Answer(Port& aPort,
-                     const std::shared_ptr<InboundConn>& aConn,
+                     const std::shared_ptr<InboundConnection>& aConn,
                      int aStatus,
                      const Json::Value& aBody)
 {
@@ -169,7 +169,7 @@
 
 void
 StandInStore::OnCall(Port& aPort,
-                     const std::shared_ptr<InboundConn>& aConn,
+                     const std::shared_ptr<InboundConnection>& aConn,
                      InboundRequest& aRequest)
 {
   ++mCalls;
@@ -199,7 +199,7 @@
 
 void
 StandInStore::OnGet(Port& aPort,
-                    const std::shared_ptr<InboundConn>& aConn,
+                    const std::shared_ptr<InboundConnection>& aConn,
                     const std::string& aPath,
                     const std::string& aQuery)
 {
@@ -284,7 +284,7 @@
 
 void
 StandInStore::OnWrite(Port& aPort,
-                      const std::shared_ptr<InboundConn>& aConn,
+                      const std::shared_ptr<InboundConnection>& aConn,
                       const std::string& aMethod,
                       const std::string& aPath,
                       const Json::Value& aBody)
--- a/tests/support/StandInStore.h
+++ b/tests/support/StandInStore.h
@@ -66,7 +66,7 @@
   };
   struct Watch
   {
-    std::weak_ptr<InboundConn> mConn;
+    std::weak_ptr<InboundConnection> mConn;
     std::string mKind;
     int64_t mFrom = 0;
     TimePoint mUntil{};
@@ -74,19 +74,19 @@
   };
 
   void OnCall(Port& aPort,
-              const std::shared_ptr<InboundConn>& aConn,
+              const std::shared_ptr<InboundConnection>& aConn,
               InboundRequest& aRequest);
   void OnGet(Port& aPort,
-             const std::shared_ptr<InboundConn>& aConn,
+             const std::shared_ptr<InboundConnection>& aConn,
              const std::string& aPath,
              const std::string& aQuery);
   void OnWrite(Port& aPort,
-               const std::shared_ptr<InboundConn>& aConn,
+               const std::shared_ptr<InboundConnection>& aConn,
                const std::string& aMethod,
                const std::string& aPath,
                const Json::Value& aBody);
   void Answer(Port& aPort,
-              const std::shared_ptr<InboundConn>& aConn,
+              const std::shared_ptr<InboundConnection>& aConn,
               int aStatus,
               const Json::Value& aBody);
   Json::Value ObjectJson(const std::string& aName, const Object& aObject) const;
--- a/tests/unit/RequestStoryTest.cpp
+++ b/tests/unit/RequestStoryTest.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "ctl/RequestStory.h"
+#include "ctl/RequestTrace.h"
 
 namespace caraway {
 
@@ -17,10 +17,10 @@
 }
 
 std::vector<std::string>
-EventsOf(const RequestStory& aStory)
+EventsOf(const RequestTrace& aStory)
 {
   std::vector<std::string> events;
-  for (const StoryLine& line : aStory.Lines()) {
+  for (const TraceLine& line : aStory.Lines()) {
     events.push_back(line.mLine["event"].asString());
   }
   return events;
@@ -30,9 +30,9 @@
 
 // The holder's clock is 700 ms ahead: by time alone the load would have ended
 // after the request that waited for it was sent.
-TEST(RequestStory, CausesComeBeforeEffectsThoughClocksDiffer)
+TEST(RequestTrace, CausesComeBeforeEffectsThoughClocksDiffer)
 {
-  RequestStory story("r1");
+  RequestTrace story("r1");
   story.Read(Line("a", 0, "request_waits", ",\"id\":\"r1\",\"model\":\"m\"") +
              Line("a",
                   400,
@@ -53,9 +53,9 @@
   EXPECT_EQ(expected, EventsOf(story));
 }
 
-TEST(RequestStory, WhatBearsOnItIsShownAndTheRestIsNot)
+TEST(RequestTrace, WhatBearsOnItIsShownAndTheRestIsNot)
 {
-  RequestStory story("r1");
+  RequestTrace story("r1");
   story.Read(
     Line("a",
          0,
@@ -69,7 +69,7 @@
                                         "server_broke",
                                         "server_broke" };
   EXPECT_EQ(expected, EventsOf(story));
-  EXPECT_NE(std::string::npos, RequestStory("r7").Text().find("no line"));
+  EXPECT_NE(std::string::npos, RequestTrace("r7").Text().find("no line"));
 }
 
 } // namespace caraway
--- a/tests/unit/RunTimesTest.cpp
+++ b/tests/unit/RunTimesTest.cpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "decide/RunTimes.h"
+#include "decide/RunTimeEstimates.h"
 
 namespace caraway {
 
@@ -15,25 +15,25 @@
 } // namespace
 
 // Guards against a route of which nothing is known that counts as slow.
-TEST(RunTimes, UnknownRouteIsZero)
+TEST(RunTimeEstimates, UnknownRouteIsZero)
 {
-  RunTimes times;
+  RunTimeEstimates times;
   times.Note("other", Seconds(9));
   EXPECT_EQ(Millis(0), times.Usual(kRoute));
 }
 
 // Guards against a first run that counts for nothing.
-TEST(RunTimes, FirstRunAlreadyCounts)
+TEST(RunTimeEstimates, FirstRunAlreadyCounts)
 {
-  RunTimes times;
+  RunTimeEstimates times;
   times.Note(kRoute, Millis(1000));
   EXPECT_LE(Millis(1000), times.Usual(kRoute));
 }
 
 // Guards against an estimate that doesn't narrow where runs are alike.
-TEST(RunTimes, AlikeRunsAreTakenAtTheirWord)
+TEST(RunTimeEstimates, AlikeRunsAreTakenAtTheirWord)
 {
-  RunTimes times;
+  RunTimeEstimates times;
   for (int i = 0; i < 100; ++i) {
     times.Note(kRoute, Millis(1000));
   }
@@ -42,9 +42,9 @@
 }
 
 // Guards against an estimate that half of the runs outlast.
-TEST(RunTimes, FewRunsTakeLonger)
+TEST(RunTimeEstimates, FewRunsTakeLonger)
 {
-  RunTimes times;
+  RunTimeEstimates times;
   int over = 0;
   constexpr int kRuns = 1000;
   for (int i = 0; i < kRuns; ++i) {
@@ -56,9 +56,9 @@
 }
 
 // Guards against a route that became slower and still counts as quick.
-TEST(RunTimes, FollowsARouteThatBecomesSlower)
+TEST(RunTimeEstimates, FollowsARouteThatBecomesSlower)
 {
-  RunTimes times;
+  RunTimeEstimates times;
   for (int i = 0; i < 100; ++i) {
     times.Note(kRoute, Millis(100));
   }
@@ -69,9 +69,9 @@
 }
 
 // Guards against one slow run that makes a quick route count as slow for long.
-TEST(RunTimes, OneSlowRunIsSoonForgotten)
+TEST(RunTimeEstimates, OneSlowRunIsSoonForgotten)
 {
-  RunTimes times;
+  RunTimeEstimates times;
   for (int i = 0; i < 100; ++i) {
     times.Note(kRoute, Millis(100));
   }
@@ -83,9 +83,9 @@
 }
 
 // Guards against routes of old configurations that stay for ever.
-TEST(RunTimes, RoutesAreBounded)
+TEST(RunTimeEstimates, RoutesAreBounded)
 {
-  RunTimes times;
+  RunTimeEstimates times;
   for (int i = 0; i < 20000; ++i) {
     times.Note("route-" + std::to_string(i), Millis(100));
   }
--- a/tests/unit/ShareKeeperTest.cpp
+++ b/tests/unit/ShareKeeperTest.cpp
@@ -2,7 +2,7 @@
 
 #include "caraway/PausedClock.h"
 #include "share/ShareCodec.h"
-#include "share/ShareKeeper.h"
+#include "share/ShareManager.h"
 #include "support/MemoryPlatform.h"
 
 namespace caraway {
@@ -75,10 +75,10 @@
   Members mMembers{ mClock, { "i0", "a", "127.0.0.1:1", false } };
   ConfigHolder mConfig{ mClock };
   ShareLease mJoined;
-  ShareKeeper mKeeper{ Settings(),    "i0.0000@127.0.0.1:1",
-                       "127.0.0.1:1", mPlatform,
-                       mPeers,        mMembers,
-                       mConfig,       mClock };
+  ShareManager mKeeper{ Settings(),    "i0.0000@127.0.0.1:1",
+                        "127.0.0.1:1", mPlatform,
+                        mPeers,        mMembers,
+                        mConfig,       mClock };
 };
 
 } // namespace
--- a/tests/unit/StoreGateTest.cpp
+++ b/tests/unit/StoreGateTest.cpp
@@ -4,7 +4,7 @@
 #include <mutex>
 
 #include "caraway/PausedClock.h"
-#include "own/AdapterTurn.h"
+#include "own/AdapterPermit.h"
 #include "peer/PeerPort.h"
 
 namespace caraway {
@@ -121,13 +121,13 @@
   node.mMembers->Heard({ "i1", "mendoza-a", "127.0.0.1:1", false });
   node.mMembers->Heard({ "i2", "uspallata-b", "127.0.0.1:2", false });
   constexpr size_t kPart = 30 / 3;
-  std::list<AdapterTurn> turns;
+  std::list<AdapterPermit> turns;
   for (size_t i = 0; i < kPart; ++i) {
     EXPECT_TRUE(turns.emplace_back(node.mGate.get(), clock.Now()).In());
   }
-  EXPECT_FALSE(AdapterTurn(node.mGate.get(), clock.Now()).In());
+  EXPECT_FALSE(AdapterPermit(node.mGate.get(), clock.Now()).In());
   turns.pop_front();
-  EXPECT_TRUE(AdapterTurn(node.mGate.get(), clock.Now()).In());
+  EXPECT_TRUE(AdapterPermit(node.mGate.get(), clock.Now()).In());
 }
 
 } // namespace caraway
