--- a/bench/ColdBench.cpp
+++ b/bench/ColdBench.cpp
@@ -215,7 +215,7 @@
   EngineReport ReportOf(const Engine& aEngine) const
   {
     EngineReport report;
-    report.mHighestFence = aEngine.mRecord.mFence;
+    report.mHighestFencingToken = aEngine.mRecord.mFencingToken;
     for (const auto& loaded : aEngine.mLoaded) {
       EngineReplica replica;
       replica.mName = loaded.first;
@@ -237,7 +237,7 @@
       candidates[i].mReachable = mEngines[i].mZone == aZone;
     }
     LoadPlan plan = LoadPlanChoose(
-      candidates, ModelName(aModel), "", BytesOf(aModel), LoadPlanTerms());
+      candidates, ModelName(aModel), "", BytesOf(aModel), LoadPlanParameters());
     if (plan.mCandidate >= 0) {
       for (const PlacedReplica& replica : plan.mEvict) {
         Unload(mEngines[static_cast<size_t>(plan.mCandidate)], replica.mName);
@@ -353,10 +353,10 @@
         mResult.mIdleHours +=
           kStep / 3600 * static_cast<double>(replica.mBytes) / kMemory;
         Millis base(static_cast<int64_t>(mIdleLimit * 1000));
-        Millis limit =
-          mOurs
-            ? LoadPlanIdleLimit(report, replica.mName, base, LoadPlanTerms())
-            : base;
+        Millis limit = mOurs
+                         ? LoadPlanIdleLimit(
+                             report, replica.mName, base, LoadPlanParameters())
+                         : base;
         if (quiet * 1000 > static_cast<double>(limit.count())) {
           idle.push_back(replica.mName);
         }
--- a/bench/DecideBench.cpp
+++ b/bench/DecideBench.cpp
@@ -79,7 +79,7 @@
   TimePoint later = kNow + Seconds(1000);
   uint64_t id = 0;
   auto item = [&] {
-    WaitItem one;
+    QueuedRequest one;
     one.mId = ++id;
     one.mTenant = "t" + std::to_string(id % 5);
     one.mTokens = 100;
--- a/bench/GateBench.cpp
+++ b/bench/GateBench.cpp
@@ -26,9 +26,9 @@
   RequestClass mClass = RequestClass::Interactive;
   TimePoint mWanted{};
   double mLeft = 0; // s at full speed
-  bool mIn = false;
+  bool mHasPermit = false;
   TimePoint mAsked{};
-  Millis mAgain{ 0 };
+  Millis mPollAfter{ 0 };
   double mTook = -1; // s; -1 = not ready yet
 };
 
@@ -37,7 +37,7 @@
   const char* mName;
   bool mGate;
   bool mClasses;
-  int mUrgentBeyond;
+  int mUrgentExtra;
 };
 
 std::vector<Load>
@@ -64,10 +64,10 @@
 Run(const Policy& aPolicy, std::vector<Load>& aLoads, TimePoint aStart)
 {
   std::map<Seconds, int> asks;
-  LoadGateTerms terms;
-  terms.mUrgentBeyond = aPolicy.mUrgentBeyond;
+  LoadGateParameters terms;
+  terms.mUrgentExtra = aPolicy.mUrgentExtra;
   if (!aPolicy.mClasses) {
-    terms.mHandicap = {};
+    terms.mClassDelay = {};
   }
   LoadGate gate(terms, aStart);
   size_t ready = 0;
@@ -75,30 +75,30 @@
     int inside = 0;
     for (Load& load : aLoads) {
       bool due = load.mTook < 0 && now >= load.mWanted &&
-                 now - load.mAsked >= load.mAgain;
+                 now - load.mAsked >= load.mPollAfter;
       if (due && aPolicy.mGate) {
         load.mAsked = now;
-        LoadGateAnswer answer =
-          LoadGateAsk(gate, { load.mId, load.mClass, false }, now);
-        load.mIn = answer.mIn;
-        load.mAgain = answer.mAgain;
+        LoadGateReply answer =
+          LoadGateAcquire(gate, { load.mId, load.mClass, false }, now);
+        load.mHasPermit = answer.mHasPermit;
+        load.mPollAfter = answer.mPollAfter;
         ++asks[std::chrono::duration_cast<Seconds>(now - aStart)];
       } else if (due) {
-        load.mIn = true;
+        load.mHasPermit = true;
       }
-      inside += load.mIn ? 1 : 0;
+      inside += load.mHasPermit ? 1 : 0;
     }
     double speed =
       std::min(1.0, static_cast<double>(kFullSpeed) / std::max(1, inside));
     for (Load& load : aLoads) {
-      if (!load.mIn) {
+      if (!load.mHasPermit) {
         continue;
       }
       load.mLeft -= std::chrono::duration<double>(kStep).count() * speed;
       if (load.mLeft <= 0) {
-        load.mIn = false;
+        load.mHasPermit = false;
         load.mTook = std::chrono::duration<double>(now - load.mWanted).count();
-        LoadGateLeave(gate, load.mId);
+        LoadGateRelease(gate, load.mId);
         ++ready;
       }
     }
--- a/bench/QueueBench.cpp
+++ b/bench/QueueBench.cpp
@@ -26,7 +26,7 @@
 struct Arrival
 {
   TimePoint mAt;
-  WaitItem mItem;
+  QueuedRequest mItem;
 };
 
 struct Outcome1
@@ -55,9 +55,9 @@
     TimePoint end = at + kLength;
     while (at < end) {
       at += Micros(static_cast<int64_t>(gap(random) * 1e6));
-      WaitItem item;
+      QueuedRequest item;
       item.mId = ++id;
-      item.mLike = id;
+      item.mRequestDigest = id;
       item.mTenant = aTenant;
       item.mClass = aClass;
       item.mTokens = aTokens;
@@ -123,22 +123,22 @@
          bool aSlowed,
          bool aReturns = false)
 {
-  std::multimap<TimePoint, WaitItem> coming;
+  std::multimap<TimePoint, QueuedRequest> coming;
   for (const Arrival& arrival : aAll) {
     coming.emplace(arrival.mAt, arrival.mItem);
   }
   std::set<uint64_t> returned;
   std::map<std::string, Outcome1> outcomes;
   WaitQueue queue;
-  std::deque<WaitItem> fifo;
+  std::deque<QueuedRequest> fifo;
   double learnt = 0;
   Places places;
-  auto key = [](const WaitItem& aItem) {
+  auto key = [](const QueuedRequest& aItem) {
     return aItem.mTenant + " " + RequestClassName(aItem.mClass);
   };
-  auto next = [&](TimePoint aNow) -> std::optional<WaitItem> {
+  auto next = [&](TimePoint aNow) -> std::optional<QueuedRequest> {
     if (aFair) {
-      for (const WaitItem& late : queue.Expire(aNow)) {
+      for (const QueuedRequest& late : queue.Expire(aNow)) {
         ++outcomes[key(late)].mLate;
       }
       bool fits = places.BatchAt(aNow) < static_cast<int>(kModelCapacity) - 2;
@@ -148,7 +148,7 @@
       return queue.Next(fits ? RequestClass::Batch : RequestClass::Interactive);
     }
     while (!fifo.empty()) {
-      WaitItem item = fifo.front();
+      QueuedRequest item = fifo.front();
       fifo.pop_front();
       if (item.mStartBy > aNow) {
         return item;
@@ -182,7 +182,7 @@
   };
   while (!coming.empty()) {
     TimePoint at = coming.begin()->first;
-    WaitItem item = coming.begin()->second;
+    QueuedRequest item = coming.begin()->second;
     coming.erase(coming.begin());
     serve(at);
     if (!aFair) {
--- a/src/daemon/Instance.cpp
+++ b/src/daemon/Instance.cpp
@@ -60,10 +60,10 @@
   ShareSettings settings;
   settings.mZone = aSettings.mZone;
   settings.mZones = static_cast<int>(aSettings.mZones.size());
-  settings.mTerms.mLease = aSettings.mShareLease;
-  settings.mTerms.mMargin = aSettings.mShareMargin;
-  settings.mTerms.mIsolationLimit = Millis(aSettings.mShareIsolationLimit);
-  settings.mGrantLife = aSettings.mShareGrantLife;
+  settings.mParameters.mLease = aSettings.mShareLease;
+  settings.mParameters.mMargin = aSettings.mShareMargin;
+  settings.mParameters.mIsolationLimit = Millis(aSettings.mShareIsolationLimit);
+  settings.mGrantLifetime = aSettings.mShareGrantLife;
   return settings;
 }
 
@@ -74,7 +74,8 @@
   settings.mZones = static_cast<int>(aSettings.mZones.size());
   settings.mAtOnce = static_cast<int>(aSettings.mStoreAtOnce);
   settings.mStarts = static_cast<double>(aSettings.mStoreStartsPerSecond);
-  settings.mAdaptersAtOnce = static_cast<int>(aSettings.mStoreAdaptersAtOnce);
+  settings.mMaxConcurrentAdapters =
+    static_cast<int>(aSettings.mStoreAdaptersAtOnce);
   return settings;
 }
 
@@ -133,12 +134,12 @@
                                            mClock);
   mGate =
     std::make_unique<StoreGate>(StoreOf(mSettings), *mMembers, mPeers, mClock);
-  mLoader.TakeTurns(*mGate);
+  mLoader.SetStoreGate(*mGate);
   mHomes = std::make_unique<HomeZones>(mSettings.mNear, *mMembers);
-  mOwner.SendHome(*mHomes);
+  mOwner.SetHomeZones(*mHomes);
   EndpointReconcilerSettings keeping;
   keeping.mIdleLimit = Millis(mSettings.mModelIdleLimit);
-  keeping.mOrderHorizon = Millis(mSettings.mModelOrderHorizon);
+  keeping.mMaxOrderDelay = Millis(mSettings.mModelOrderHorizon);
   mKeeper = std::make_unique<EndpointReconciler>(
     keeping, mConfig, *mMembers, mPlacements, mEngines, mLoader, mClock);
   mShares = std::make_unique<ShareManager>(SharesOf(mSettings),
@@ -227,7 +228,7 @@
     }
   });
   Ticker& shares = *mTickers.back();
-  mShares->OnPoke([this, &shares] {
+  mShares->OnSlotsReceived([this, &shares] {
     mPoked = true;
     shares.Poke();
   });
@@ -336,7 +337,7 @@
   count("caraway_loads_joined_total", mLoader.Counts().mJoined);
   count("caraway_evictions_total", mLoader.Counts().mEvicted);
   count("caraway_optional_loads_given_up_total",
-        mLoader.Counts().mOptionalGivenUp);
+        mLoader.Counts().mOptionalAbandoned);
   const ShareClientCounts& shares = mShareClient->Counts();
   count("caraway_share_takes_total", shares.mTakes);
   count("caraway_share_asks_total", shares.mAsks);
--- a/src/decide/ClaimStep.cpp
+++ b/src/decide/ClaimStep.cpp
@@ -45,15 +45,15 @@
 // Last look at the clock before bytes go out: an attempt that was paused
 // here comes back after its caller was told the time had passed.
 ClaimAction
-HandOn(ClaimState& aState, TimePoint aNow)
+ForwardOrder(ClaimState& aState, TimePoint aNow)
 {
   if (aNow >= aState.mDeadline) {
     aState.mPhase = ClaimPhase::Releasing;
     aState.mReleaseError = ErrorKind::DeadlinePassed;
     return Make(ClaimActionKind::Release, aState.mVersion);
   }
-  aState.mPhase = ClaimPhase::HandingOn;
-  return Make(ClaimActionKind::HandOn);
+  aState.mPhase = ClaimPhase::Forwarding;
+  return Make(ClaimActionKind::ForwardOrder);
 }
 
 ClaimAction
@@ -65,28 +65,28 @@
 }
 
 ClaimAction
-TakeHold(ClaimState& aState, int64_t aVersion, TimePoint aNow)
+OnClaimHeld(ClaimState& aState, int64_t aVersion, TimePoint aNow)
 {
   aState.mMine = true;
   aState.mVersion = aVersion;
-  return HandOn(aState, aNow);
+  return ForwardOrder(aState, aNow);
 }
 
 // This attempt hands nothing on any more, also when a create of ours takes
 // effect later. But an earlier attempt elsewhere may have run the order, and
 // the platform alone could tell: so this is never "not run".
 ClaimAction
-PlatformTrouble(ClaimState& aState, ClaimActionKind aNext, TimePoint aNow)
+OnPlatformError(ClaimState& aState, ClaimActionKind aNext, TimePoint aNow)
 {
-  if (--aState.mPlatformTries < 0 || aNow >= aState.mDeadline) {
+  if (--aState.mPlatformRetriesLeft < 0 || aNow >= aState.mDeadline) {
     return Refuse(aState, ErrorKind::ClaimUnknown);
   }
-  aState.mPhase = ClaimPhase::Looking;
+  aState.mPhase = ClaimPhase::Rereading;
   return Make(aNext);
 }
 
 ClaimAction
-OnStanding(ClaimState& aState, const ClaimEvent& aEvent, TimePoint aNow)
+OnCurrentRecord(ClaimState& aState, const ClaimEvent& aEvent, TimePoint aNow)
 {
   const ClaimRecord& record = aEvent.mRecord;
   if (record.mBodyDigest != aState.mBodyDigest) {
@@ -103,14 +103,14 @@
       break;
   }
   if (record.mNonce == aState.mNonce) {
-    return TakeHold(aState, aEvent.mVersion, aNow);
+    return OnClaimHeld(aState, aEvent.mVersion, aNow);
   }
   if (aNow >= aState.mDeadline) {
     return Refuse(aState, ErrorKind::OutcomePending);
   }
   aState.mPhase = ClaimPhase::Asking;
   aState.mVersion = aEvent.mVersion;
-  ClaimAction action = Make(ClaimActionKind::AskCreator);
+  ClaimAction action = Make(ClaimActionKind::QueryCreator);
   action.mPeer = record.mCreator;
   action.mNonce = record.mNonce;
   return action;
@@ -121,15 +121,15 @@
 {
   switch (aEvent.mKind) {
     case ClaimEventKind::Written:
-      return TakeHold(aState, aEvent.mVersion, aNow);
+      return OnClaimHeld(aState, aEvent.mVersion, aNow);
     case ClaimEventKind::Standing:
-      return OnStanding(aState, aEvent, aNow);
+      return OnCurrentRecord(aState, aEvent, aNow);
     case ClaimEventKind::Absent:
       // Our create may still be on its way; a second one with the same nonce
       // can't harm, whichever of the two is taken.
       return Claim(aState, 0);
     default:
-      return PlatformTrouble(aState, ClaimActionKind::Read, aNow);
+      return OnPlatformError(aState, ClaimActionKind::Read, aNow);
   }
 }
 
@@ -146,7 +146,7 @@
         return Refuse(aState, ErrorKind::OutcomePending);
       }
       // Read first: the creator may have stored the answer meanwhile.
-      aState.mPhase = ClaimPhase::Looking;
+      aState.mPhase = ClaimPhase::Rereading;
       return Make(ClaimActionKind::Read);
     default:
       return Refuse(aState, ErrorKind::OutcomeUnknown);
@@ -159,11 +159,11 @@
   switch (aEvent.mKind) {
     case ClaimEventKind::Answered:
       aState.mAnswer = aEvent.mRecord.mAnswer;
-      aState.mPhase = ClaimPhase::Keeping;
-      return Make(ClaimActionKind::KeepAnswer, aState.mVersion);
+      aState.mPhase = ClaimPhase::StoringAnswer;
+      return Make(ClaimActionKind::StoreAnswer, aState.mVersion);
     case ClaimEventKind::NotOffered:
       if (aEvent.mEndpointsLeft) {
-        return HandOn(aState, aNow);
+        return ForwardOrder(aState, aNow);
       }
       aState.mPhase = ClaimPhase::Releasing;
       aState.mReleaseError = ErrorKind::NoEndpoint;
@@ -171,7 +171,7 @@
     default:
       aState.mPhase = ClaimPhase::Releasing;
       aState.mReleaseError = ErrorKind::OutcomeUnknown;
-      return Make(ClaimActionKind::KeepLost, aState.mVersion);
+      return Make(ClaimActionKind::StoreLost, aState.mVersion);
   }
 }
 
@@ -184,13 +184,13 @@
     case ClaimPhase::Idle:
       return Claim(aState, 0);
     case ClaimPhase::Claiming:
-    case ClaimPhase::Looking:
+    case ClaimPhase::Rereading:
       return OnClaiming(aState, aEvent, aNow);
     case ClaimPhase::Asking:
       return OnAsking(aState, aEvent, aNow);
-    case ClaimPhase::HandingOn:
+    case ClaimPhase::Forwarding:
       return OnHandingOn(aState, aEvent, aNow);
-    case ClaimPhase::Keeping:
+    case ClaimPhase::StoringAnswer:
       // Kept or not, the answer is the caller's. Until it is kept, this
       // instance vouches for it to whoever asks.
       return Answer(aState, aState.mAnswer, false);
--- a/src/decide/ClaimStep.h
+++ b/src/decide/ClaimStep.h
@@ -21,10 +21,10 @@
   Create,       // conditional create with our nonce
   TakeOver,     // conditional replace of mVersion with our nonce
   Read,         // read the claim again
-  AskCreator,   // ask mPeer about mNonce; may wait a little there
-  HandOn,       // offer the order to an endpoint, once
-  KeepAnswer,   // conditional replace: Answered
-  KeepLost,     // conditional replace: Lost; then finish anyway
+  QueryCreator, // ask mPeer about mNonce; may wait a little there
+  ForwardOrder, // offer the order to an endpoint, once
+  StoreAnswer,  // conditional replace: Answered
+  StoreLost,    // conditional replace: Lost; then finish anyway
   Release,      // conditional replace: Released; then finish anyway
   FinishAnswer, // give mAnswer to the caller
   FinishRefuse, // refuse with mError; mRun is true of this order
@@ -34,8 +34,8 @@
 {
   ClaimActionKind mKind = ClaimActionKind::FinishRefuse;
   int64_t mVersion = 0; // TakeOver, Keep*, Release
-  std::string mPeer;    // AskCreator: incarnation
-  std::string mNonce;   // AskCreator
+  std::string mPeer;    // QueryCreator: incarnation
+  std::string mNonce;   // QueryCreator
   ErrorKind mError = ErrorKind::Internal;
   RunState mRun = RunState::NotRun;
   ClaimAnswer mAnswer;
@@ -70,11 +70,11 @@
 enum class ClaimPhase
 {
   Idle,
-  Claiming,  // a write of ours may take effect at any time
-  Looking,   // re-reading after an unclear write
-  Asking,    // another attempt holds the claim
-  HandingOn, // we hold it; bytes may be out
-  Keeping,   // the answer is here, being stored
+  Claiming,      // a write of ours may take effect at any time
+  Rereading,     // re-reading after an unclear write
+  Asking,        // another attempt holds the claim
+  Forwarding,    // we hold it; bytes may be out
+  StoringAnswer, // the answer is here, being stored
   Releasing,
   Done,
 };
@@ -85,8 +85,8 @@
   std::string mSelf;  // our incarnation
   std::string mNonce; // drawn for this attempt
   std::string mBodyDigest;
-  TimePoint mDeadline{};  // no handing on after it
-  int mPlatformTries = 4; // unclear platform answers put up with
+  TimePoint mDeadline{};        // no handing on after it
+  int mPlatformRetriesLeft = 4; // unclear platform answers put up with
 
   ClaimPhase mPhase = ClaimPhase::Idle;
   int64_t mVersion = 0; // of the claim, once ours
@@ -97,7 +97,7 @@
 
 // What this attempt tells another instance that asks about its nonce. The
 // answer GaveUp is final: the attempt's state never leaves Done after it.
-enum class ClaimStanding
+enum class ClaimAttemptStatus
 {
   Running,
   GaveUp,
--- a/src/decide/EngineReport.h
+++ b/src/decide/EngineReport.h
@@ -22,9 +22,9 @@
 
 struct EngineReport
 {
-  int64_t mHighestFence = 0; // of the orders it has taken
-  int mActive = 0;           // requests in its batch; lags
-  int mWaiting = 0;          // requests it has queued itself; lags
+  int64_t mHighestFencingToken = 0; // of the orders it has taken
+  int mActive = 0;                  // requests in its batch; lags
+  int mWaiting = 0;                 // requests it has queued itself; lags
   std::vector<EngineReplica> mReplicas;
   std::vector<std::string> mCachedInMemory; // checkpoints, nearest first
   std::vector<std::string> mCachedOnDisk;
--- a/src/decide/HomeZone.cpp
+++ b/src/decide/HomeZone.cpp
@@ -9,10 +9,13 @@
 namespace {
 
 void
-Count(HomeZoneState& aState, const HomeZoneTerms& aTerms, TimePoint aNow)
+Count(HomeZoneState& aState,
+      const HomeZoneParameters& aParameters,
+      TimePoint aNow)
 {
   using Seconds = std::chrono::duration<double>;
-  double passed = Seconds(aNow - aState.mCounted) / Seconds(aTerms.mWindow);
+  double passed =
+    Seconds(aNow - aState.mCounted) / Seconds(aParameters.mWindow);
   aState.mCount = aState.mCount * std::exp(-passed) + 1;
   aState.mCounted = aNow;
 }
@@ -20,33 +23,33 @@
 } // namespace
 
 HomeZoneAction
-HomeZoneAsk(HomeZoneState& aState,
-            const HomeZoneView& aView,
-            const HomeZoneTerms& aTerms,
-            TimePoint aNow)
+HomeZoneRoute(HomeZoneState& aState,
+              const HomeZoneView& aView,
+              const HomeZoneParameters& aParameters,
+              TimePoint aNow)
 {
-  Count(aState, aTerms, aNow);
+  Count(aState, aParameters, aNow);
   // Whoever waits here was sent here because the home failed; sending others
   // away meanwhile would load a second replica there.
   if (aView.mHome || aView.mServing || aView.mWaiting ||
-      aNow < aState.mHereUntil) {
+      aNow < aState.mServeLocallyUntil) {
     return HomeZoneAction::Here;
   }
   bool begun = aState.mLoadBegun != TimePoint{} &&
-               aNow - aState.mLoadBegun < aTerms.mLoadAgain;
-  if (aState.mCount >= aTerms.mBusy && !begun) {
+               aNow - aState.mLoadBegun < aParameters.mLoadInterval;
+  if (aState.mCount >= aParameters.mBusy && !begun) {
     aState.mLoadBegun = aNow;
-    return HomeZoneAction::AwayAndLoad;
+    return HomeZoneAction::RemoteAndLoad;
   }
   return HomeZoneAction::Away;
 }
 
 void
 HomeZoneFailed(HomeZoneState& aState,
-               const HomeZoneTerms& aTerms,
+               const HomeZoneParameters& aParameters,
                TimePoint aNow)
 {
-  aState.mHereUntil = aNow + aTerms.mFailed;
+  aState.mServeLocallyUntil = aNow + aParameters.mFailed;
 }
 
 std::string
--- a/src/decide/HomeZone.h
+++ b/src/decide/HomeZone.h
@@ -15,12 +15,12 @@
 
 namespace caraway {
 
-struct HomeZoneTerms
+struct HomeZoneParameters
 {
   double mBusy = 60; // requests in mWindow that are worth a replica
   Millis mWindow{ 60000 };
-  Millis mFailed{ 10000 };    // after the home failed, before it is asked again
-  Millis mLoadAgain{ 60000 }; // between loads begun for a busy zone
+  Millis mFailed{ 10000 }; // after the home failed, before it is asked again
+  Millis mLoadInterval{ 60000 }; // between loads begun for a busy zone
 };
 
 // Of one model, at its owner in one zone.
@@ -28,8 +28,8 @@
 {
   double mCount = 0; // requests, each fading within mWindow
   TimePoint mCounted{};
-  TimePoint mHereUntil{}; // the home has failed
-  TimePoint mLoadBegun{}; // for a busy zone
+  TimePoint mServeLocallyUntil{}; // the home has failed
+  TimePoint mLoadBegun{};         // for a busy zone
 };
 
 struct HomeZoneView
@@ -41,21 +41,21 @@
 
 enum class HomeZoneAction
 {
-  Here,        // serve, and load if need be
-  Away,        // at the home
-  AwayAndLoad, // at the home until the load that is to begin here has ended
+  Here,          // serve, and load if need be
+  Away,          // at the home
+  RemoteAndLoad, // at the home until the load that is to begin here has ended
 };
 
 // A request has come from this zone.
 HomeZoneAction
-HomeZoneAsk(HomeZoneState& aState,
-            const HomeZoneView& aView,
-            const HomeZoneTerms& aTerms,
-            TimePoint aNow);
+HomeZoneRoute(HomeZoneState& aState,
+              const HomeZoneView& aView,
+              const HomeZoneParameters& aParameters,
+              TimePoint aNow);
 // The home didn't answer, or can't serve it.
 void
 HomeZoneFailed(HomeZoneState& aState,
-               const HomeZoneTerms& aTerms,
+               const HomeZoneParameters& aParameters,
                TimePoint aNow);
 // The same for all who see the same zones; few models move when one goes.
 std::string
--- a/src/decide/LoadGate.cpp
+++ b/src/decide/LoadGate.cpp
@@ -7,20 +7,20 @@
 namespace {
 
 void
-DropUnseen(LoadGate& aGate, TimePoint aNow)
+DropExpired(LoadGate& aGate, TimePoint aNow)
 {
   auto& entries = aGate.mEntries;
   for (auto entry = entries.begin(); entry != entries.end();) {
-    bool unseen = aNow - entry->second.mSeen > aGate.mTerms.mLease;
+    bool unseen = aNow - entry->second.mSeen > aGate.mParameters.mLease;
     entry = unseen ? entries.erase(entry) : std::next(entry);
   }
 }
 
 TimePoint
-TurnOf(const LoadGate& aGate, const LoadGateEntry& aEntry)
+EffectiveArrival(const LoadGate& aGate, const LoadGateEntry& aEntry)
 {
   return aEntry.mArrived +
-         aGate.mTerms.mHandicap[static_cast<size_t>(aEntry.mClass)];
+         aGate.mParameters.mClassDelay[static_cast<size_t>(aEntry.mClass)];
 }
 
 // How many wait before aEntry?
@@ -30,7 +30,8 @@
   int before = 0;
   for (const auto& other : aGate.mEntries) {
     bool earlier =
-      !other.second.mIn && TurnOf(aGate, other.second) < TurnOf(aGate, aEntry);
+      !other.second.mHasPermit &&
+      EffectiveArrival(aGate, other.second) < EffectiveArrival(aGate, aEntry);
     before += earlier ? 1 : 0;
   }
   return before;
@@ -39,38 +40,40 @@
 // A load takes seconds, so that whoever is far behind need not ask often: a
 // hundred that wait would ask one instance a thousand times a second.
 Millis
-AskAgain(const LoadGate& aGate, const LoadGateEntry& aEntry, int aBefore)
+PollInterval(const LoadGate& aGate, const LoadGateEntry& aEntry, int aBefore)
 {
   constexpr Millis kSoon{ 100 };
   constexpr Millis kForEach{ 50 };
   constexpr int kPartOfLease = 3; // two answers may be lost
-  Millis most = aGate.mTerms.mLease / kPartOfLease;
-  return aEntry.mIn ? most : std::min(most, kSoon + aBefore * kForEach);
+  Millis most = aGate.mParameters.mLease / kPartOfLease;
+  return aEntry.mHasPermit ? most : std::min(most, kSoon + aBefore * kForEach);
 }
 
 } // namespace
 
-LoadGate::LoadGate(LoadGateTerms aTerms, TimePoint aNow)
-  : mTerms(aTerms)
-  , mStarts(aTerms.mStartsPerSecond, aTerms.mStartsPerSecond, aNow)
+LoadGate::LoadGate(LoadGateParameters aParameters, TimePoint aNow)
+  : mParameters(aParameters)
+  , mStarts(aParameters.mStartsPerSecond, aParameters.mStartsPerSecond, aNow)
 {
-  mStarts.Fill(aTerms.mStartsPerSecond, aNow);
+  mStarts.Fill(aParameters.mStartsPerSecond, aNow);
 }
 
 int
-LoadGateInside(const LoadGate& aGate)
+LoadGateAdmitted(const LoadGate& aGate)
 {
   int inside = 0;
   for (const auto& entry : aGate.mEntries) {
-    inside += entry.second.mIn ? 1 : 0;
+    inside += entry.second.mHasPermit ? 1 : 0;
   }
   return inside;
 }
 
-LoadGateAnswer
-LoadGateAsk(LoadGate& aGate, const LoadGateQuestion& aQuestion, TimePoint aNow)
+LoadGateReply
+LoadGateAcquire(LoadGate& aGate,
+                const LoadGateRequest& aQuestion,
+                TimePoint aNow)
 {
-  DropUnseen(aGate, aNow);
+  DropExpired(aGate, aNow);
   auto added = aGate.mEntries.emplace(aQuestion.mId, LoadGateEntry());
   LoadGateEntry& entry = added.first->second;
   if (added.second) {
@@ -79,20 +82,20 @@
   }
   entry.mSeen = aNow;
   entry.mClass = std::min(entry.mClass, aQuestion.mClass);
-  entry.mIn = entry.mIn || aQuestion.mInside;
+  entry.mHasPermit = entry.mHasPermit || aQuestion.mInside;
   int before = Before(aGate, entry);
-  if (!entry.mIn) {
+  if (!entry.mHasPermit) {
     bool urgent = entry.mClass == RequestClass::Urgent;
     int places =
-      aGate.mTerms.mAtOnce + (urgent ? aGate.mTerms.mUrgentBeyond : 0);
-    entry.mIn = LoadGateInside(aGate) < places && before == 0 &&
-                aGate.mStarts.Take(1, aNow);
+      aGate.mParameters.mAtOnce + (urgent ? aGate.mParameters.mUrgentExtra : 0);
+    entry.mHasPermit = LoadGateAdmitted(aGate) < places && before == 0 &&
+                       aGate.mStarts.Take(1, aNow);
   }
-  return { entry.mIn, AskAgain(aGate, entry, before) };
+  return { entry.mHasPermit, PollInterval(aGate, entry, before) };
 }
 
 void
-LoadGateLeave(LoadGate& aGate, const std::string& aId)
+LoadGateRelease(LoadGate& aGate, const std::string& aId)
 {
   aGate.mEntries.erase(aId);
 }
--- a/src/decide/LoadGate.h
+++ b/src/decide/LoadGate.h
@@ -19,21 +19,21 @@
 
 namespace caraway {
 
-struct LoadGateTerms
+struct LoadGateParameters
 {
   int mAtOnce = 4;             // that the store gives full speed
   double mStartsPerSecond = 5; // that the store takes
   // An urgent load is let in above mAtOnce by so many: it is slowed a little
   // by the others and them by it, where waiting would cost it a whole load.
-  int mUrgentBeyond = 2;
+  int mUrgentExtra = 2;
   // A place or a wait that isn't asked for again within this has been left by
   // a loader that died.
   Millis mLease{ 3000 };
   // Waits count from later by this, for each class: the order is by urgency,
   // but a briefing's load isn't passed for ever.
-  std::array<Millis, kRequestClassCount> mHandicap{ Millis(0),
-                                                    Millis(10000),
-                                                    Millis(60000) };
+  std::array<Millis, kRequestClassCount> mClassDelay{ Millis(0),
+                                                      Millis(10000),
+                                                      Millis(60000) };
 };
 
 struct LoadGateEntry
@@ -41,38 +41,40 @@
   RequestClass mClass = RequestClass::Interactive;
   TimePoint mArrived{};
   TimePoint mSeen{}; // last asked
-  bool mIn = false;
+  bool mHasPermit = false;
 };
 
 struct LoadGate
 {
-  explicit LoadGate(LoadGateTerms aTerms, TimePoint aNow);
+  explicit LoadGate(LoadGateParameters aParameters, TimePoint aNow);
 
-  LoadGateTerms mTerms;
+  LoadGateParameters mParameters;
   TokenBucket mStarts;
   std::map<std::string, LoadGateEntry> mEntries; // by the load's id
 };
 
-struct LoadGateQuestion
+struct LoadGateRequest
 {
   std::string mId;                                 // of the load
   RequestClass mClass = RequestClass::Interactive; // may grow more urgent
   bool mInside = false; // another gate let it in before; counted, not stopped
 };
 
-struct LoadGateAnswer
+struct LoadGateReply
 {
-  bool mIn = false;     // until a lease passes without its asking again
-  Millis mAgain{ 100 }; // when to ask again; later the more are before it
+  bool mHasPermit = false;  // until a lease passes without its asking again
+  Millis mPollAfter{ 100 }; // when to ask again; later the more are before it
 };
 
 // Idempotent: an answer may be lost.
-LoadGateAnswer
-LoadGateAsk(LoadGate& aGate, const LoadGateQuestion& aQuestion, TimePoint aNow);
+LoadGateReply
+LoadGateAcquire(LoadGate& aGate,
+                const LoadGateRequest& aQuestion,
+                TimePoint aNow);
 void
-LoadGateLeave(LoadGate& aGate, const std::string& aId);
+LoadGateRelease(LoadGate& aGate, const std::string& aId);
 int
-LoadGateInside(const LoadGate& aGate);
+LoadGateAdmitted(const LoadGate& aGate);
 
 } // namespace caraway
 
--- a/src/decide/LoadPlan.cpp
+++ b/src/decide/LoadPlan.cpp
@@ -16,7 +16,7 @@
 };
 
 bool
-Lies(const std::vector<std::string>& aPlaces, const std::string& aName)
+IsCachedIn(const std::vector<std::string>& aPlaces, const std::string& aName)
 {
   return std::find(aPlaces.begin(), aPlaces.end(), aName) != aPlaces.end();
 }
@@ -24,15 +24,15 @@
 double
 SourceCost(const EngineReport& aReport,
            const std::string& aName,
-           const LoadPlanTerms& aTerms)
+           const LoadPlanParameters& aParameters)
 {
-  if (Lies(aReport.mCachedInMemory, aName)) {
-    return aTerms.mMemoryCost;
+  if (IsCachedIn(aReport.mCachedInMemory, aName)) {
+    return aParameters.mMemoryCost;
   }
-  if (Lies(aReport.mCachedOnDisk, aName)) {
-    return aTerms.mDiskCost;
+  if (IsCachedIn(aReport.mCachedOnDisk, aName)) {
+    return aParameters.mDiskCost;
   }
-  return aTerms.mRemoteCost;
+  return aParameters.mRemoteCost;
 }
 
 const EngineReplica*
@@ -59,12 +59,13 @@
 Eviction
 Evictable(const LoadCandidate& aCandidate,
           int64_t aBytes,
-          const LoadPlanTerms& aTerms)
+          const LoadPlanParameters& aParameters)
 {
   std::vector<std::pair<Millis, PlacedReplica>> idle;
   for (const PlacedReplica& replica : aCandidate.mRecord.mReplicas) {
     const EngineReplica* seen = Reported(aCandidate.mReport, replica);
-    bool busy = !seen || seen->mActive > 0 || seen->mIdle < aTerms.mLeastIdle;
+    bool busy =
+      !seen || seen->mActive > 0 || seen->mIdle < aParameters.mMinIdle;
     // Gone for good only after minutes; no room for this request.
     bool lingers = !aCandidate.mRecord.mChecksFencing && !replica.mSettled;
     if (replica.mState != ReplicaState::Ready || busy || lingers ||
@@ -85,8 +86,9 @@
     }
     free += entry.second.mBytes;
     double idleFor = static_cast<double>(entry.first.count());
-    double free1 = static_cast<double>(aTerms.mFreeIdle.count());
-    eviction.mCost += aTerms.mRemoteCost * std::max(0.0, 1 - idleFor / free1);
+    double free1 = static_cast<double>(aParameters.mFreeEvictionIdle.count());
+    eviction.mCost +=
+      aParameters.mRemoteCost * std::max(0.0, 1 - idleFor / free1);
     eviction.mReplicas.push_back(entry.second);
   }
   eviction.mEnough = free >= aBytes;
@@ -98,17 +100,18 @@
 bool
 LoadPlanFromStore(const EngineReport& aReport, const std::string& aName)
 {
-  return !Lies(aReport.mCachedInMemory, aName) &&
-         !Lies(aReport.mCachedOnDisk, aName);
+  return !IsCachedIn(aReport.mCachedInMemory, aName) &&
+         !IsCachedIn(aReport.mCachedOnDisk, aName);
 }
 
 Millis
 LoadPlanIdleLimit(const EngineReport& aReport,
                   const std::string& aName,
                   Millis aBase,
-                  const LoadPlanTerms& aTerms)
+                  const LoadPlanParameters& aParameters)
 {
-  double part = SourceCost(aReport, aName, aTerms) / aTerms.mRemoteCost;
+  double part =
+    SourceCost(aReport, aName, aParameters) / aParameters.mRemoteCost;
   return Millis(
     static_cast<int64_t>(static_cast<double>(aBase.count()) * part));
 }
@@ -118,7 +121,7 @@
                const std::string& aName,
                const std::string& aVersion,
                int64_t aBytes,
-               const LoadPlanTerms& aTerms)
+               const LoadPlanParameters& aParameters)
 {
   LoadPlan plan;
   double best = 0;
@@ -135,12 +138,12 @@
     if (there) {
       continue;
     }
-    Eviction eviction = Evictable(candidate, aBytes, aTerms);
+    Eviction eviction = Evictable(candidate, aBytes, aParameters);
     if (!eviction.mEnough) {
       continue;
     }
     constexpr double kPerActive = 0.02;
-    double cost = SourceCost(candidate.mReport, aName, aTerms) +
+    double cost = SourceCost(candidate.mReport, aName, aParameters) +
                   eviction.mCost + kPerActive * candidate.mReport.mActive;
     if (plan.mCandidate < 0 || cost < best) {
       plan.mCandidate = static_cast<int>(i);
--- a/src/decide/LoadPlan.h
+++ b/src/decide/LoadPlan.h
@@ -17,7 +17,7 @@
   bool mReachable = false; // its report is fresh
 };
 
-struct LoadPlanTerms
+struct LoadPlanParameters
 {
   // Loading from each place, relative to the remote store.
   double mMemoryCost = 0.1;
@@ -25,11 +25,11 @@
   double mRemoteCost = 1.0;
   // A replica used within this time isn't evicted: two models that wake in
   // turn would otherwise evict each other on every request.
-  Millis mLeastIdle{ 2000 };
+  Millis mMinIdle{ 2000 };
   // The same for a load that nobody waits for.
-  Millis mOptionalLeastIdle{ 60000 };
+  Millis mOptionalMinIdle{ 60000 };
   // Idle this long, a replica is as good as free.
-  Millis mFreeIdle{ 600000 };
+  Millis mFreeEvictionIdle{ 600000 };
 };
 
 struct LoadPlan
@@ -51,7 +51,7 @@
 LoadPlanIdleLimit(const EngineReport& aReport,
                   const std::string& aName,
                   Millis aBase,
-                  const LoadPlanTerms& aTerms);
+                  const LoadPlanParameters& aParameters);
 
 // Joins a load that is under way, else takes the cheapest endpoint by where
 // the checkpoint lies, its load, and what evicting for it will cost: reload
@@ -61,7 +61,7 @@
                const std::string& aName,
                const std::string& aVersion,
                int64_t aBytes,
-               const LoadPlanTerms& aTerms);
+               const LoadPlanParameters& aParameters);
 
 } // namespace caraway
 
--- a/src/decide/PlacementRecord.h
+++ b/src/decide/PlacementRecord.h
@@ -22,10 +22,10 @@
   std::string mBase; // "" for a model
   int64_t mBytes = 0;
   ReplicaState mState = ReplicaState::Loading;
-  int64_t mFence = 0;    // number its last order carries
-  std::string mDecision; // id of the decision, drawn by the decider
-  int mCopies = 1;       // load orders that may have been sent for it
-  bool mSettled = false; // the only one sent was answered
+  int64_t mFencingToken = 0; // number its last order carries
+  std::string mDecision;     // id of the decision, drawn by the decider
+  int mLoadOrdersSent = 1;   // load orders that may have been sent for it
+  bool mSettled = false;     // the only one sent was answered
 };
 
 // One per engine, replaced as a whole by conditional update. That update is
@@ -35,7 +35,7 @@
   std::string mEndpoint;
   int64_t mMemory = 0;
   bool mChecksFencing = false;
-  int64_t mFence = 0; // highest number given out
+  int64_t mFencingToken = 0; // highest number given out
   std::vector<PlacedReplica> mReplicas;
 };
 
--- a/src/decide/PlacementStep.cpp
+++ b/src/decide/PlacementStep.cpp
@@ -43,7 +43,7 @@
              const std::set<std::string>& aPast)
 {
   if (aRecord.mChecksFencing) {
-    return aReport.mHighestFence >= aReplica.mFence;
+    return aReport.mHighestFencingToken >= aReplica.mFencingToken;
   }
   return aReplica.mSettled || aPast.count(aReplica.mDecision) != 0;
 }
@@ -65,7 +65,7 @@
     // The engine lost it (it was restarted, say). Take it off in order, so
     // that its bytes are given out again only when it can't come back.
     aReplica.mState = ReplicaState::Unloading;
-    aReplica.mFence = ++aRecord.mFence;
+    aReplica.mFencingToken = ++aRecord.mFencingToken;
     return true;
   }
   return false;
@@ -103,8 +103,8 @@
     replica.mVersion = seen.mVersion;
     replica.mBytes = seen.mBytes;
     replica.mState = ReplicaState::Unloading;
-    replica.mFence = ++aRecord.mFence;
-    replica.mDecision = "unexpected " + std::to_string(aRecord.mFence);
+    replica.mFencingToken = ++aRecord.mFencingToken;
+    replica.mDecision = "unexpected " + std::to_string(aRecord.mFencingToken);
     aRecord.mReplicas.push_back(replica);
     changed = true;
   }
@@ -149,7 +149,7 @@
   replica.mVersion = aLoad.mVersion;
   replica.mBase = aLoad.mBase;
   replica.mBytes = aLoad.mBytes;
-  replica.mFence = ++aRecord.mFence;
+  replica.mFencingToken = ++aRecord.mFencingToken;
   replica.mDecision = aLoad.mDecision;
   aRecord.mReplicas.push_back(replica);
   return true;
@@ -165,7 +165,7 @@
     return false;
   }
   replica->mState = ReplicaState::Unloading;
-  replica->mFence = ++aRecord.mFence;
+  replica->mFencingToken = ++aRecord.mFencingToken;
   return true;
 }
 
@@ -175,8 +175,8 @@
   for (PlacedReplica& replica : aRecord.mReplicas) {
     if (replica.mDecision == aDecision &&
         replica.mState == ReplicaState::Loading) {
-      replica.mFence = ++aRecord.mFence;
-      ++replica.mCopies;
+      replica.mFencingToken = ++aRecord.mFencingToken;
+      ++replica.mLoadOrdersSent;
       replica.mSettled = false;
       return true;
     }
@@ -185,11 +185,11 @@
 }
 
 bool
-PlacementSettle(PlacementRecord& aRecord, const std::string& aDecision)
+PlacementAcknowledge(PlacementRecord& aRecord, const std::string& aDecision)
 {
   for (PlacedReplica& replica : aRecord.mReplicas) {
     if (replica.mDecision == aDecision && !replica.mSettled &&
-        replica.mCopies == 1) {
+        replica.mLoadOrdersSent == 1) {
       replica.mSettled = true;
       return true;
     }
--- a/src/decide/PlacementStep.h
+++ b/src/decide/PlacementStep.h
@@ -54,7 +54,7 @@
 // The load order of aDecision was answered. Settles it only if no second copy
 // has ever been allowed: that one may still be on its way.
 bool
-PlacementSettle(PlacementRecord& aRecord, const std::string& aDecision);
+PlacementAcknowledge(PlacementRecord& aRecord, const std::string& aDecision);
 
 // Takes in what the engine says: ready, gone, unexpected. The report must be
 // younger than the record. aPast: decisions whose replica has been going for
--- a/src/decide/RetrySchedule.cpp
+++ b/src/decide/RetrySchedule.cpp
@@ -8,80 +8,83 @@
 
 // A caller's timer and the way here may add this much.
 constexpr Millis kLate{ 1500 };
-constexpr size_t kMostBooked = 2000; // of a tenant; memory
-constexpr double kAtFirst = 0.5;     // of them come
+constexpr size_t kMaxRetriesPerTenant = 2000; // of a tenant; memory
+constexpr double kInitialReturnRate = 0.5;    // of them come
 constexpr double kLearn = 0.1;
 
 } // namespace
 
 void
 RetrySchedule::Add(const std::string& aTenant,
-                   uint64_t aLike,
+                   uint64_t aRequestDigest,
                    double aTokens,
                    TimePoint aDue)
 {
   Line& line = mLines[aTenant];
-  if (line.mDue.size() < kMostBooked && line.mLike[aLike].insert(aDue).second) {
-    line.mDue.emplace(aDue, std::make_pair(aLike, aTokens));
+  if (line.mDue.size() < kMaxRetriesPerTenant &&
+      line.mRequestDigest[aRequestDigest].insert(aDue).second) {
+    line.mDue.emplace(aDue, std::make_pair(aRequestDigest, aTokens));
   }
 }
 
 std::optional<TimePoint>
-RetrySchedule::Due(const std::string& aTenant, uint64_t aLike) const
+RetrySchedule::Due(const std::string& aTenant, uint64_t aRequestDigest) const
 {
   auto line = mLines.find(aTenant);
   if (line == mLines.end()) {
     return std::nullopt;
   }
-  auto known = line->second.mLike.find(aLike);
-  return known == line->second.mLike.end()
+  auto known = line->second.mRequestDigest.find(aRequestDigest);
+  return known == line->second.mRequestDigest.end()
            ? std::nullopt
            : std::optional<TimePoint>(*known->second.begin());
 }
 
 void
-RetrySchedule::Use(const std::string& aTenant, uint64_t aLike)
+RetrySchedule::Use(const std::string& aTenant, uint64_t aRequestDigest)
 {
   Learn(aTenant, true);
   Line& line = mLines[aTenant];
-  auto range = line.mDue.equal_range(*line.mLike[aLike].begin());
+  auto range =
+    line.mDue.equal_range(*line.mRequestDigest[aRequestDigest].begin());
   for (auto one = range.first; one != range.second; ++one) {
-    if (one->second.first == aLike) {
+    if (one->second.first == aRequestDigest) {
       line.mDue.erase(one);
       break;
     }
   }
-  line.EraseFirst(aLike);
+  line.EraseFirst(aRequestDigest);
   if (line.mDue.empty()) {
     mLines.erase(aTenant);
   }
 }
 
 void
-RetrySchedule::Line::EraseFirst(uint64_t aLike)
+RetrySchedule::Line::EraseFirst(uint64_t aRequestDigest)
 {
-  auto alike = mLike.find(aLike);
+  auto alike = mRequestDigest.find(aRequestDigest);
   alike->second.erase(alike->second.begin());
   if (alike->second.empty()) {
-    mLike.erase(alike);
+    mRequestDigest.erase(alike);
   }
 }
 
 void
 RetrySchedule::Learn(const std::string& aTenant, bool aCame)
 {
-  double& came = mCame.emplace(aTenant, kAtFirst).first->second;
+  double& came =
+    mReturnRates.emplace(aTenant, kInitialReturnRate).first->second;
   came += kLearn * ((aCame ? 1.0 : 0.0) - came);
 }
 
 double
-RetrySchedule::Likely(const std::string& aTenant) const
+RetrySchedule::ReturnProbability(const std::string& aTenant) const
 {
   if (mLines.count(aTenant) == 0) {
     return 0;
   }
-  auto came = mCame.find(aTenant);
-  return came == mCame.end() ? kAtFirst : came->second;
+  auto came = mReturnRates.find(aTenant);
+  return came == mReturnRates.end() ? kInitialReturnRate : came->second;
 }
 
 double
@@ -95,7 +98,7 @@
        ++one) {
     tokens += one->second.second;
   }
-  return tokens * Likely(aTenant);
+  return tokens * ReturnProbability(aTenant);
 }
 
 double
--- a/src/decide/ShareLease.cpp
+++ b/src/decide/ShareLease.cpp
@@ -35,7 +35,7 @@
   auto found = aTable.mMembers.find(aMember);
   if (found != aTable.mMembers.end()) {
     found->second.mSeen = aTable.mSerial;
-    found->second.mKnows = std::max(found->second.mKnows, aKnows);
+    found->second.mKnownSerial = std::max(found->second.mKnownSerial, aKnows);
     found->second.mSuspectedBy.clear();
   }
 }
@@ -47,13 +47,13 @@
   if (seen == aLease.mSeen.end()) {
     return false;
   }
-  const ShareLeaseTerms& terms = aLease.mTerms;
+  const ShareLeaseParameters& terms = aLease.mParameters;
   Millis quiet = terms.mLease;
   auto self = aLease.mTable.mMembers.find(aLease.mSelf);
   auto member = aLease.mTable.mMembers.find(aMember);
   bool knowsUs = self != aLease.mTable.mMembers.end() &&
                  member != aLease.mTable.mMembers.end() &&
-                 member->second.mKnows >= self->second.mJoined;
+                 member->second.mKnownSerial >= self->second.mJoined;
   auto unlisted = aLease.mUnlisted.find(aMember);
   bool notRun = unlisted != aLease.mUnlisted.end() &&
                 aNow - unlisted->second > terms.mLease + terms.mMargin;
@@ -83,7 +83,7 @@
       member.mSuspectedBy = aLease.mSelf;
     } else if (since != aLease.mSuspected.end() &&
                aNow - since->second >
-                 aLease.mTerms.mLease + aLease.mTerms.mMargin) {
+                 aLease.mParameters.mLease + aLease.mParameters.mMargin) {
       gone.push_back(entry.first);
     }
   }
@@ -96,7 +96,7 @@
 // one member writes for all, and what is free would stay so for ever. A member
 // spends them once it has heard of it, by its next renewal.
 void
-GiveFree(ShareTable& aTable)
+AssignFreeSlots(ShareTable& aTable)
 {
   for (int i = 0; i < kShareSlots; ++i) {
     ShareSlot& slot = aTable.mSlots[i];
@@ -119,19 +119,19 @@
       aLease.mTable.mSlots[aSlot].mHolder != aLease.mSelf) {
     return false;
   }
-  const ShareLeaseTerms& terms = aLease.mTerms;
-  if (aNow < aLease.mRenewed + terms.mLease) {
+  const ShareLeaseParameters& terms = aLease.mParameters;
+  if (aNow < aLease.mRenewedAt + terms.mLease) {
     return true;
   }
-  return aNow < aLease.mPromised + terms.mLease &&
-         aNow < aLease.mRenewed + terms.mIsolationLimit;
+  return aNow < aLease.mPromisedAt + terms.mLease &&
+         aNow < aLease.mRenewedAt + terms.mIsolationLimit;
 }
 
 void
-ShareLeaseLearn(ShareLease& aLease,
-                const ShareTable& aTable,
-                int64_t aVersion,
-                TimePoint aNow)
+ShareLeaseUpdate(ShareLease& aLease,
+                 const ShareTable& aTable,
+                 int64_t aVersion,
+                 TimePoint aNow)
 {
   if (aVersion <= aLease.mVersion) {
     return;
@@ -178,7 +178,7 @@
     Renew(table, member.first, member.second);
   }
   SuspectOrRemove(aLease, table, aNow);
-  GiveFree(table);
+  AssignFreeSlots(table);
   if (!ShareTableSame(aLease.mTable, table)) {
     table.mChanged = table.mSerial;
   }
@@ -192,28 +192,28 @@
                   TimePoint aBegun,
                   TimePoint aNow)
 {
-  ShareLeaseLearn(aLease, aTable, aVersion, aNow);
+  ShareLeaseUpdate(aLease, aTable, aVersion, aNow);
   auto self = aTable.mMembers.find(aLease.mSelf);
   if (aVersion < aLease.mVersion || self == aTable.mMembers.end() ||
       self->second.mSeen != aTable.mSerial) {
     return;
   }
-  aLease.mRenewed = std::max(aLease.mRenewed, aBegun);
+  aLease.mRenewedAt = std::max(aLease.mRenewedAt, aBegun);
 }
 
 void
-ShareLeaseRenewedOnly(ShareLease& aLease,
-                      int64_t aSerial,
-                      int64_t aVersion,
-                      TimePoint aBegun,
-                      TimePoint aNow)
+ShareLeaseRenewedUnchanged(ShareLease& aLease,
+                           int64_t aSerial,
+                           int64_t aVersion,
+                           TimePoint aBegun,
+                           TimePoint aNow)
 {
   if (aVersion < aLease.mVersion) {
     return;
   }
   aLease.mTable.mSerial = aSerial;
   aLease.mVersion = aVersion;
-  aLease.mRenewed = std::max(aLease.mRenewed, aBegun);
+  aLease.mRenewedAt = std::max(aLease.mRenewedAt, aBegun);
   for (auto& seen : aLease.mSeen) {
     // The renewer watches the others; were they silent, it would have sent
     // the table. Should we write next, we don't take them for silent.
@@ -222,9 +222,9 @@
 }
 
 void
-ShareLeaseListed(ShareLease& aLease,
-                 const std::set<std::string>& aAddresses,
-                 TimePoint aNow)
+ShareLeaseOnInstanceList(ShareLease& aLease,
+                         const std::set<std::string>& aAddresses,
+                         TimePoint aNow)
 {
   std::map<std::string, TimePoint> unlisted;
   for (const auto& member : aLease.mTable.mMembers) {
@@ -238,7 +238,7 @@
 }
 
 std::vector<std::string>
-ShareLeaseAsk(const ShareLease& aLease)
+ShareLeaseOtherMembers(const ShareLease& aLease)
 {
   std::vector<std::string> members;
   for (const auto& member : aLease.mTable.mMembers) {
@@ -250,13 +250,13 @@
 }
 
 void
-ShareLeasePromised(ShareLease& aLease, TimePoint aBegun)
+ShareLeaseOnAllPromised(ShareLease& aLease, TimePoint aBegun)
 {
-  aLease.mPromised = std::max(aLease.mPromised, aBegun);
+  aLease.mPromisedAt = std::max(aLease.mPromisedAt, aBegun);
 }
 
 bool
-ShareLeasePromise(const ShareLease& aLease, const std::string& aMember)
+ShareLeaseCanPromise(const ShareLease& aLease, const std::string& aMember)
 {
   auto member = aLease.mTable.mMembers.find(aMember);
   return member != aLease.mTable.mMembers.end() &&
@@ -264,7 +264,7 @@
 }
 
 std::set<int>
-ShareLeaseExcess(const ShareLease& aLease, bool aLeaving)
+ShareLeaseSlotsToHandOver(const ShareLease& aLease, bool aLeaving)
 {
   std::set<int> slots;
   const ShareTable& table = aLease.mTable;
@@ -304,9 +304,9 @@
 }
 
 ShareTable
-ShareLeaseRelease(const ShareLease& aLease,
-                  const std::map<int, std::map<std::string, double>>& aLevels,
-                  bool aLeaving)
+ShareLeaseHandOver(const ShareLease& aLease,
+                   const std::map<int, std::map<std::string, double>>& aLevels,
+                   bool aLeaving)
 {
   ShareTable table = aLease.mTable;
   ++table.mSerial;
--- a/src/decide/ShareLease.h
+++ b/src/decide/ShareLease.h
@@ -28,14 +28,14 @@
 
 namespace caraway {
 
-struct ShareLeaseTerms
+struct ShareLeaseParameters
 {
   Millis mLease{ 3000 };             // right to spend after a renewal
   Millis mMargin{ 1000 };            // clocks' drift over a lease, and more
   Millis mIsolationLimit{ 3600000 }; // spending on promises alone, at most
 };
 
-struct ShareSeen
+struct ShareRenewalSeen
 {
   int64_t mSerial = 0; // its last renewal
   TimePoint mSince{};  // when we first saw that one
@@ -43,18 +43,18 @@
 
 struct ShareLease
 {
-  ShareLeaseTerms mTerms;
+  ShareLeaseParameters mParameters;
   std::string mSelf;    // incarnation
   std::string mAddress; // our peer address
 
-  ShareTable mTable;     // as last stored or read
-  int64_t mVersion = 0;  // platform's version of it
-  TimePoint mRenewed{};  // when the last renewal was begun
-  TimePoint mPromised{}; // when the last full promise was begun
-  std::set<int> mClosed; // slots we gave up spending already
+  ShareTable mTable;       // as last stored or read
+  int64_t mVersion = 0;    // platform's version of it
+  TimePoint mRenewedAt{};  // when the last renewal was begun
+  TimePoint mPromisedAt{}; // when the last full promise was begun
+  std::set<int> mClosed;   // slots we gave up spending already
 
   // What we saw of others, by our own clock.
-  std::map<std::string, ShareSeen> mSeen;
+  std::map<std::string, ShareRenewalSeen> mSeen;
   std::map<std::string, TimePoint> mSuspected; // seen suspected since
   std::map<std::string, TimePoint> mUnlisted;  // since the platform's list
                                                // hasn't had them
@@ -66,10 +66,10 @@
 
 // A newer table was read or stored. Older versions are ignored.
 void
-ShareLeaseLearn(ShareLease& aLease,
-                const ShareTable& aTable,
-                int64_t aVersion,
-                TimePoint aNow);
+ShareLeaseUpdate(ShareLease& aLease,
+                 const ShareTable& aTable,
+                 int64_t aVersion,
+                 TimePoint aNow);
 
 // The table as this instance wants it next: joined, renewed along with
 // aAlso (others who asked us, and the serial each knows), suspicion of us
@@ -94,11 +94,11 @@
 // renewer says so instead of sending the table, which at 58 members would be
 // most of what an instance moves at rest.
 void
-ShareLeaseRenewedOnly(ShareLease& aLease,
-                      int64_t aSerial,
-                      int64_t aVersion,
-                      TimePoint aBegun,
-                      TimePoint aNow);
+ShareLeaseRenewedUnchanged(ShareLease& aLease,
+                           int64_t aSerial,
+                           int64_t aVersion,
+                           TimePoint aBegun,
+                           TimePoint aNow);
 
 // The platform's list, as addresses. A member that it hasn't had for a lease
 // and a margin isn't run by the platform any more, and needn't be waited for
@@ -106,27 +106,27 @@
 // replaced at once, at new addresses, would have nobody to spend its part for
 // an hour.
 void
-ShareLeaseListed(ShareLease& aLease,
-                 const std::set<std::string>& aAddresses,
-                 TimePoint aNow);
+ShareLeaseOnInstanceList(ShareLease& aLease,
+                         const std::set<std::string>& aAddresses,
+                         TimePoint aNow);
 
 // Members whose word we need while the platform is out.
 std::vector<std::string>
-ShareLeaseAsk(const ShareLease& aLease);
+ShareLeaseOtherMembers(const ShareLease& aLease);
 // All of them said no; the asking was begun at aBegun.
 void
-ShareLeasePromised(ShareLease& aLease, TimePoint aBegun);
+ShareLeaseOnAllPromised(ShareLease& aLease, TimePoint aBegun);
 // Another member asks for our word. False: it no longer is a member as we
 // know it, or we suspect it already.
 bool
-ShareLeasePromise(const ShareLease& aLease, const std::string& aMember);
+ShareLeaseCanPromise(const ShareLease& aLease, const std::string& aMember);
 
 // Slots we hold that should be another's, or all when aLeaving. The driver
-// closes them, then stores ShareLeaseRelease with what was left in
+// closes them, then stores ShareLeaseHandOver with what was left in
 // them: each goes straight to the member that should hold it, so that there is
 // no moment in which a tenant's share has nobody to ask.
 std::set<int>
-ShareLeaseExcess(const ShareLease& aLease, bool aLeaving);
+ShareLeaseSlotsToHandOver(const ShareLease& aLease, bool aLeaving);
 // Stops spending aSlots; gives those that were open. A table newer than the
 // one we know opens all that are ours in it: the hand-over was conditional on
 // ours, and isn't in the newer one, so it never will be.
@@ -137,9 +137,9 @@
 void
 ShareLeaseReopen(ShareLease& aLease, const std::set<int>& aOpened);
 ShareTable
-ShareLeaseRelease(const ShareLease& aLease,
-                  const std::map<int, std::map<std::string, double>>& aLevels,
-                  bool aLeaving);
+ShareLeaseHandOver(const ShareLease& aLease,
+                   const std::map<int, std::map<std::string, double>>& aLevels,
+                   bool aLeaving);
 
 } // namespace caraway
 
--- a/src/decide/ShareTable.h
+++ b/src/decide/ShareTable.h
@@ -19,7 +19,7 @@
   std::string mAddress;     // ip:port of its peer port
   int64_t mJoined = 0;      // table serial at which it joined
   int64_t mSeen = 0;        // serial of its last renewal
-  int64_t mKnows = 0;       // serial it said it knew when it renewed
+  int64_t mKnownSerial = 0; // serial it said it knew when it renewed
   std::string mSuspectedBy; // member that found it silent; "" = nobody
 };
 
--- a/src/decide/WaitQueue.cpp
+++ b/src/decide/WaitQueue.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr Millis kLeastRetry{ 200 };
-constexpr Millis kMostRetry{ 120000 };
-constexpr Millis kEarly{ 200 };       // what a caller's timer may be off by
-constexpr double kArrivalMemory = 10; // seconds
-constexpr double kAll = std::numeric_limits<double>::max();
+constexpr Millis kMinRetry{ 200 };
+constexpr Millis kMaxRetry{ 120000 };
+constexpr Millis kEarly{ 200 }; // what a caller's timer may be off by
+constexpr double kArrivalWindowSeconds = 10; // seconds
+constexpr double kUnlimited = std::numeric_limits<double>::max();
 
 Millis
 TimeFor(double aTokens, double aRate)
@@ -32,7 +32,7 @@
 WaitQueue::Size() const
 {
   size_t size = 0;
-  for (const ClassLines& one : mClasses) {
+  for (const ClassQueue& one : mClasses) {
     size += one.mSize;
   }
   return size;
@@ -53,7 +53,7 @@
 // its own class its tenant's, and of the other tenants' no more than as much
 // as its own, since they take turns by tokens.
 double
-WaitQueue::WorkBefore(const WaitItem& aItem, TimePoint aUntil) const
+WaitQueue::TokensAhead(const QueuedRequest& aItem, TimePoint aUntil) const
 {
   int own = static_cast<int>(aItem.mClass);
   double work = 0;
@@ -61,12 +61,12 @@
     for (const auto& line : mClasses[i].mLines) {
       work += line.second.mTokens;
     }
-    work += mClasses[i].mReturns.OthersTokens("", aUntil, kAll);
+    work += mClasses[i].mRetrySchedule.OthersTokens("", aUntil, kUnlimited);
   }
   const Lines& lines = mClasses[own].mLines;
   auto line = lines.find(aItem.mTenant);
   double mine = line == lines.end() ? 0 : line->second.mTokens;
-  const RetrySchedule& returns = mClasses[own].mReturns;
+  const RetrySchedule& returns = mClasses[own].mRetrySchedule;
   mine += returns.Tokens(aItem.mTenant, aUntil);
   work += mine;
   for (const auto& other : lines) {
@@ -81,7 +81,7 @@
 void
 WaitQueue::ArrivalRate::Add(double aTokens, TimePoint aNow)
 {
-  mRate = At(aNow) + aTokens / kArrivalMemory;
+  mRate = At(aNow) + aTokens / kArrivalWindowSeconds;
   mAt = aNow;
 }
 
@@ -89,7 +89,7 @@
 WaitQueue::ArrivalRate::At(TimePoint aNow) const
 {
   double seconds = std::chrono::duration<double>(aNow - mAt).count();
-  return mRate * std::exp(-std::max(0.0, seconds) / kArrivalMemory);
+  return mRate * std::exp(-std::max(0.0, seconds) / kArrivalWindowSeconds);
 }
 
 // What is waiting isn't all that will be served first: more urgent requests
@@ -97,11 +97,11 @@
 // Without this a briefing is let in to wait a minute for a place that the chat
 // still to come will have, and is refused at its deadline instead of at once.
 double
-WaitQueue::RateLeftFor(const WaitItem& aItem,
-                       double aRate,
-                       TimePoint aNow) const
+WaitQueue::AvailableRate(const QueuedRequest& aItem,
+                         double aRate,
+                         TimePoint aNow) const
 {
-  constexpr double kLeastPart = 0.02;
+  constexpr double kMinRateFraction = 0.02;
   int own = static_cast<int>(aItem.mClass);
   if (aItem.mClass == RequestClass::Urgent) {
     // Nothing passes a bulletin. Refusing one on a guess costs more than
@@ -118,7 +118,7 @@
   // tenant's at most, whatever they send meanwhile.
   const auto& peers = mClasses[own].mArrivals;
   if (mClasses[own].mLines.count(aItem.mTenant) == 0) {
-    return std::max(left, aRate * kLeastPart);
+    return std::max(left, aRate * kMinRateFraction);
   }
   double turn = left / static_cast<double>(std::max<size_t>(1, peers.size()));
   double taken = 0;
@@ -127,91 +127,93 @@
       taken += std::min(std::max(0.0, turn), arrivals.second.At(aNow));
     }
   }
-  return std::max(left - taken, aRate * kLeastPart);
+  return std::max(left - taken, aRate * kMinRateFraction);
 }
 
 Millis
-WaitQueue::Predict(const WaitItem& aItem,
-                   double aRate,
-                   TimePoint aNow,
-                   TimePoint aUntil) const
+WaitQueue::PredictWait(const QueuedRequest& aItem,
+                       double aRate,
+                       TimePoint aNow,
+                       TimePoint aUntil) const
 {
   if (aRate <= 0) {
     return Millis(0);
   }
-  return TimeFor(WorkBefore(aItem, aUntil), RateLeftFor(aItem, aRate, aNow));
+  return TimeFor(TokensAhead(aItem, aUntil), AvailableRate(aItem, aRate, aNow));
 }
 
 // A tenant that comes back begins level with the others: credit saved up while
 // it was away would let it shut them out.
 double
-WaitQueue::Served(ClassLines& aClass, const std::string& aTenant) const
+WaitQueue::Served(ClassQueue& aClass, const std::string& aTenant) const
 {
-  auto served = aClass.mServed.find(aTenant);
-  double known = served == aClass.mServed.end() ? 0 : served->second;
+  auto served = aClass.mServedTokens.find(aTenant);
+  double known = served == aClass.mServedTokens.end() ? 0 : served->second;
   return std::max(known, aClass.mVirtualTime);
 }
 
 void
-WaitQueue::ForgetBehind(ClassLines& aClass)
+WaitQueue::PruneServedTokens(ClassQueue& aClass)
 {
-  for (auto served = aClass.mServed.begin(); served != aClass.mServed.end();) {
+  for (auto served = aClass.mServedTokens.begin();
+       served != aClass.mServedTokens.end();) {
     bool behind = served->second <= aClass.mVirtualTime &&
                   aClass.mLines.count(served->first) == 0;
-    served = behind ? aClass.mServed.erase(served) : std::next(served);
+    served = behind ? aClass.mServedTokens.erase(served) : std::next(served);
   }
 }
 
 // Books its return for when all that waits or is booked before it will have
 // been served.
 WaitRefusal
-WaitQueue::Refuse(const WaitItem& aItem,
+WaitQueue::Refuse(const QueuedRequest& aItem,
                   ErrorKind aKind,
                   double aRate,
                   Millis aReadyIn,
                   TimePoint aNow)
 {
-  ClassLines& own = mClasses[static_cast<int>(aItem.mClass)];
+  ClassQueue& own = mClasses[static_cast<int>(aItem.mClass)];
   // One that comes before its time can't be told from another that asks the
   // same. It gets a second booking; that nobody comes for the first is learnt
-  // (RetrySchedule::Likely). Told the first's time, all alike would come at
-  // once to the room of one.
+  // (RetrySchedule::ReturnProbability). Told the first's time, all alike would
+  // come at once to the room of one.
   Millis wait =
-    std::max(Predict(aItem, aRate, aNow, TimePoint::max()), aReadyIn);
-  if (wait <= kMostRetry) {
-    own.mReturns.Add(aItem.mTenant,
-                     aItem.mLike,
-                     aItem.mTokens,
-                     aNow + std::max(wait, kLeastRetry));
+    std::max(PredictWait(aItem, aRate, aNow, TimePoint::max()), aReadyIn);
+  if (wait <= kMaxRetry) {
+    own.mRetrySchedule.Add(aItem.mTenant,
+                           aItem.mRequestDigest,
+                           aItem.mTokens,
+                           aNow + std::max(wait, kMinRetry));
   }
-  return { aKind, std::clamp(wait, kLeastRetry, kMostRetry) };
+  return { aKind, std::clamp(wait, kMinRetry, kMaxRetry) };
 }
 
 std::optional<WaitRefusal>
-WaitQueue::Offer(const WaitItem& aItem,
+WaitQueue::Offer(const QueuedRequest& aItem,
                  double aRate,
                  Millis aReadyIn,
                  TimePoint aNow)
 {
-  ClassLines& own = mClasses[static_cast<int>(aItem.mClass)];
-  own.mReturns.Forget(aNow);
+  ClassQueue& own = mClasses[static_cast<int>(aItem.mClass)];
+  own.mRetrySchedule.Forget(aNow);
   // One that comes back when it was told to has its room; what is new may not
   // have the room of those that will come back before it would be served.
-  auto due = own.mReturns.Due(aItem.mTenant, aItem.mLike);
+  auto due = own.mRetrySchedule.Due(aItem.mTenant, aItem.mRequestDigest);
   bool returns = due && *due <= aNow + kEarly;
   if (returns) {
-    own.mReturns.Use(aItem.mTenant, aItem.mLike);
+    own.mRetrySchedule.Use(aItem.mTenant, aItem.mRequestDigest);
   }
   bool roomed = returns || aItem.mClass == RequestClass::Urgent;
   TimePoint until = roomed ? aNow : aItem.mStartBy;
-  double likely = roomed ? 0 : own.mReturns.Likely(aItem.mTenant);
+  double likely =
+    roomed ? 0 : own.mRetrySchedule.ReturnProbability(aItem.mTenant);
   auto patience = std::chrono::duration_cast<Millis>(aItem.mStartBy - aNow);
   // Behind those that will come back with all of their patience.
   Millis within(static_cast<int64_t>(static_cast<double>(patience.count()) *
                                      (1 - likely / 2)));
-  Millis wait = std::max(Predict(aItem, aRate, aNow, until), aReadyIn);
+  Millis wait = std::max(PredictWait(aItem, aRate, aNow, until), aReadyIn);
   size_t most = static_cast<size_t>(static_cast<double>(mLimits.mItems) *
-                                    mLimits.mTenantPart);
+                                    mLimits.mMaxTenantFraction);
   auto line = own.mLines.find(aItem.mTenant);
   bool tenantFull =
     line != own.mLines.end() && line->second.mItems.size() >= most;
@@ -222,10 +224,10 @@
     return Refuse(aItem, ErrorKind::DeadlineUnmeetable, aRate, aReadyIn, aNow);
   }
   if (line == own.mLines.end()) {
-    own.mServed[aItem.mTenant] = Served(own, aItem.mTenant);
+    own.mServedTokens[aItem.mTenant] = Served(own, aItem.mTenant);
   }
   own.mArrivals[aItem.mTenant].Add(aItem.mTokens, aNow);
-  TenantLine& mine = own.mLines[aItem.mTenant];
+  TenantQueue& mine = own.mLines[aItem.mTenant];
   mine.mItems.emplace(aItem.mStartBy, aItem);
   mine.mTokens += aItem.mTokens;
   ++own.mSize;
@@ -234,9 +236,9 @@
 
 // Takes one item out; the line after, or the same if it goes on.
 WaitQueue::Lines::iterator
-WaitQueue::Leave(ClassLines& aClass,
+WaitQueue::Leave(ClassQueue& aClass,
                  Lines::iterator aLine,
-                 std::multimap<TimePoint, WaitItem>::iterator aItem)
+                 std::multimap<TimePoint, QueuedRequest>::iterator aItem)
 {
   aLine->second.mTokens -= aItem->second.mTokens;
   aLine->second.mItems.erase(aItem);
@@ -244,37 +246,37 @@
   return aLine->second.mItems.empty() ? aClass.mLines.erase(aLine) : aLine;
 }
 
-std::optional<WaitItem>
+std::optional<QueuedRequest>
 WaitQueue::Next(RequestClass aClassLimit)
 {
   for (int i = 0; i <= static_cast<int>(aClassLimit); ++i) {
-    ClassLines& own = mClasses[i];
+    ClassQueue& own = mClasses[i];
     if (own.mSize == 0) {
       continue;
     }
     auto least = std::min_element(own.mLines.begin(),
                                   own.mLines.end(),
                                   [&](const auto& aLeft, const auto& aRight) {
-                                    return own.mServed[aLeft.first] <
-                                           own.mServed[aRight.first];
+                                    return own.mServedTokens[aLeft.first] <
+                                           own.mServedTokens[aRight.first];
                                   });
     auto first = least->second.mItems.begin();
-    WaitItem item = first->second;
-    double& served = own.mServed[item.mTenant];
+    QueuedRequest item = first->second;
+    double& served = own.mServedTokens[item.mTenant];
     own.mVirtualTime = served;
     served += item.mTokens;
     Leave(own, least, first);
-    ForgetBehind(own);
+    PruneServedTokens(own);
     return item;
   }
   return std::nullopt;
 }
 
-std::vector<WaitItem>
+std::vector<QueuedRequest>
 WaitQueue::Expire(TimePoint aNow)
 {
-  std::vector<WaitItem> expired;
-  for (ClassLines& own : mClasses) {
+  std::vector<QueuedRequest> expired;
+  for (ClassQueue& own : mClasses) {
     for (auto line = own.mLines.begin(); line != own.mLines.end();) {
       auto first = line->second.mItems.begin();
       if (first->first > aNow) {
@@ -291,7 +293,7 @@
 bool
 WaitQueue::Withdraw(uint64_t aId)
 {
-  for (ClassLines& own : mClasses) {
+  for (ClassQueue& own : mClasses) {
     for (auto line = own.mLines.begin(); line != own.mLines.end(); ++line) {
       auto& items = line->second.mItems;
       for (auto item = items.begin(); item != items.end(); ++item) {
--- a/src/decide/WaitQueue.h
+++ b/src/decide/WaitQueue.h
@@ -9,16 +9,16 @@
 #include <vector>
 
 #include "caraway/ErrorKind.h"
+#include "decide/QueuedRequest.h"
 #include "decide/RetrySchedule.h"
-#include "decide/WaitItem.h"
 
 namespace caraway {
 
 struct WaitQueueLimits
 {
-  size_t mItems = 256;      // waiting, of each class: a flood of briefings
-                            // must not fill the place of a bulletin
-  double mTenantPart = 0.5; // of mItems, for one tenant at most
+  size_t mItems = 256; // waiting, of each class: a flood of briefings
+                       // must not fill the place of a bulletin
+  double mMaxTenantFraction = 0.5; // of mItems, for one tenant at most
 };
 
 struct WaitRefusal
@@ -41,14 +41,14 @@
   // second over all replicas, 0 = not known; aReadyIn is the time until the
   // first replica can serve (a load). A request that can't start in time is
   // refused here, at once, rather than at its deadline.
-  std::optional<WaitRefusal> Offer(const WaitItem& aItem,
+  std::optional<WaitRefusal> Offer(const QueuedRequest& aItem,
                                    double aRate,
                                    Millis aReadyIn,
                                    TimePoint aNow);
   // The next to be served, if any of aClassLimit's urgency or above waits.
-  std::optional<WaitItem> Next(RequestClass aClassLimit);
+  std::optional<QueuedRequest> Next(RequestClass aClassLimit);
   // Those whose time has passed; they no longer wait.
-  std::vector<WaitItem> Expire(TimePoint aNow);
+  std::vector<QueuedRequest> Expire(TimePoint aNow);
   // Its caller has gone. False when it didn't wait any more.
   bool Withdraw(uint64_t aId);
 
@@ -57,10 +57,10 @@
   RequestClass MostUrgent() const;
   // Expected time until an item of this class and tenant would start.
   // Counting returns that are due before aUntil as well.
-  Millis Predict(const WaitItem& aItem,
-                 double aRate,
-                 TimePoint aNow,
-                 TimePoint aUntil) const;
+  Millis PredictWait(const QueuedRequest& aItem,
+                     double aRate,
+                     TimePoint aNow,
+                     TimePoint aUntil) const;
 
 private:
   // Tokens a second that arrive, over the last seconds.
@@ -72,13 +72,13 @@
     void Add(double aTokens, TimePoint aNow);
     double At(TimePoint aNow) const;
   };
-  struct TenantLine
+  struct TenantQueue
   {
-    std::multimap<TimePoint, WaitItem> mItems; // by deadline
-    double mTokens = 0;                        // waiting
+    std::multimap<TimePoint, QueuedRequest> mItems; // by deadline
+    double mTokens = 0;                             // waiting
   };
-  using Lines = std::map<std::string, TenantLine>;
-  struct ClassLines
+  using Lines = std::map<std::string, TenantQueue>;
+  struct ClassQueue
   {
     Lines mLines;
     size_t mSize = 0;
@@ -86,25 +86,28 @@
     std::map<std::string, ArrivalRate> mArrivals;
     // Tokens served to each tenant, kept while it is ahead of the others: one
     // that sends a request at a time would otherwise begin anew each time.
-    std::map<std::string, double> mServed;
-    RetrySchedule mReturns;
+    std::map<std::string, double> mServedTokens;
+    RetrySchedule mRetrySchedule;
   };
 
-  Lines::iterator Leave(ClassLines& aClass,
-                        Lines::iterator aLine,
-                        std::multimap<TimePoint, WaitItem>::iterator aItem);
-  double Served(ClassLines& aClass, const std::string& aTenant) const;
-  void ForgetBehind(ClassLines& aClass);
-  WaitRefusal Refuse(const WaitItem& aItem,
+  Lines::iterator Leave(
+    ClassQueue& aClass,
+    Lines::iterator aLine,
+    std::multimap<TimePoint, QueuedRequest>::iterator aItem);
+  double Served(ClassQueue& aClass, const std::string& aTenant) const;
+  void PruneServedTokens(ClassQueue& aClass);
+  WaitRefusal Refuse(const QueuedRequest& aItem,
                      ErrorKind aKind,
                      double aRate,
                      Millis aReadyIn,
                      TimePoint aNow);
-  double WorkBefore(const WaitItem& aItem, TimePoint aUntil) const;
-  double RateLeftFor(const WaitItem& aItem, double aRate, TimePoint aNow) const;
+  double TokensAhead(const QueuedRequest& aItem, TimePoint aUntil) const;
+  double AvailableRate(const QueuedRequest& aItem,
+                       double aRate,
+                       TimePoint aNow) const;
 
   WaitQueueLimits mLimits;
-  ClassLines mClasses[kRequestClassCount];
+  ClassQueue mClasses[kRequestClassCount];
 };
 
 } // namespace caraway
--- a/src/own/AdapterPermit.h
+++ b/src/own/AdapterPermit.h
@@ -12,23 +12,23 @@
   // Waits until aUntil at most. Without a gate every adapter goes ahead.
   AdapterPermit(StoreGate* aGate, TimePoint aUntil)
     : mGate(aGate)
-    , mIn(!aGate || aGate->EnterAdapter(aUntil))
+    , mHasPermit(!aGate || aGate->AcquireAdapter(aUntil))
   {
   }
   ~AdapterPermit()
   {
-    if (mGate && mIn) {
-      mGate->LeaveAdapter();
+    if (mGate && mHasPermit) {
+      mGate->ReleaseAdapter();
     }
   }
   AdapterPermit(const AdapterPermit&) = delete;
   AdapterPermit& operator=(const AdapterPermit&) = delete;
 
-  bool In() const { return mIn; }
+  bool In() const { return mHasPermit; }
 
 private:
   StoreGate* mGate;
-  bool mIn;
+  bool mHasPermit;
 };
 
 } // namespace caraway
--- a/src/own/EndpointReconciler.cpp
+++ b/src/own/EndpointReconciler.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 std::string
-Moment(const PlacedReplica& aReplica)
+OrderStateKey(const PlacedReplica& aReplica)
 {
   return aReplica.mName + "|" + aReplica.mDecision + "|" +
          std::to_string(static_cast<int>(aReplica.mState)) + "|" +
-         std::to_string(aReplica.mFence);
+         std::to_string(aReplica.mFencingToken);
 }
 
 } // namespace
@@ -67,7 +67,8 @@
   TimePoint now = mClock.Now();
   // The record first, then the report: only a report younger than the record
   // can say that something in it is gone.
-  if (aKept.mRead == TimePoint{} || now - aKept.mRead > mSettings.mReread) {
+  if (aKept.mRead == TimePoint{} ||
+      now - aKept.mRead > mSettings.mRereadInterval) {
     auto read = Outcome([&] { return mStore.Read(aEndpoint); });
     if (std::holds_alternative<Failure>(read)) {
       return;
@@ -88,7 +89,7 @@
                           const PlacedReplica& aReplica,
                           TimePoint aNow)
 {
-  return aKept.mSince.emplace(Moment(aReplica), aNow).first->second;
+  return aKept.mSince.emplace(OrderStateKey(aReplica), aNow).first->second;
 }
 
 // False when the record turned out older than another's change.
@@ -102,14 +103,14 @@
   std::set<std::string> past;
   for (const PlacedReplica& replica : next.mReplicas) {
     if (replica.mState == ReplicaState::Unloading &&
-        aNow - Since(aKept, replica, aNow) > mSettings.mOrderHorizon) {
+        aNow - Since(aKept, replica, aNow) > mSettings.mMaxOrderDelay) {
       past.insert(replica.mDecision);
     }
   }
   bool changed = PlacementObserve(next, aReport, past);
   for (const EngineReplica& seen : aReport.mReplicas) {
     Millis limit = LoadPlanIdleLimit(
-      aReport, seen.mName, mSettings.mIdleLimit, mSettings.mTerms);
+      aReport, seen.mName, mSettings.mIdleLimit, mSettings.mParameters);
     if (seen.mReady && seen.mActive == 0 && seen.mIdle > limit) {
       changed =
         PlacementDecideUnload(next, seen.mName, seen.mVersion) || changed;
@@ -143,7 +144,7 @@
     if (aNow - Since(aKept, replica, aNow) < grace) {
       continue;
     }
-    TimePoint& sent = aKept.mSent[Moment(replica)];
+    TimePoint& sent = aKept.mSent[OrderStateKey(replica)];
     if (sent != TimePoint{} && aNow - sent < mSettings.mResend) {
       continue;
     }
--- a/src/own/EndpointReconciler.h
+++ b/src/own/EndpointReconciler.h
@@ -16,12 +16,12 @@
 
 struct EndpointReconcilerSettings
 {
-  Millis mReread{ 10000 };        // record read again though nothing changed
-  Millis mOrderHorizon{ 120000 }; // no order arrives later than this
-  Millis mResend{ 5000 };         // an order seen without effect
-  Millis mIdleLimit{ 300000 };    // replica idle this long is unloaded, if it
-                                  // would have to come from the remote store
-  LoadPlanTerms mTerms;
+  Millis mRereadInterval{ 10000 }; // record read again though nothing changed
+  Millis mMaxOrderDelay{ 120000 }; // no order arrives later than this
+  Millis mResend{ 5000 };          // an order seen without effect
+  Millis mIdleLimit{ 300000 };     // replica idle this long is unloaded, if it
+                                   // would have to come from the remote store
+  LoadPlanParameters mParameters;
 };
 
 // Each engine is kept by one instance of its zone. It carries out what a
--- a/src/own/EngineClient.cpp
+++ b/src/own/EngineClient.cpp
@@ -29,7 +29,7 @@
   body["version"] = aReplica.mVersion;
   body["base"] = aReplica.mBase;
   body["bytes"] = Json::Int64(aReplica.mBytes);
-  body["fence"] = Json::Int64(aReplica.mFence);
+  body["fence"] = Json::Int64(aReplica.mFencingToken);
   HttpCall call;
   call.mAddress = aAddress;
   call.mMethod = "POST";
@@ -45,9 +45,10 @@
   }
   if (reply.mStage == HttpStage::Answered && reply.mStatus == kRefused) {
     std::string reason = JsonParseOrEmpty(reply.mBody)["reason"].asString();
-    return reason == "fence" ? OrderOutcome::Outdated : OrderOutcome::NoRoom;
+    return reason == "fence" ? OrderOutcome::Outdated
+                             : OrderOutcome::InsufficientMemory;
   }
-  return OrderOutcome::Unclear;
+  return OrderOutcome::Unanswered;
 }
 
 OrderOutcome
--- a/src/own/EngineClient.h
+++ b/src/own/EngineClient.h
@@ -13,11 +13,11 @@
 
 enum class OrderOutcome
 {
-  Taken,    // the engine answered; it has begun
-  Outdated, // refused: it has taken a higher fencing number
-  NoRoom,   // refused: its memory
-  NotSent,  // no byte of it was offered
-  Unclear,  // offered, no answer; may still arrive
+  Taken,              // the engine answered; it has begun
+  Outdated,           // refused: it has taken a higher fencing number
+  InsufficientMemory, // refused: its memory
+  NotSent,            // no byte of it was offered
+  Unanswered,         // offered, no answer; may still arrive
 };
 
 class EngineClient
--- a/src/own/EngineSlotRequest.cpp
+++ b/src/own/EngineSlotRequest.cpp
@@ -3,7 +3,7 @@
 namespace caraway {
 
 Json::Value
-PlaceRequestJson(const EngineSlotRequest& aRequest)
+EngineSlotRequestJson(const EngineSlotRequest& aRequest)
 {
   Json::Value json;
   json["model"] = aRequest.mModel;
@@ -12,12 +12,12 @@
   }
   json["tenant"] = aRequest.mTenant;
   json["class"] = static_cast<int>(aRequest.mClass);
-  json["like"] = Json::UInt64(aRequest.mLike);
+  json["like"] = Json::UInt64(aRequest.mRequestDigest);
   json["tokens"] = aRequest.mTokens;
   json["start"] = Json::Int64(aRequest.mStartWithin.count());
   json["cold"] = Json::Int64(aRequest.mColdWithin.count());
-  json["hold"] = Json::Int64(aRequest.mHoldFor.count());
-  if (aRequest.mHere) {
+  json["hold"] = Json::Int64(aRequest.mMaxHold.count());
+  if (aRequest.mNoRedirect) {
     json["here"] = true;
   }
   if (!aRequest.mFailedZone.empty()) {
@@ -28,7 +28,7 @@
 }
 
 EngineSlotRequest
-PlaceRequestParse(const Json::Value& aJson)
+EngineSlotRequestParse(const Json::Value& aJson)
 {
   EngineSlotRequest request;
   request.mModel = aJson["model"].asString();
@@ -38,12 +38,12 @@
   if (number >= 0 && number < kRequestClassCount) {
     request.mClass = static_cast<RequestClass>(number);
   }
-  request.mLike = aJson["like"].asUInt64();
+  request.mRequestDigest = aJson["like"].asUInt64();
   request.mTokens = aJson["tokens"].asDouble();
   request.mStartWithin = Millis(aJson["start"].asInt64());
   request.mColdWithin = Millis(aJson["cold"].asInt64());
-  request.mHoldFor = Millis(aJson["hold"].asInt64());
-  request.mHere = aJson["here"].asBool();
+  request.mMaxHold = Millis(aJson["hold"].asInt64());
+  request.mNoRedirect = aJson["here"].asBool();
   request.mFailedZone = aJson["failed"].asString();
   request.mZoneSilent = aJson["silent"].asBool();
 
@@ -51,18 +51,18 @@
 }
 
 Json::Value
-PlaceGrantJson(const EngineSlotGrant& aGrant)
+EngineSlotGrantJson(const EngineSlotGrant& aGrant)
 {
   Json::Value json;
   if (aGrant.mTicket != 0) {
     json["ticket"] = Json::UInt64(aGrant.mTicket);
     return json;
   }
-  if (!aGrant.mAway.empty()) {
-    json["away"] = aGrant.mAway;
+  if (!aGrant.mRedirectZone.empty()) {
+    json["away"] = aGrant.mRedirectZone;
     return json;
   }
-  json["place"] = Json::UInt64(aGrant.mPlace);
+  json["place"] = Json::UInt64(aGrant.mEngineSlotId);
   json["endpoint"] = aGrant.mEndpoint;
   json["address"] = aGrant.mAddress;
   json["cold"] = aGrant.mCold;
@@ -71,12 +71,12 @@
 }
 
 EngineSlotGrant
-PlaceGrantParse(const Json::Value& aJson)
+EngineSlotGrantParse(const Json::Value& aJson)
 {
   EngineSlotGrant grant;
   grant.mTicket = aJson["ticket"].asUInt64();
-  grant.mAway = aJson["away"].asString();
-  grant.mPlace = aJson["place"].asUInt64();
+  grant.mRedirectZone = aJson["away"].asString();
+  grant.mEngineSlotId = aJson["place"].asUInt64();
   grant.mEndpoint = aJson["endpoint"].asString();
   grant.mAddress = aJson["address"].asString();
   grant.mCold = aJson["cold"].asBool();
@@ -85,10 +85,10 @@
 }
 
 Json::Value
-PlaceReturnJson(const EngineSlotRelease& aReturn)
+EngineSlotReleaseJson(const EngineSlotRelease& aReturn)
 {
   Json::Value json;
-  json["place"] = Json::UInt64(aReturn.mPlace);
+  json["place"] = Json::UInt64(aReturn.mEngineSlotId);
   json["tokens"] = aReturn.mTokens;
   json["gone"] = aReturn.mGone;
   json["failed"] = aReturn.mFailed;
@@ -96,10 +96,10 @@
 }
 
 EngineSlotRelease
-PlaceReturnParse(const Json::Value& aJson)
+EngineSlotReleaseParse(const Json::Value& aJson)
 {
   EngineSlotRelease back;
-  back.mPlace = aJson["place"].asUInt64();
+  back.mEngineSlotId = aJson["place"].asUInt64();
   back.mTokens = aJson["tokens"].asDouble();
   back.mGone = aJson["gone"].asBool();
   back.mFailed = aJson["failed"].asBool();
--- a/src/own/EngineSlotRequest.h
+++ b/src/own/EngineSlotRequest.h
@@ -17,12 +17,12 @@
   std::string mAdapter; // "" = none
   std::string mTenant;
   RequestClass mClass = RequestClass::Interactive;
-  uint64_t mLike = 0;          // digest of what is asked, to know a return by
+  uint64_t mRequestDigest = 0; // digest of what is asked, to know a return by
   double mTokens = 1;          // expected work
   Millis mStartWithin{ 1400 }; // when the model is ready somewhere
   Millis mColdWithin{ 30000 }; // when it has to be loaded
-  Millis mHoldFor{ 60000 };    // a place not given back by then is taken back
-  bool mHere = false;          // not to be sent to another zone
+  Millis mMaxHold{ 60000 };    // a place not given back by then is taken back
+  bool mNoRedirect = false;    // not to be sent to another zone
   std::string mFailedZone;     // the home that didn't serve it; "" = none
   bool mZoneSilent = false;    // it didn't answer, that is
 };
@@ -31,8 +31,9 @@
 struct EngineSlotGrant
 {
   uint64_t mTicket = 0; // not 0: still waiting
-  std::string mAway;    // not "": the model's home zone, to be asked instead
-  uint64_t mPlace = 0;  // to give back
+  std::string
+    mRedirectZone; // not "": the model's home zone, to be asked instead
+  uint64_t mEngineSlotId = 0; // to give back
   std::string mEndpoint;
   std::string mAddress;
   bool mCold = false; // it waited for a load
@@ -41,24 +42,24 @@
 
 struct EngineSlotRelease
 {
-  uint64_t mPlace = 0;
+  uint64_t mEngineSlotId = 0;
   double mTokens = 0;   // work done
   bool mGone = false;   // the engine hadn't the model (any more)
   bool mFailed = false; // the engine didn't answer
 };
 
 Json::Value
-PlaceRequestJson(const EngineSlotRequest& aRequest);
+EngineSlotRequestJson(const EngineSlotRequest& aRequest);
 EngineSlotRequest
-PlaceRequestParse(const Json::Value& aJson);
+EngineSlotRequestParse(const Json::Value& aJson);
 Json::Value
-PlaceGrantJson(const EngineSlotGrant& aGrant);
+EngineSlotGrantJson(const EngineSlotGrant& aGrant);
 EngineSlotGrant
-PlaceGrantParse(const Json::Value& aJson);
+EngineSlotGrantParse(const Json::Value& aJson);
 Json::Value
-PlaceReturnJson(const EngineSlotRelease& aReturn);
+EngineSlotReleaseJson(const EngineSlotRelease& aReturn);
 EngineSlotRelease
-PlaceReturnParse(const Json::Value& aJson);
+EngineSlotReleaseParse(const Json::Value& aJson);
 
 } // namespace caraway
 
--- a/src/own/LoadPermit.cpp
+++ b/src/own/LoadPermit.cpp
@@ -24,18 +24,18 @@
 LoadPermit::Ask()
 {
   mAsked = mGate->Time().Now();
-  LoadGateAnswer answer = mGate->Ask({ mId, mUrgency(), mIn });
-  mIn = answer.mIn;
-  mAgain = answer.mAgain;
+  LoadGateReply answer = mGate->Ask({ mId, mUrgency(), mHasPermit });
+  mHasPermit = answer.mHasPermit;
+  mPollAfter = answer.mPollAfter;
 }
 
 bool
 LoadPermit::Await(TimePoint aUntil)
 {
-  while (mGate && !mIn && mGate->Time().Now() < aUntil) {
+  while (mGate && !mHasPermit && mGate->Time().Now() < aUntil) {
     Ask();
-    if (!mIn) {
-      std::this_thread::sleep_for(mAgain);
+    if (!mHasPermit) {
+      std::this_thread::sleep_for(mPollAfter);
     }
   }
   return In();
@@ -44,7 +44,7 @@
 void
 LoadPermit::Keep()
 {
-  if (mIn && mGate->Time().Now() - mAsked > mAgain) {
+  if (mHasPermit && mGate->Time().Now() - mAsked > mPollAfter) {
     Ask();
   }
 }
--- a/src/own/LoadPermit.h
+++ b/src/own/LoadPermit.h
@@ -21,7 +21,7 @@
   LoadPermit(const LoadPermit&) = delete;
   LoadPermit& operator=(const LoadPermit&) = delete;
 
-  bool In() const { return !mGate || mIn; }
+  bool In() const { return !mGate || mHasPermit; }
   // False when aUntil passed first.
   bool Await(TimePoint aUntil);
   // To be called often while loading; asks again as often as is needed for the
@@ -34,9 +34,9 @@
   StoreGate* mGate;
   Urgency mUrgency;
   std::string mId;
-  bool mIn = false;
+  bool mHasPermit = false;
   TimePoint mAsked{};
-  Millis mAgain{ 0 };
+  Millis mPollAfter{ 0 };
 };
 
 } // namespace caraway
--- a/src/own/Loader.cpp
+++ b/src/own/Loader.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Millis kCrowded{ 100 }; // pause when no engine has room yet
+constexpr Millis kNoMemoryRetry{ 100 }; // pause when no engine has room yet
 
 const PlacedReplica*
 ByDecision(const PlacementRecord& aRecord, const std::string& aDecision)
@@ -86,9 +86,9 @@
                TimePoint aUntil)
 {
   bool optional = aNeed == LoadNeed::Optional;
-  LoadPlanTerms terms = mSettings.mTerms;
+  LoadPlanParameters terms = mSettings.mParameters;
   if (optional) {
-    terms.mLeastIdle = terms.mOptionalLeastIdle;
+    terms.mMinIdle = terms.mOptionalMinIdle;
   }
   std::vector<EndpointSpec> engines = EnginesOf(aConfig, mSettings.mZone);
   LoadPermit turn(mGate, aUrgency);
@@ -101,11 +101,11 @@
     LoadPlan plan = LoadPlanChoose(
       candidates, aModel.mName, aModel.mVersion, aModel.mBytes, terms);
     if (plan.mCandidate < 0 && optional) {
-      ++mCounts.mOptionalGivenUp;
+      ++mCounts.mOptionalAbandoned;
       return Fail(ErrorKind::NoCapacity, "no room for a replica to spare");
     }
     if (plan.mCandidate < 0) {
-      std::this_thread::sleep_for(kCrowded);
+      std::this_thread::sleep_for(kNoMemoryRetry);
       continue;
     }
     bool fromStore =
@@ -195,7 +195,7 @@
   if (!replica || replica->mState != ReplicaState::Loading) {
     return OrderOutcome::Outdated;
   }
-  if (mClock.Now() - aStored.mAsOf > mSettings.mOrderFresh) {
+  if (mClock.Now() - aStored.mAsOf > mSettings.mMaxRecordAge) {
     LogInfo("order_too_old", { { "endpoint", aEndpoint.mName } });
     return OrderOutcome::NotSent;
   }
@@ -246,7 +246,7 @@
         const PlacedReplica* placed =
           PlacementFind(next, aModel.mName, aModel.mVersion);
         if (placed && onlyOne) {
-          PlacementSettle(next, placed->mDecision);
+          PlacementAcknowledge(next, placed->mDecision);
         }
         if (PlacementObserve(next, *fresh)) {
           mStore.Replace(aEndpoint, aStored, next);
--- a/src/own/Loader.h
+++ b/src/own/Loader.h
@@ -17,15 +17,15 @@
 struct LoaderSettings
 {
   std::string mZone;
-  Millis mPoll{ 50 };         // while waiting for an engine
-  Millis mOrderFresh{ 5000 }; // no order on a record seen longer ago
-  LoadPlanTerms mTerms;
+  Millis mPoll{ 50 };           // while waiting for an engine
+  Millis mMaxRecordAge{ 5000 }; // no order on a record seen longer ago
+  LoadPlanParameters mParameters;
 };
 
 enum class LoadNeed
 {
-  Waited,  // requests wait for it
-  Optional // saves a way; nobody waits
+  Required, // requests wait for it
+  Optional  // saves a way; nobody waits
 };
 
 struct LoaderCounts
@@ -33,7 +33,7 @@
   std::atomic<int64_t> mDecided{ 0 };
   std::atomic<int64_t> mEvicted{ 0 };
   std::atomic<int64_t> mJoined{ 0 };
-  std::atomic<int64_t> mOptionalGivenUp{ 0 };
+  std::atomic<int64_t> mOptionalAbandoned{ 0 };
 };
 
 class Loader
@@ -44,7 +44,7 @@
          EngineClient& aEngines,
          const Clock& aClock);
   // From then on loads from the store take turns with the fleet's others.
-  void TakeTurns(StoreGate& aGate) { mGate = &aGate; }
+  void SetStoreGate(StoreGate& aGate) { mGate = &aGate; }
 
   // Blocks until the model is ready at an engine of this zone. NoCapacity
   // when none has room in time, NoEndpoint when none answers. An optional load
--- a/src/own/ModelGroup.cpp
+++ b/src/own/ModelGroup.cpp
@@ -11,11 +11,11 @@
 
 } // namespace
 
-ModelServing*
+ServingReplica*
 ModelGroupLeastLoaded(ModelGroup& aGroup)
 {
-  ModelServing* best = nullptr;
-  for (ModelServing& serving : aGroup.mServing) {
+  ServingReplica* best = nullptr;
+  for (ServingReplica& serving : aGroup.mServing) {
     bool room = serving.mInFlight < serving.mEndpoint.mSlots;
     if (room && (!best || serving.mInFlight < best->mInFlight)) {
       best = &serving;
@@ -24,10 +24,10 @@
   return best;
 }
 
-ModelServing*
-ModelGroupServingAt(ModelGroup& aGroup, const std::string& aEndpoint)
+ServingReplica*
+ModelGroupReplicaAt(ModelGroup& aGroup, const std::string& aEndpoint)
 {
-  for (ModelServing& serving : aGroup.mServing) {
+  for (ServingReplica& serving : aGroup.mServing) {
     if (serving.mEndpoint.mName == aEndpoint) {
       return &serving;
     }
@@ -36,7 +36,7 @@
 }
 
 RequestClass
-ModelGroupClassFor(const ModelServing& aServing)
+ModelGroupAdmissibleClass(const ServingReplica& aServing)
 {
   constexpr int kFewSlots = 4; // too few to keep any idle
   int slots = aServing.mEndpoint.mSlots;
@@ -65,10 +65,10 @@
 }
 
 void
-ModelGroupLearn(ModelGroup& aGroup,
-                const ModelServing& aServing,
-                double aTokens,
-                double aSeconds)
+ModelGroupRecordRate(ModelGroup& aGroup,
+                     const ServingReplica& aServing,
+                     double aTokens,
+                     double aSeconds)
 {
   if (aTokens <= 0 || aSeconds <= 0) {
     return;
--- a/src/own/ModelGroup.h
+++ b/src/own/ModelGroup.h
@@ -16,7 +16,7 @@
 namespace caraway {
 
 // An engine that serves the model, as this owner uses it.
-struct ModelServing
+struct ServingReplica
 {
   EndpointSpec mEndpoint;
   int mInFlight = 0;
@@ -25,35 +25,35 @@
 };
 
 // A place given out and not yet given back.
-struct ModelPlace
+struct HeldEngineSlot
 {
   std::string mGroup; // key of its group
   std::string mEndpoint;
   RequestClass mClass = RequestClass::Interactive;
-  TimePoint mGiven{};
-  TimePoint mTakeBack{}; // its holder has died by then
+  TimePoint mGrantedAt{};
+  TimePoint mReclaimAt{}; // its holder has died by then
 };
 
 // A request that waits, or has been answered and not yet fetched its answer.
-struct ModelWaiter
+struct SlotWaiter
 {
   std::condition_variable mWake;
   std::string mGroup;
-  WaitItem mItem;
+  QueuedRequest mItem;
   std::string mAdapter;
-  Millis mHoldFor{ 0 };
+  Millis mMaxHold{ 0 };
   bool mCold = false;
   TimePoint mAsked{}; // when its front last asked; silent ones are dropped
   bool mGranted = false;
   bool mRefused = false;
   Failure mFailure;
-  uint64_t mPlace = 0;
+  uint64_t mEngineSlotId = 0;
   EndpointSpec mEndpoint;
 };
 
 struct ModelGroup
 {
-  std::vector<ModelServing> mServing;
+  std::vector<ServingReplica> mServing;
   WaitQueue mQueue;
   bool mLoading = false; // a load job of ours is under way
   TimePoint mLoadBegan{};
@@ -63,25 +63,25 @@
 };
 
 // The serving with the fewest requests that has a place free; null when none.
-ModelServing*
+ServingReplica*
 ModelGroupLeastLoaded(ModelGroup& aGroup);
-ModelServing*
-ModelGroupServingAt(ModelGroup& aGroup, const std::string& aEndpoint);
+ServingReplica*
+ModelGroupReplicaAt(ModelGroup& aGroup, const std::string& aEndpoint);
 // The least urgent class that may have one of its free places. The last one is
 // kept for bulletins and another from batch work: requests that are running
 // can't be put aside, and on a slow engine a bulletin's time is over before
 // one of them ends.
 RequestClass
-ModelGroupClassFor(const ModelServing& aServing);
+ModelGroupAdmissibleClass(const ServingReplica& aServing);
 // Until it can serve, by the last load's time; 0 when it can.
 Millis
 ModelGroupReadyIn(const ModelGroup& aGroup, TimePoint aNow);
 // aTokens were made in aSeconds at one of aServing's places.
 void
-ModelGroupLearn(ModelGroup& aGroup,
-                const ModelServing& aServing,
-                double aTokens,
-                double aSeconds);
+ModelGroupRecordRate(ModelGroup& aGroup,
+                     const ServingReplica& aServing,
+                     double aTokens,
+                     double aSeconds);
 
 } // namespace caraway
 
--- a/src/own/ModelOwner.cpp
+++ b/src/own/ModelOwner.cpp
@@ -41,11 +41,11 @@
 }
 
 std::string
-ModelOwner::AwayFrom(const EngineSlotRequest& aRequest,
-                     const ModelSpec& aModel,
-                     const ConfigSnapshot& aConfig,
-                     ModelGroup& aGroup,
-                     TimePoint aNow)
+ModelOwner::RedirectZoneFor(const EngineSlotRequest& aRequest,
+                            const ModelSpec& aModel,
+                            const ConfigSnapshot& aConfig,
+                            ModelGroup& aGroup,
+                            TimePoint aNow)
 {
   constexpr Seconds kBusyLoad{ 30 };
   if (!mHomes) {
@@ -55,9 +55,9 @@
     mHomes->Silent(aRequest.mFailedZone);
   }
   if (!aRequest.mFailedZone.empty()) {
-    HomeZoneFailed(aGroup.mHome, mHomeTerms, aNow);
+    HomeZoneFailed(aGroup.mHome, mHomeZoneParameters, aNow);
   }
-  if (aRequest.mHere) {
+  if (aRequest.mNoRedirect) {
     return "";
   }
   HomeZoneView view;
@@ -70,8 +70,8 @@
     view.mHome = mHomes->IsOurs(home);
   }
 
-  auto action = HomeZoneAsk(aGroup.mHome, view, mHomeTerms, aNow);
-  if (action == HomeZoneAction::AwayAndLoad && !aGroup.mLoading) {
+  auto action = HomeZoneRoute(aGroup.mHome, view, mHomeZoneParameters, aNow);
+  if (action == HomeZoneAction::RemoteAndLoad && !aGroup.mLoading) {
     LogInfo("load_for_busy_zone", { { "model", aModel.mName } });
     StartLoad(
       KeyOf(aModel), aGroup, aModel, LoadNeed::Optional, aNow + kBusyLoad);
@@ -91,25 +91,26 @@
   size_t index = ShardOf(key);
   Shard& shard = mShards[index];
   TimePoint now = mClock.Now();
-  auto waiter = std::make_shared<ModelWaiter>();
+  auto waiter = std::make_shared<SlotWaiter>();
   {
     std::lock_guard<std::mutex> lock(shard.mLock);
     ModelGroup& group = shard.mGroups[key];
     EngineSlotGrant away;
-    away.mAway = AwayFrom(aRequest, model->second, *config, group, now);
-    if (!away.mAway.empty()) {
+    away.mRedirectZone =
+      RedirectZoneFor(aRequest, model->second, *config, group, now);
+    if (!away.mRedirectZone.empty()) {
       return away;
     }
     waiter->mGroup = key;
     waiter->mAdapter = aRequest.mAdapter;
-    waiter->mHoldFor = aRequest.mHoldFor;
+    waiter->mMaxHold = aRequest.mMaxHold;
     waiter->mCold = group.mServing.empty();
     waiter->mAsked = now;
-    WaitItem& item = waiter->mItem;
+    QueuedRequest& item = waiter->mItem;
     item.mId = NextId(index);
     item.mTenant = aRequest.mTenant;
     item.mClass = aRequest.mClass;
-    item.mLike = aRequest.mLike;
+    item.mRequestDigest = aRequest.mRequestDigest;
     item.mTokens = aRequest.mTokens;
     item.mArrived = now;
     item.mStartBy =
@@ -123,7 +124,7 @@
     }
     shard.mWaiters[item.mId] = waiter;
     if (waiter->mCold && !group.mLoading) {
-      StartLoad(key, group, model->second, LoadNeed::Waited, item.mStartBy);
+      StartLoad(key, group, model->second, LoadNeed::Required, item.mStartBy);
     }
     Pump(shard, key, now);
   }
@@ -157,7 +158,8 @@
     TimePoint now = mClock.Now();
     Millis left =
       std::chrono::duration_cast<Millis>(aWaiter->mItem.mStartBy - now);
-    aWaiter->mWake.wait_for(lock, std::clamp(left, Millis(0), kWait), settled);
+    aWaiter->mWake.wait_for(
+      lock, std::clamp(left, Millis(0), kMaxPollWait), settled);
     now = mClock.Now();
     if (!settled() && now >= aWaiter->mItem.mStartBy) {
       Refuse(aShard,
@@ -172,19 +174,19 @@
     if (aWaiter->mRefused) {
       return Fail(aWaiter->mFailure);
     }
-    aShard.mPlaces[aWaiter->mPlace].mTakeBack = now + aWaiter->mHoldFor;
+    aShard.mPlaces[aWaiter->mEngineSlotId].mReclaimAt = now + aWaiter->mMaxHold;
   }
   if (!aWaiter->mAdapter.empty()) {
     auto failure = FailureIn([&] {
-      return ReadyAdapter(
+      return EnsureAdapterLoaded(
         aShard, aWaiter->mGroup, aWaiter->mEndpoint, aWaiter->mAdapter);
     });
     if (failure) {
-      Return({ aWaiter->mPlace, 0, false, false });
+      ReleaseSlot({ aWaiter->mEngineSlotId, 0, false, false });
       return Fail(*failure);
     }
   }
-  grant.mPlace = aWaiter->mPlace;
+  grant.mEngineSlotId = aWaiter->mEngineSlotId;
   grant.mEndpoint = aWaiter->mEndpoint.mName;
   grant.mAddress = aWaiter->mEndpoint.mAddress;
   grant.mCold = aWaiter->mCold;
@@ -194,16 +196,16 @@
 }
 
 Result<void>
-ModelOwner::ReadyAdapter(Shard& aShard,
-                         const std::string& aKey,
-                         const EndpointSpec& aEndpoint,
-                         const std::string& aAdapter)
+ModelOwner::EnsureAdapterLoaded(Shard& aShard,
+                                const std::string& aKey,
+                                const EndpointSpec& aEndpoint,
+                                const std::string& aAdapter)
 {
   constexpr Millis kAdapterTime{ 1500 };
   {
     std::lock_guard<std::mutex> lock(aShard.mLock);
-    ModelServing* serving =
-      ModelGroupServingAt(aShard.mGroups[aKey], aEndpoint.mName);
+    ServingReplica* serving =
+      ModelGroupReplicaAt(aShard.mGroups[aKey], aEndpoint.mName);
     if (serving && serving->mAdapters.count(aAdapter)) {
       return {};
     }
@@ -216,8 +218,8 @@
   BOOST_LEAF_CHECK(mLoader.EnsureAdapter(
     aEndpoint, adapter->second, mClock.Now() + kAdapterTime));
   std::lock_guard<std::mutex> lock(aShard.mLock);
-  ModelServing* serving =
-    ModelGroupServingAt(aShard.mGroups[aKey], aEndpoint.mName);
+  ServingReplica* serving =
+    ModelGroupReplicaAt(aShard.mGroups[aKey], aEndpoint.mName);
   if (serving) {
     serving->mAdapters.insert(aAdapter);
   }
@@ -227,10 +229,11 @@
 bool
 ModelOwner::Give(Shard& aShard,
                  const std::string& aKey,
-                 ModelServing& aServing,
+                 ServingReplica& aServing,
                  TimePoint aNow)
 {
-  auto item = aShard.mGroups[aKey].mQueue.Next(ModelGroupClassFor(aServing));
+  auto item =
+    aShard.mGroups[aKey].mQueue.Next(ModelGroupAdmissibleClass(aServing));
   if (!item) {
     return false;
   }
@@ -238,14 +241,14 @@
   if (found == aShard.mWaiters.end()) {
     return true;
   }
-  ModelWaiter& waiter = *found->second;
+  SlotWaiter& waiter = *found->second;
   ++aServing.mInFlight;
   if (item->mClass == RequestClass::Batch) {
     ++aServing.mBatchInFlight;
   }
-  waiter.mPlace = NextId(ShardOf(aKey));
-  aShard.mPlaces[waiter.mPlace] = {
-    aKey, aServing.mEndpoint.mName, item->mClass, aNow, aNow + kUnfetched
+  waiter.mEngineSlotId = NextId(ShardOf(aKey));
+  aShard.mPlaces[waiter.mEngineSlotId] = {
+    aKey, aServing.mEndpoint.mName, item->mClass, aNow, aNow + kPollTimeout
   };
   waiter.mEndpoint = aServing.mEndpoint;
   waiter.mGranted = true;
@@ -260,7 +263,7 @@
   if (found == aShard.mWaiters.end() || found->second->mGranted) {
     return;
   }
-  ModelWaiter& waiter = *found->second;
+  SlotWaiter& waiter = *found->second;
   aShard.mGroups[waiter.mGroup].mQueue.Withdraw(aTicket);
   waiter.mRefused = true;
   waiter.mFailure = aFailure;
@@ -271,12 +274,12 @@
 ModelOwner::Pump(Shard& aShard, const std::string& aKey, TimePoint aNow)
 {
   ModelGroup& group = aShard.mGroups[aKey];
-  for (const WaitItem& late : group.mQueue.Expire(aNow)) {
+  for (const QueuedRequest& late : group.mQueue.Expire(aNow)) {
     Refuse(aShard,
            late.mId,
            FailureOf(ErrorKind::DeadlinePassed, "its time passed waiting"));
   }
-  while (ModelServing* serving = ModelGroupLeastLoaded(group)) {
+  while (ServingReplica* serving = ModelGroupLeastLoaded(group)) {
     if (!Give(aShard, aKey, *serving, aNow)) {
       return;
     }
@@ -284,27 +287,28 @@
 }
 
 void
-ModelOwner::Return(const EngineSlotRelease& aReturn)
+ModelOwner::ReleaseSlot(const EngineSlotRelease& aReturn)
 {
-  Shard& shard = ShardWith(aReturn.mPlace);
+  Shard& shard = ShardWith(aReturn.mEngineSlotId);
   TimePoint now = mClock.Now();
   std::lock_guard<std::mutex> lock(shard.mLock);
-  auto found = shard.mPlaces.find(aReturn.mPlace);
+  auto found = shard.mPlaces.find(aReturn.mEngineSlotId);
   if (found == shard.mPlaces.end()) {
     return; // given back already, or taken back
   }
-  ModelPlace place = found->second;
+  HeldEngineSlot place = found->second;
   shard.mPlaces.erase(found);
   ModelGroup& group = shard.mGroups[place.mGroup];
-  ModelServing* serving = ModelGroupServingAt(group, place.mEndpoint);
+  ServingReplica* serving = ModelGroupReplicaAt(group, place.mEndpoint);
   if (serving) {
     --serving->mInFlight;
     serving->mBatchInFlight -= place.mClass == RequestClass::Batch ? 1 : 0;
-    double seconds = std::chrono::duration<double>(now - place.mGiven).count();
-    ModelGroupLearn(group, *serving, aReturn.mTokens, seconds);
+    double seconds =
+      std::chrono::duration<double>(now - place.mGrantedAt).count();
+    ModelGroupRecordRate(group, *serving, aReturn.mTokens, seconds);
   }
   if (serving && (aReturn.mGone || aReturn.mFailed)) {
-    DropServing(shard, place, now);
+    DropReplica(shard, place, now);
   }
   Pump(shard, place.mGroup, now);
 }
--- a/src/own/ModelOwner.h
+++ b/src/own/ModelOwner.h
@@ -33,14 +33,14 @@
              const Clock& aClock);
 
   // Without, every zone is the home of all models.
-  void SendHome(HomeZones& aHomes) { mHomes = &aHomes; }
+  void SetHomeZones(HomeZones& aHomes) { mHomes = &aHomes; }
 
-  // Blocks for kWait at most: a place, a zone to ask instead, a refusal (true
-  // "not run"), or a ticket for Await. A front that waited in one long call
-  // would not notice that its owner is frozen.
+  // Blocks for kMaxPollWait at most: a place, a zone to ask instead, a refusal
+  // (true "not run"), or a ticket for Await. A front that waited in one long
+  // call would not notice that its owner is frozen.
   Result<EngineSlotGrant> Acquire(const EngineSlotRequest& aRequest);
   Result<EngineSlotGrant> Await(uint64_t aTicket);
-  void Return(const EngineSlotRelease& aReturn);
+  void ReleaseSlot(const EngineSlotRelease& aReturn);
 
   // Takes back places whose holders have died, drops waiting requests whose
   // fronts no longer ask, refuses what is overdue.
@@ -48,29 +48,29 @@
   // Requests waiting or in flight.
   size_t Busy() const;
 
-  static constexpr Millis kWait{ 1000 };
-  // A front asks at least every kWait. One that hasn't for this long has died
-  // or lost its caller.
-  static constexpr Millis kUnfetched{ 4000 };
+  static constexpr Millis kMaxPollWait{ 1000 };
+  // A front asks at least every kMaxPollWait. One that hasn't for this long has
+  // died or lost its caller.
+  static constexpr Millis kPollTimeout{ 4000 };
 
 private:
-  using WaiterPtr = std::shared_ptr<ModelWaiter>;
+  using WaiterPtr = std::shared_ptr<SlotWaiter>;
   struct Shard
   {
     mutable std::mutex mLock;
-    std::map<std::string, ModelGroup> mGroups; // by model and version
-    std::map<uint64_t, WaiterPtr> mWaiters;    // by ticket
-    std::map<uint64_t, ModelPlace> mPlaces;    // by place
+    std::map<std::string, ModelGroup> mGroups;  // by model and version
+    std::map<uint64_t, WaiterPtr> mWaiters;     // by ticket
+    std::map<uint64_t, HeldEngineSlot> mPlaces; // by place
   };
   static constexpr size_t kShards = 16;
 
   size_t ShardOf(const std::string& aKey) const;
   // The zone to ask instead; "" = none.
-  std::string AwayFrom(const EngineSlotRequest& aRequest,
-                       const ModelSpec& aModel,
-                       const ConfigSnapshot& aConfig,
-                       ModelGroup& aGroup,
-                       TimePoint aNow);
+  std::string RedirectZoneFor(const EngineSlotRequest& aRequest,
+                              const ModelSpec& aModel,
+                              const ConfigSnapshot& aConfig,
+                              ModelGroup& aGroup,
+                              TimePoint aNow);
   // Numbers carry their shard, so that whoever brings one back finds it.
   uint64_t NextId(size_t aShard);
   Shard& ShardWith(uint64_t aId) { return mShards[aId % kShards]; }
@@ -78,9 +78,9 @@
   void Pump(Shard& aShard, const std::string& aKey, TimePoint aNow);
   bool Give(Shard& aShard,
             const std::string& aKey,
-            ModelServing& aServing,
+            ServingReplica& aServing,
             TimePoint aNow);
-  void DropServing(Shard& aShard, const ModelPlace& aPlace, TimePoint aNow);
+  void DropReplica(Shard& aShard, const HeldEngineSlot& aPlace, TimePoint aNow);
   void Refuse(Shard& aShard, uint64_t aTicket, const Failure& aFailure);
   void StartLoad(const std::string& aKey,
                  ModelGroup& aGroup,
@@ -95,22 +95,22 @@
                   const ModelSpec& aModel,
                   LoadNeed aNeed,
                   const Failure& aFailure);
-  Result<void> ReadyAdapter(Shard& aShard,
-                            const std::string& aKey,
-                            const EndpointSpec& aEndpoint,
-                            const std::string& aAdapter);
+  Result<void> EnsureAdapterLoaded(Shard& aShard,
+                                   const std::string& aKey,
+                                   const EndpointSpec& aEndpoint,
+                                   const std::string& aAdapter);
 
-  void PruneServings(const ConfigSnapshot& aConfig);
+  void PruneReplicas(const ConfigSnapshot& aConfig);
 
   ConfigHolder& mConfig;
   Loader& mLoader;
   WorkerPool& mWorkers;
   const Clock& mClock;
   HomeZones* mHomes = nullptr;
-  HomeZoneTerms mHomeTerms;
+  HomeZoneParameters mHomeZoneParameters;
   std::array<Shard, kShards> mShards;
   std::atomic<uint64_t> mNextId{ 1 };
-  int64_t mPruned = 0; // revision; used by Sweep's thread alone
+  int64_t mPrunedRevision = 0; // revision; used by Sweep's thread alone
 };
 
 } // namespace caraway
--- a/src/own/ModelOwnerUpkeep.cpp
+++ b/src/own/ModelOwnerUpkeep.cpp
@@ -10,14 +10,16 @@
 // The engine hasn't the model any more, or doesn't answer. If requests wait,
 // look at once where it is or can be loaded.
 void
-ModelOwner::DropServing(Shard& aShard, const ModelPlace& aPlace, TimePoint aNow)
+ModelOwner::DropReplica(Shard& aShard,
+                        const HeldEngineSlot& aPlace,
+                        TimePoint aNow)
 {
   constexpr Seconds kReload{ 30 };
   ModelGroup& group = aShard.mGroups[aPlace.mGroup];
   auto& servings = group.mServing;
   servings.erase(std::remove_if(servings.begin(),
                                 servings.end(),
-                                [&](const ModelServing& aServing) {
+                                [&](const ServingReplica& aServing) {
                                   return aServing.mEndpoint.mName ==
                                          aPlace.mEndpoint;
                                 }),
@@ -30,7 +32,7 @@
     config->mModels.find(aPlace.mGroup.substr(0, aPlace.mGroup.find('|')));
   if (model != config->mModels.end()) {
     StartLoad(
-      aPlace.mGroup, group, model->second, LoadNeed::Waited, aNow + kReload);
+      aPlace.mGroup, group, model->second, LoadNeed::Required, aNow + kReload);
   }
 }
 
@@ -67,7 +69,7 @@
   }
   if (aNeed == LoadNeed::Optional && !waiting.empty()) {
     // The home failed meanwhile, and they wait for us now.
-    StartLoad(aKey, shard.mGroups[aKey], aModel, LoadNeed::Waited, until);
+    StartLoad(aKey, shard.mGroups[aKey], aModel, LoadNeed::Required, until);
     return;
   }
   for (uint64_t ticket : waiting) {
@@ -103,8 +105,8 @@
           { { "model", aModel.mName },
             { "endpoint", endpoint.mName },
             { "ms", std::to_string(group.mLoadTime.count()) } });
-  if (!ModelGroupServingAt(group, endpoint.mName)) {
-    ModelServing serving;
+  if (!ModelGroupReplicaAt(group, endpoint.mName)) {
+    ServingReplica serving;
     serving.mEndpoint = endpoint;
     group.mServing.push_back(serving);
   }
@@ -114,9 +116,9 @@
 // Endpoints that were taken out of the configuration, or moved, get no new
 // work; what they are serving goes on.
 void
-ModelOwner::PruneServings(const ConfigSnapshot& aConfig)
+ModelOwner::PruneReplicas(const ConfigSnapshot& aConfig)
 {
-  auto leaves = [&](const ModelServing& aServing) {
+  auto leaves = [&](const ServingReplica& aServing) {
     auto endpoint = aConfig.mEndpoints.find(aServing.mEndpoint.mName);
     return endpoint == aConfig.mEndpoints.end() ||
            endpoint->second.mAddress != aServing.mEndpoint.mAddress;
@@ -135,9 +137,9 @@
 ModelOwner::Sweep()
 {
   ConfigPtr config = mConfig.Current();
-  if (config->mRevision != mPruned) {
-    PruneServings(*config);
-    mPruned = config->mRevision;
+  if (config->mRevision != mPrunedRevision) {
+    PruneReplicas(*config);
+    mPrunedRevision = config->mRevision;
   }
   TimePoint now = mClock.Now();
   std::vector<uint64_t> overdue;
@@ -145,7 +147,7 @@
     std::lock_guard<std::mutex> lock(shard.mLock);
     std::vector<uint64_t> silent;
     for (const auto& waiter : shard.mWaiters) {
-      if (now - waiter.second->mAsked > kUnfetched) {
+      if (now - waiter.second->mAsked > kPollTimeout) {
         silent.push_back(waiter.first);
       }
     }
@@ -159,13 +161,13 @@
       }
     }
     for (const auto& place : shard.mPlaces) {
-      if (place.second.mTakeBack < now) {
+      if (place.second.mReclaimAt < now) {
         overdue.push_back(place.first);
       }
     }
   }
   for (uint64_t place : overdue) {
-    Return({ place, 0, false, false });
+    ReleaseSlot({ place, 0, false, false });
   }
 }
 
--- a/src/own/PlacementCodec.cpp
+++ b/src/own/PlacementCodec.cpp
@@ -37,7 +37,7 @@
   record.mEndpoint = aJson["endpoint"].asString();
   record.mMemory = aJson["memory"].asInt64();
   record.mChecksFencing = aJson["checks_fencing"].asBool();
-  record.mFence = aJson["fence"].asInt64();
+  record.mFencingToken = aJson["fence"].asInt64();
   for (const Json::Value& entry : aJson["replicas"]) {
     PlacedReplica replica;
     replica.mName = entry["name"].asString();
@@ -45,9 +45,9 @@
     replica.mBase = entry["base"].asString();
     replica.mBytes = entry["bytes"].asInt64();
     replica.mState = StateOf(entry["state"].asString());
-    replica.mFence = entry["fence"].asInt64();
+    replica.mFencingToken = entry["fence"].asInt64();
     replica.mDecision = entry["decision"].asString();
-    replica.mCopies = entry["copies"].asInt();
+    replica.mLoadOrdersSent = entry["copies"].asInt();
     replica.mSettled = entry["settled"].asBool();
     record.mReplicas.push_back(replica);
   }
@@ -61,7 +61,7 @@
   json["endpoint"] = aRecord.mEndpoint;
   json["memory"] = Json::Int64(aRecord.mMemory);
   json["checks_fencing"] = aRecord.mChecksFencing;
-  json["fence"] = Json::Int64(aRecord.mFence);
+  json["fence"] = Json::Int64(aRecord.mFencingToken);
   json["replicas"] = Json::Value(Json::arrayValue);
   for (const PlacedReplica& replica : aRecord.mReplicas) {
     Json::Value entry;
@@ -70,9 +70,9 @@
     entry["base"] = replica.mBase;
     entry["bytes"] = Json::Int64(replica.mBytes);
     entry["state"] = kStates[static_cast<int>(replica.mState)];
-    entry["fence"] = Json::Int64(replica.mFence);
+    entry["fence"] = Json::Int64(replica.mFencingToken);
     entry["decision"] = replica.mDecision;
-    entry["copies"] = replica.mCopies;
+    entry["copies"] = replica.mLoadOrdersSent;
     entry["settled"] = replica.mSettled;
     json["replicas"].append(entry);
   }
@@ -83,7 +83,7 @@
 EngineReportParse(const Json::Value& aJson)
 {
   EngineReport report;
-  report.mHighestFence = aJson["highest_fence"].asInt64();
+  report.mHighestFencingToken = aJson["highest_fence"].asInt64();
   report.mActive = aJson["active"].asInt();
   report.mWaiting = aJson["waiting"].asInt();
   for (const Json::Value& entry : aJson["replicas"]) {
--- a/src/own/StoreGate.cpp
+++ b/src/own/StoreGate.cpp
@@ -9,10 +9,10 @@
 constexpr const char* kOwnerKey = "store-gate";
 constexpr const char* kZoneOnly = "zone_only"; // of a question
 constexpr Millis kAskTime{ 300 };
-constexpr Millis kAskLater{ 100 };
+constexpr Millis kPollAfterNoReply{ 100 };
 
 Json::Value
-QuestionJson(const LoadGateQuestion& aQuestion)
+QuestionJson(const LoadGateRequest& aQuestion)
 {
   Json::Value json;
   json["id"] = aQuestion.mId;
@@ -21,10 +21,10 @@
   return json;
 }
 
-LoadGateQuestion
+LoadGateRequest
 QuestionParse(const Json::Value& aJson)
 {
-  LoadGateQuestion question;
+  LoadGateRequest question;
   question.mId = aJson["id"].asString();
   RequestClassParse(aJson["class"].asString(), question.mClass);
   question.mInside = aJson["inside"].asBool();
@@ -32,20 +32,20 @@
 }
 
 // Nobody could be asked: whoever is in stays in.
-LoadGateAnswer
-Later(const LoadGateQuestion& aQuestion)
+LoadGateReply
+Later(const LoadGateRequest& aQuestion)
 {
-  return { aQuestion.mInside, kAskLater };
+  return { aQuestion.mInside, kPollAfterNoReply };
 }
 
 } // namespace
 
-LoadGateTerms
-StoreGateTerms(const StoreGateSettings& aSettings, int aZones)
+LoadGateParameters
+StoreGateParameters(const StoreGateSettings& aSettings, int aZones)
 {
   int zones = std::max(1, aSettings.mZones);
   double part = static_cast<double>(std::min(aZones, zones)) / zones;
-  LoadGateTerms terms;
+  LoadGateParameters terms;
   terms.mAtOnce = std::max(1, static_cast<int>(aSettings.mAtOnce * part));
   terms.mStartsPerSecond = std::max(1.0, aSettings.mStarts * part);
   return terms;
@@ -59,18 +59,18 @@
   , mMembers(aMembers)
   , mPeers(aPeers)
   , mClock(aClock)
-  , mGate(StoreGateTerms(mSettings, mSettings.mZones), aClock.Now())
+  , mGate(StoreGateParameters(mSettings, mSettings.mZones), aClock.Now())
 {
 }
 
-LoadGateAnswer
-StoreGate::Ask(const LoadGateQuestion& aQuestion)
+LoadGateReply
+StoreGate::Ask(const LoadGateRequest& aQuestion)
 {
   InstanceInfo owner = mMembers.FleetOwner(kOwnerKey);
   if (owner.mId == mMembers.Self().mId) {
-    return AnswerHere(mMembers.FitZones(), aQuestion);
+    return AdmitLocally(mMembers.FitZones(), aQuestion);
   }
-  if (auto answer = AskAt(owner, QuestionJson(aQuestion))) {
+  if (auto answer = QueryGate(owner, QuestionJson(aQuestion))) {
     return *answer;
   }
   // It may have stalled for a moment, and hold the places it gave. Letting
@@ -79,25 +79,25 @@
   return mMembers.IsFit(owner.mId) ? Later(aQuestion) : AskZone(aQuestion);
 }
 
-LoadGateAnswer
-StoreGate::AskZone(const LoadGateQuestion& aQuestion)
+LoadGateReply
+StoreGate::AskZone(const LoadGateRequest& aQuestion)
 {
   InstanceInfo owner = mMembers.Owner(kOwnerKey);
   if (owner.mId == mMembers.Self().mId) {
-    return AnswerHere(1, aQuestion);
+    return AdmitLocally(1, aQuestion);
   }
   {
     std::lock_guard<std::mutex> lock(mLock);
-    mAskedZone.insert(aQuestion.mId);
+    mZoneRequests.insert(aQuestion.mId);
   }
   Json::Value question = QuestionJson(aQuestion);
   question[kZoneOnly] = true;
-  auto answer = AskAt(owner, question);
+  auto answer = QueryGate(owner, question);
   return answer ? *answer : Later(aQuestion);
 }
 
-std::optional<LoadGateAnswer>
-StoreGate::AskAt(const InstanceInfo& aOwner, const Json::Value& aQuestion)
+std::optional<LoadGateReply>
+StoreGate::QueryGate(const InstanceInfo& aOwner, const Json::Value& aQuestion)
 {
   auto answer = Outcome([&] {
     return mPeers.Call(aOwner.mPeerAddress, "load.ask", aQuestion, kAskTime);
@@ -107,19 +107,20 @@
     mMembers.Silent(aOwner.mPeerAddress);
     return std::nullopt;
   }
-  return LoadGateAnswer{ (*json)["in"].asBool(),
-                         Millis((*json)["again"].asInt64()) };
+  return LoadGateReply{ (*json)["in"].asBool(),
+                        Millis((*json)["again"].asInt64()) };
 }
 
-LoadGateAnswer
-StoreGate::AnswerHere(int aZones, const LoadGateQuestion& aQuestion)
+LoadGateReply
+StoreGate::AdmitLocally(int aZones, const LoadGateRequest& aQuestion)
 {
   std::lock_guard<std::mutex> lock(mLock);
   TimePoint now = mClock.Now();
-  mGate.mTerms = StoreGateTerms(mSettings, aZones);
-  mGate.mStarts.Resize(
-    mGate.mTerms.mStartsPerSecond, mGate.mTerms.mStartsPerSecond, now);
-  return LoadGateAsk(mGate, aQuestion, now);
+  mGate.mParameters = StoreGateParameters(mSettings, aZones);
+  mGate.mStarts.Resize(mGate.mParameters.mStartsPerSecond,
+                       mGate.mParameters.mStartsPerSecond,
+                       now);
+  return LoadGateAcquire(mGate, aQuestion, now);
 }
 
 void
@@ -128,17 +129,17 @@
   bool askedZone = false;
   {
     std::lock_guard<std::mutex> lock(mLock);
-    LoadGateLeave(mGate, aId);
-    askedZone = mAskedZone.erase(aId) > 0;
+    LoadGateRelease(mGate, aId);
+    askedZone = mZoneRequests.erase(aId) > 0;
   }
-  LeaveAt(mMembers.FleetOwner(kOwnerKey), aId);
+  ReleaseAt(mMembers.FleetOwner(kOwnerKey), aId);
   if (askedZone) {
-    LeaveAt(mMembers.Owner(kOwnerKey), aId);
+    ReleaseAt(mMembers.Owner(kOwnerKey), aId);
   }
 }
 
 void
-StoreGate::LeaveAt(const InstanceInfo& aOwner, const std::string& aId)
+StoreGate::ReleaseAt(const InstanceInfo& aOwner, const std::string& aId)
 {
   if (aOwner.mId == mMembers.Self().mId) {
     return;
@@ -151,10 +152,10 @@
 }
 
 bool
-StoreGate::EnterAdapter(TimePoint aUntil)
+StoreGate::AcquireAdapter(TimePoint aUntil)
 {
   int instances = static_cast<int>(mMembers.Others().size()) + 1;
-  int part = std::max(1, mSettings.mAdaptersAtOnce / instances);
+  int part = std::max(1, mSettings.mMaxConcurrentAdapters / instances);
   std::unique_lock<std::mutex> lock(mAdapterLock);
   auto left = std::max(
     Millis(0), std::chrono::duration_cast<Millis>(aUntil - mClock.Now()));
@@ -166,7 +167,7 @@
 }
 
 void
-StoreGate::LeaveAdapter()
+StoreGate::ReleaseAdapter()
 {
   {
     std::lock_guard<std::mutex> lock(mAdapterLock);
@@ -180,15 +181,15 @@
 {
   aAdd("load.ask", [this](const Json::Value& aParams) {
     int zones = aParams[kZoneOnly].asBool() ? 1 : mMembers.FitZones();
-    LoadGateAnswer answer = AnswerHere(zones, QuestionParse(aParams));
+    LoadGateReply answer = AdmitLocally(zones, QuestionParse(aParams));
     Json::Value json;
-    json["in"] = answer.mIn;
-    json["again"] = Json::Int64(answer.mAgain.count());
+    json["in"] = answer.mHasPermit;
+    json["again"] = Json::Int64(answer.mPollAfter.count());
     return json;
   });
   aAdd("load.leave", [this](const Json::Value& aParams) {
     std::lock_guard<std::mutex> lock(mLock);
-    LoadGateLeave(mGate, aParams["id"].asString());
+    LoadGateRelease(mGate, aParams["id"].asString());
     return Json::Value(Json::objectValue);
   });
 }
--- a/src/own/StoreGate.h
+++ b/src/own/StoreGate.h
@@ -34,27 +34,27 @@
 
   // Asks two gates in turn at most, 300 ms each. Not answered, the load waits
   // and is to ask again.
-  LoadGateAnswer Ask(const LoadGateQuestion& aQuestion);
+  LoadGateReply Ask(const LoadGateRequest& aQuestion);
   // Unsaid, the place would be free a lease later.
   void Leave(const std::string& aId);
 
   // An adapter takes some milliseconds to arrive, less than a question to a
   // gate is worth: each instance keeps to its part of the fleet's limit. False
   // when no place came free by aUntil.
-  bool EnterAdapter(TimePoint aUntil);
-  void LeaveAdapter();
+  bool AcquireAdapter(TimePoint aUntil);
+  void ReleaseAdapter();
 
   const Clock& Time() const { return mClock; }
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
 
 private:
   // Nothing when aOwner doesn't answer.
-  std::optional<LoadGateAnswer> AskAt(const InstanceInfo& aOwner,
-                                      const Json::Value& aQuestion);
-  LoadGateAnswer AskZone(const LoadGateQuestion& aQuestion);
-  void LeaveAt(const InstanceInfo& aOwner, const std::string& aId);
+  std::optional<LoadGateReply> QueryGate(const InstanceInfo& aOwner,
+                                         const Json::Value& aQuestion);
+  LoadGateReply AskZone(const LoadGateRequest& aQuestion);
+  void ReleaseAt(const InstanceInfo& aOwner, const std::string& aId);
   // From our own gate, for so many of the fleet's zones.
-  LoadGateAnswer AnswerHere(int aZones, const LoadGateQuestion& aQuestion);
+  LoadGateReply AdmitLocally(int aZones, const LoadGateRequest& aQuestion);
 
   StoreGateSettings mSettings;
   Members& mMembers;
@@ -62,7 +62,7 @@
   const Clock& mClock;
   std::mutex mLock;
   LoadGate mGate;
-  std::set<std::string> mAskedZone; // ids of loads that asked their zone's
+  std::set<std::string> mZoneRequests; // ids of loads that asked their zone's
   std::mutex mAdapterLock;
   std::condition_variable mAdapterFree;
   int mAdapters = 0; // in flight from here
--- a/src/own/StoreGateSettings.h
+++ b/src/own/StoreGateSettings.h
@@ -8,15 +8,15 @@
 
 struct StoreGateSettings
 {
-  int mZones = 1;           // of the fleet
-  int mAtOnce = 4;          // loads at full speed, all zones together
-  double mStarts = 5;       // loads begun a second, the same
-  int mAdaptersAtOnce = 30; // in flight, the same
+  int mZones = 1;                  // of the fleet
+  int mAtOnce = 4;                 // loads at full speed, all zones together
+  double mStarts = 5;              // loads begun a second, the same
+  int mMaxConcurrentAdapters = 30; // in flight, the same
 };
 
 // The part of so many of its zones.
-LoadGateTerms
-StoreGateTerms(const StoreGateSettings& aSettings, int aZones);
+LoadGateParameters
+StoreGateParameters(const StoreGateSettings& aSettings, int aZones);
 
 } // namespace caraway
 
--- a/src/serve/ClaimDriver.cpp
+++ b/src/serve/ClaimDriver.cpp
@@ -45,13 +45,13 @@
     return EventOf(ClaimEventKind::PeerUnknown);
   }
   switch (aWord.mStanding) {
-    case ClaimStanding::Running:
+    case ClaimAttemptStatus::Running:
       return EventOf(ClaimEventKind::PeerRunning);
-    case ClaimStanding::GaveUp:
+    case ClaimAttemptStatus::GaveUp:
       return EventOf(ClaimEventKind::PeerGaveUp);
-    case ClaimStanding::Lost:
+    case ClaimAttemptStatus::Lost:
       return EventOf(ClaimEventKind::PeerLost);
-    case ClaimStanding::Answered:
+    case ClaimAttemptStatus::Answered:
       break;
   }
   ClaimEvent event = EventOf(ClaimEventKind::PeerAnswered);
@@ -94,14 +94,15 @@
     if (action.mKind == ClaimActionKind::FinishAnswer) {
       ClaimWord word;
       word.mStanding =
-        offered ? ClaimStanding::Answered : ClaimStanding::GaveUp;
+        offered ? ClaimAttemptStatus::Answered : ClaimAttemptStatus::GaveUp;
       word.mAnswer = offered ? action.mAnswer : ClaimAnswer();
       mBook.End(attempt.mState.mNonce, word);
       return OrderAnswer{ action.mAnswer, action.mReplayed };
     }
     if (action.mKind == ClaimActionKind::FinishRefuse) {
       ClaimWord word;
-      word.mStanding = offered ? ClaimStanding::Lost : ClaimStanding::GaveUp;
+      word.mStanding =
+        offered ? ClaimAttemptStatus::Lost : ClaimAttemptStatus::GaveUp;
       mBook.End(attempt.mState.mNonce, word);
       Failure failure = FailureOf(action.mError, "order " + aOrder.mKey);
       failure.mRun = action.mRun;
@@ -130,13 +131,13 @@
       return Write(aAttempt, mine, aAction.mVersion);
     case ClaimActionKind::Read:
       return Read(aAttempt);
-    case ClaimActionKind::AskCreator:
-      return AskCreator(aAction);
-    case ClaimActionKind::HandOn:
+    case ClaimActionKind::QueryCreator:
+      return QueryCreator(aAction);
+    case ClaimActionKind::ForwardOrder:
       return aHandOn();
-    case ClaimActionKind::KeepAnswer:
+    case ClaimActionKind::StoreAnswer:
       return Keep(aAttempt, ClaimRecordState::Answered, aAction.mVersion);
-    case ClaimActionKind::KeepLost:
+    case ClaimActionKind::StoreLost:
       return Keep(aAttempt, ClaimRecordState::Lost, aAction.mVersion);
     case ClaimActionKind::Release:
       return Keep(aAttempt, ClaimRecordState::Released, aAction.mVersion);
@@ -201,7 +202,7 @@
 }
 
 ClaimEvent
-ClaimDriver::AskCreator(const ClaimAction& aAction)
+ClaimDriver::QueryCreator(const ClaimAction& aAction)
 {
   if (aAction.mPeer == mSelf) {
     return EventOfWord(mBook.Ask(aAction.mNonce, kAskWait));
@@ -220,10 +221,10 @@
   ClaimWord word;
   word.mKnown = (*json)["known"].asBool();
   std::string standing = (*json)["standing"].asString();
-  word.mStanding = ClaimStanding::Lost;
+  word.mStanding = ClaimAttemptStatus::Lost;
   for (int i = 0; i < 4; ++i) {
     if (standing == kStandings[i]) {
-      word.mStanding = static_cast<ClaimStanding>(i);
+      word.mStanding = static_cast<ClaimAttemptStatus>(i);
     }
   }
   word.mAnswer = ClaimAnswerParse((*json)["answer"]);
--- a/src/serve/ClaimDriver.h
+++ b/src/serve/ClaimDriver.h
@@ -74,7 +74,7 @@
                    const ClaimRecord& aRecord,
                    int64_t aExpected);
   ClaimEvent Read(const Attempt& aAttempt);
-  ClaimEvent AskCreator(const ClaimAction& aAction);
+  ClaimEvent QueryCreator(const ClaimAction& aAction);
   ClaimEvent Keep(const Attempt& aAttempt,
                   ClaimRecordState aState,
                   int64_t aVersion);
--- a/src/serve/ClaimRegistry.cpp
+++ b/src/serve/ClaimRegistry.cpp
@@ -76,7 +76,7 @@
   auto ended = [&] {
     auto entry = shard.mEntries.find(aNonce);
     return entry == shard.mEntries.end() ||
-           entry->second.mWord.mStanding != ClaimStanding::Running;
+           entry->second.mWord.mStanding != ClaimAttemptStatus::Running;
   };
   shard.mChanged.wait_for(lock, aWithin, ended);
   auto entry = shard.mEntries.find(aNonce);
--- a/src/serve/ClaimRegistry.h
+++ b/src/serve/ClaimRegistry.h
@@ -17,7 +17,7 @@
 struct ClaimWord
 {
   bool mKnown = false; // an attempt of ours
-  ClaimStanding mStanding = ClaimStanding::Running;
+  ClaimAttemptStatus mStanding = ClaimAttemptStatus::Running;
   ClaimAnswer mAnswer; // when Answered
 };
 
--- a/src/serve/EngineSlotFinder.cpp
+++ b/src/serve/EngineSlotFinder.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// An owner answers within ModelOwner::kWait, or loads an adapter first.
+// An owner answers within ModelOwner::kMaxPollWait, or loads an adapter first.
 constexpr Millis kOwnerTime{ 2700 };
 constexpr Millis kReturnTime{ 500 };
 constexpr int kOwners = 2; // asked in turn, of a zone
@@ -37,7 +37,7 @@
     json["retry"] = Json::Int64(failure->mRetryAfter.count());
     return json;
   }
-  return PlaceGrantJson(std::get<EngineSlotGrant>(answer));
+  return EngineSlotGrantJson(std::get<EngineSlotGrant>(answer));
 }
 
 } // namespace
@@ -65,10 +65,10 @@
 {
   EngineSlotRequest request = aRequest();
   Result<EngineSlotGrant> grant = AcquireNear(request, aCaller, aOwner);
-  if (!grant || grant->mAway.empty()) {
+  if (!grant || grant->mRedirectZone.empty()) {
     return grant;
   }
-  std::string zone = grant->mAway;
+  std::string zone = grant->mRedirectZone;
   bool silent = false;
   if (auto away = AcquireAway(request, zone, aCaller, aOwner, silent)) {
     return std::move(*away);
@@ -113,7 +113,7 @@
   if (aSilent) {
     return std::nullopt;
   }
-  aRequest.mHere = true; // else two zones could send it to and fro
+  aRequest.mNoRedirect = true; // else two zones could send it to and fro
   auto answer = Outcome([&]() -> Result<EngineSlotGrant> {
     auto answered = AskZone(aRequest, aZone, aCaller, aOwner);
     aSilent = !answered;
@@ -177,7 +177,7 @@
                               const InstanceInfo& aOwner)
 {
   const char* method = "model.acquire";
-  Json::Value params = PlaceRequestJson(aRequest);
+  Json::Value params = EngineSlotRequestJson(aRequest);
   for (;;) {
     auto answer = Outcome([&] {
       return mPeers.Call(aOwner.mPeerAddress, method, params, kOwnerTime);
@@ -190,7 +190,7 @@
       return Result<EngineSlotGrant>(PeerRefusal(*json));
     }
     if (!json->isMember("ticket")) {
-      return Result<EngineSlotGrant>(PlaceGrantParse(*json));
+      return Result<EngineSlotGrant>(EngineSlotGrantParse(*json));
     }
     if (auto valid = StillValid(aCaller); !valid) {
       return Result<EngineSlotGrant>(valid.error());
@@ -201,17 +201,17 @@
 }
 
 void
-EngineSlotFinder::Return(const InstanceInfo& aOwner,
-                         const EngineSlotRelease& aReturn)
+EngineSlotFinder::ReleaseSlot(const InstanceInfo& aOwner,
+                              const EngineSlotRelease& aReturn)
 {
   if (aOwner.mId == mMembers.Self().mId) {
-    mOwner.Return(aReturn);
+    mOwner.ReleaseSlot(aReturn);
     return;
   }
   Outcome([&] {
     return mPeers.Call(aOwner.mPeerAddress,
                        "model.return",
-                       PlaceReturnJson(aReturn),
+                       EngineSlotReleaseJson(aReturn),
                        kReturnTime);
   });
 }
@@ -222,14 +222,14 @@
 {
   aAdd("model.acquire", [this](const Json::Value& aParams) {
     return GrantJson(
-      [&] { return mOwner.Acquire(PlaceRequestParse(aParams)); });
+      [&] { return mOwner.Acquire(EngineSlotRequestParse(aParams)); });
   });
   aAdd("model.await", [this](const Json::Value& aParams) {
     return GrantJson(
       [&] { return mOwner.Await(aParams["ticket"].asUInt64()); });
   });
   aAdd("model.return", [this](const Json::Value& aParams) {
-    mOwner.Return(PlaceReturnParse(aParams));
+    mOwner.ReleaseSlot(EngineSlotReleaseParse(aParams));
     return Json::Value(Json::objectValue);
   });
 }
--- a/src/serve/EngineSlotFinder.h
+++ b/src/serve/EngineSlotFinder.h
@@ -30,7 +30,8 @@
     const std::function<EngineSlotRequest()>& aRequest,
     const Caller& aCaller,
     InstanceInfo& aOwner);
-  void Return(const InstanceInfo& aOwner, const EngineSlotRelease& aReturn);
+  void ReleaseSlot(const InstanceInfo& aOwner,
+                   const EngineSlotRelease& aReturn);
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
 
--- a/src/serve/ModelCalls.cpp
+++ b/src/serve/ModelCalls.cpp
@@ -52,10 +52,10 @@
   request.mTenant = aCall.mContext.mCaller.mTenant;
   request.mClass = profile.mClass;
   request.mTokens = ModelCallCost(aCall);
-  request.mLike = LikeOf(aCall);
+  request.mRequestDigest = LikeOf(aCall);
   request.mStartWithin = profile.mFirstToken - passed;
   request.mColdWithin = profile.mColdStart - passed;
-  request.mHoldFor = profile.mAnswer + profile.mColdStart;
+  request.mMaxHold = profile.mAnswer + profile.mColdStart;
   return request;
 }
 
@@ -87,7 +87,7 @@
          const ModelAnswer& aSoFar)
 {
   EngineSlotRelease back;
-  back.mPlace = aGrant.mPlace;
+  back.mEngineSlotId = aGrant.mEngineSlotId;
   back.mTokens = static_cast<double>(aSoFar.mTokens.size());
   back.mGone = aResult.mEnd == GenerateOutcome::Gone;
   back.mFailed = aResult.mEnd == GenerateOutcome::NotOffered ||
@@ -206,7 +206,7 @@
     bool here = i + 1 == kTries;
     auto request = [&] {
       EngineSlotRequest place = PlaceFor(aCall, mClock.Now());
-      place.mHere = here;
+      place.mNoRedirect = here;
       return place;
     };
     auto acquired =
@@ -221,11 +221,11 @@
     const EngineSlotGrant& grant = std::get<EngineSlotGrant>(acquired);
     auto late = FailureIn([&] { return MayTry(aCall, aSoFar, offered); });
     if (late) {
-      mPlaces.Return(owner, { grant.mPlace, 0, false, false });
+      mPlaces.ReleaseSlot(owner, { grant.mEngineSlotId, 0, false, false });
       return Fail(*late);
     }
     if (auto trouble = mKeys.Trouble(context.mCaller)) {
-      mPlaces.Return(owner, { grant.mPlace, 0, false, false });
+      mPlaces.ReleaseSlot(owner, { grant.mEngineSlotId, 0, false, false });
       Failure failure =
         FailureOf(*trouble, "the key, while the request waited");
       failure.mRun = offered ? RunState::MayHaveRun : failure.mRun;
@@ -237,7 +237,7 @@
                      profile.mClass,
                      Micros(grant.mWaited));
     Try once = GenerateOnce(aCall, grant, aOnToken, aSoFar);
-    mPlaces.Return(owner, ReturnOf(grant, once.mResult, aSoFar));
+    mPlaces.ReleaseSlot(owner, ReturnOf(grant, once.mResult, aSoFar));
     if (once.mResult.mEnd == GenerateOutcome::Complete) {
       aSoFar.mFinish = once.mResult.mReason;
       mMetrics.Observe("whole",
--- a/src/share/ShareBuckets.cpp
+++ b/src/share/ShareBuckets.cpp
@@ -5,9 +5,9 @@
 namespace caraway {
 
 double
-ShareBurstPart(const Tenant& aTenant, const ShareSettings& aSettings)
+ShareSlotBurst(const Tenant& aTenant, const ShareSettings& aSettings)
 {
-  double life = std::chrono::duration<double>(aSettings.mGrantLife).count();
+  double life = std::chrono::duration<double>(aSettings.mGrantLifetime).count();
   double burst = aTenant.mBurst - aTenant.mRate * life;
   return std::max(0.0, burst) / (aSettings.mZones * kShareHalves);
 }
@@ -32,7 +32,7 @@
                    TimePoint aNow)
 {
   double rate = aTenant.mRate / (mSettings.mZones * kShareHalves);
-  double burst = ShareBurstPart(aTenant, mSettings);
+  double burst = ShareSlotBurst(aTenant, mSettings);
   // The same holding, not a later one: a slot that went to another and came
   // back in between, unseen, has what that one left.
   auto holding = mSlots.find(aSlot);
--- a/src/share/ShareClient.cpp
+++ b/src/share/ShareClient.cpp
@@ -11,12 +11,12 @@
 
 // A silent holder isn't asked again for so long: every request short of
 // tokens would otherwise wait for it.
-constexpr Millis kShunFor{ 1000 };
+constexpr Millis kUnresponsiveFor{ 1000 };
 constexpr Millis kRereadTable{ 2000 };
 constexpr Millis kTableTime{ 200 };
-constexpr Millis kLeastRetry{ 50 };
+constexpr Millis kMinRetry{ 50 };
 // Differences of sums of doubles are not zero to the last bit.
-constexpr double kNoTokens = 1e-6;
+constexpr double kTokenEpsilon = 1e-6;
 
 } // namespace
 
@@ -40,24 +40,24 @@
 }
 
 bool
-ShareClient::Shunned(const std::string& aIncarnation)
+ShareClient::IsUnresponsive(const std::string& aIncarnation)
 {
   std::lock_guard<std::mutex> lock(mLock);
-  auto found = mShunned.find(aIncarnation);
-  return found != mShunned.end() && mClock.Now() < found->second;
+  auto found = mUnresponsiveUntil.find(aIncarnation);
+  return found != mUnresponsiveUntil.end() && mClock.Now() < found->second;
 }
 
 void
-ShareClient::Shun(const std::string& aIncarnation)
+ShareClient::MarkUnresponsive(const std::string& aIncarnation)
 {
   std::lock_guard<std::mutex> lock(mLock);
-  mShunned[aIncarnation] = mClock.Now() + kShunFor;
+  mUnresponsiveUntil[aIncarnation] = mClock.Now() + kUnresponsiveFor;
 }
 
 // Another zone's table, from any of its instances; from the platform if none
 // answers. Wrong tables cost a question: only the holder itself grants.
 void
-ShareClient::LearnTable(const std::string& aZone)
+ShareClient::RefreshTable(const std::string& aZone)
 {
   {
     std::lock_guard<std::mutex> lock(mLock);
@@ -112,7 +112,7 @@
       }
     }
     if (i == 0) {
-      LearnTable(aZone);
+      RefreshTable(aZone);
     }
   }
   return "";
@@ -149,7 +149,7 @@
     }
   }
   std::string holder = HolderIn(aZone, aSlot);
-  if (holder.empty() || Shunned(holder)) {
+  if (holder.empty() || IsUnresponsive(holder)) {
     return true;
   }
   ++mCounts.mAsks;
@@ -159,11 +159,11 @@
   params["tokens"] = aTokens;
   std::string address = IncarnationAddress(holder);
   auto answer = Outcome([&] {
-    return mPeers.Call(address, "share.take", params, mSettings.mAskTime);
+    return mPeers.Call(address, "share.take", params, mSettings.mTakeTimeout);
   });
   auto* json = std::get_if<Json::Value>(&answer);
   if (!json) {
-    Shun(holder);
+    MarkUnresponsive(holder);
     return true;
   }
   if (!(*json)["holder"].asBool()) {
@@ -183,7 +183,7 @@
 // Our zone first; of the two halves, the one that is ours, or else in turn,
 // so that both are asked equally often.
 std::vector<ShareClient::Place>
-ShareClient::PlacesOf(const std::string& aTenant)
+ShareClient::SlotsToAsk(const std::string& aTenant)
 {
   std::array<int, kShareHalves> slots = ShareSlotsOf(aTenant);
   bool second = mKeeper.Holds(slots[1]) ||
@@ -205,7 +205,7 @@
 {
   ++mCounts.mTakes;
   double most =
-    ShareBurstPart(aTenant, mSettings) * mSettings.mZones * kShareHalves;
+    ShareSlotBurst(aTenant, mSettings) * mSettings.mZones * kShareHalves;
   if (aTokens > most) {
     return Fail(ErrorKind::CostAboveBurst,
                 "it costs " + std::to_string(aTokens) + " tokens; " +
@@ -216,12 +216,12 @@
   ticket.mTenant = aTenant.mName;
   double missing = aTokens;
   bool anyHolder = false;
-  for (const Place& place : PlacesOf(aTenant.mName)) {
+  for (const Place& place : SlotsToAsk(aTenant.mName)) {
     // The next answer may come too late for what is here already.
     TimePoint asked = mClock.Now();
     bool late =
-      !ticket.mGrants.empty() && asked - begun > mSettings.mGrantLife / 2;
-    if (missing <= kNoTokens || late) {
+      !ticket.mGrants.empty() && asked - begun > mSettings.mGrantLifetime / 2;
+    if (missing <= kTokenEpsilon || late) {
       break;
     }
     Ask ask = AskSlot(place.mZone, aTenant.mName, place.mSlot, missing);
@@ -233,15 +233,15 @@
     }
   }
   // Debited no earlier than we began to ask; let in no later than this.
-  bool inTime = mClock.Now() - begun <= mSettings.mGrantLife;
-  if (missing <= kNoTokens && inTime) {
+  bool inTime = mClock.Now() - begun <= mSettings.mGrantLifetime;
+  if (missing <= kTokenEpsilon && inTime) {
     if (ticket.mGrants.size() > 1) {
       ++mCounts.mBorrowed;
     }
     return ticket;
   }
   Settle(ticket, 0);
-  if (missing <= kNoTokens) {
+  if (missing <= kTokenEpsilon) {
     ++mCounts.mLapsed;
     return Fail(ErrorKind::RateUnavailable, "the shares answered too slowly");
   }
@@ -252,7 +252,7 @@
                               "tenant " + aTenant.mName + " is over its rate");
   if (aTenant.mRate > 0) {
     Millis retry(static_cast<int64_t>(missing / aTenant.mRate * 1000));
-    failure.mRetryAfter = std::max(kLeastRetry, retry);
+    failure.mRetryAfter = std::max(kMinRetry, retry);
   }
   return Fail(failure);
 }
@@ -266,7 +266,7 @@
     used -= here;
     ShareGrant back = grant;
     back.mTokens = grant.mTokens - here;
-    if (back.mTokens <= kNoTokens) {
+    if (back.mTokens <= kTokenEpsilon) {
       continue;
     }
     if (back.mAddress.empty()) {
@@ -284,7 +284,7 @@
     constexpr bool kResend = false;
     Outcome([&] {
       return mPeers.Call(
-        back.mAddress, "share.give", params, mSettings.mAskTime, kResend);
+        back.mAddress, "share.give", params, mSettings.mTakeTimeout, kResend);
     });
   }
 }
--- a/src/share/ShareClient.h
+++ b/src/share/ShareClient.h
@@ -63,7 +63,7 @@
     int mSlot;
   };
 
-  std::vector<Place> PlacesOf(const std::string& aTenant);
+  std::vector<Place> SlotsToAsk(const std::string& aTenant);
   Ask AskSlot(const std::string& aZone,
               const std::string& aTenant,
               int aSlot,
@@ -75,10 +75,10 @@
                  double aTokens,
                  Ask& aAsk);
   std::string HolderIn(const std::string& aZone, int aSlot);
-  void LearnTable(const std::string& aZone);
+  void RefreshTable(const std::string& aZone);
   void Learn(const std::string& aZone, const Json::Value& aShown);
-  bool Shunned(const std::string& aIncarnation);
-  void Shun(const std::string& aIncarnation);
+  bool IsUnresponsive(const std::string& aIncarnation);
+  void MarkUnresponsive(const std::string& aIncarnation);
 
   ShareSettings mSettings;
   std::vector<std::string> mZones; // ours first
@@ -92,7 +92,7 @@
   std::mutex mLock;
   std::map<std::string, KnownTable> mTables; // of the other zones
   std::map<std::string, TimePoint> mRead;
-  std::map<std::string, TimePoint> mShunned; // silent holders: until
+  std::map<std::string, TimePoint> mUnresponsiveUntil; // silent holders: until
 };
 
 } // namespace caraway
--- a/src/share/ShareCodec.cpp
+++ b/src/share/ShareCodec.cpp
@@ -15,7 +15,7 @@
     member.mAddress = entry["address"].asString();
     member.mJoined = entry["joined"].asInt64();
     member.mSeen = entry["seen"].asInt64();
-    member.mKnows = entry["knows"].asInt64();
+    member.mKnownSerial = entry["knows"].asInt64();
     member.mSuspectedBy = entry["suspected_by"].asString();
     table.mMembers[id] = member;
   }
@@ -47,7 +47,7 @@
     member["address"] = entry.second.mAddress;
     member["joined"] = Json::Int64(entry.second.mJoined);
     member["seen"] = Json::Int64(entry.second.mSeen);
-    member["knows"] = Json::Int64(entry.second.mKnows);
+    member["knows"] = Json::Int64(entry.second.mKnownSerial);
     if (!entry.second.mSuspectedBy.empty()) {
       member["suspected_by"] = entry.second.mSuspectedBy;
     }
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -14,7 +14,7 @@
 constexpr const char* kKind = "shares";
 constexpr int kTries = 4;
 constexpr Millis kPromiseTime{ 500 };
-constexpr int kRenewPart = 5; // twice this part of a lease
+constexpr int kRenewDivisor = 5; // twice this part of a lease
 
 int64_t
 Nanos(TimePoint aTime)
@@ -41,7 +41,7 @@
   , mClock(aClock)
   , mBuckets(mSettings, mSelf)
 {
-  mLease.mTerms = mSettings.mTerms;
+  mLease.mParameters = mSettings.mParameters;
   mLease.mSelf = mSelf;
   mLease.mAddress = std::move(aAddress);
 }
@@ -115,7 +115,7 @@
 ShareManager::Settled() const
 {
   std::lock_guard<std::mutex> lock(mLock);
-  return ShareLeaseExcess(mLease, false).empty();
+  return ShareLeaseSlotsToHandOver(mLease, false).empty();
 }
 
 void
@@ -132,17 +132,17 @@
   }
   if (auto listed = mMembers.Listed()) {
     std::lock_guard<std::mutex> lock(mLock);
-    ShareLeaseListed(mLease, *listed, mClock.Now());
+    ShareLeaseOnInstanceList(mLease, *listed, mClock.Now());
   }
   InstanceInfo renewer = mMembers.Owner("shares/" + mSettings.mZone);
   bool renewed = renewer.mId != mMembers.Self().mId && RenewByPeer(renewer);
   if (!renewed) {
-    renewed = RenewTogether();
+    renewed = RenewBatch();
   }
   if (renewed) {
     ReleaseExcess(false);
   } else {
-    AskPromises();
+    CollectPromises();
   }
   std::lock_guard<std::mutex> lock(mLock);
   SyncBuckets();
@@ -150,7 +150,7 @@
 
 // Our own renewal, and with it that of all who asked meanwhile.
 bool
-ShareManager::RenewTogether()
+ShareManager::RenewBatch()
 {
   std::lock_guard<std::mutex> write(mWriteLock);
   std::map<std::string, int64_t> also;
@@ -166,7 +166,7 @@
 {
   bool renewed = RenewByWrite(aAlso);
   for (const auto& member : aAlso) {
-    mTakenAlong[member.first] = renewed;
+    mBatchRenewed[member.first] = renewed;
   }
   return renewed;
 }
@@ -195,10 +195,10 @@
     if (result.mEnd != WriteOutcome::Conflict) {
       return false;
     }
-    ShareLeaseLearn(mLease,
-                    ShareTableParse(result.mObject.mValue),
-                    result.mObject.mVersion,
-                    now);
+    ShareLeaseUpdate(mLease,
+                     ShareTableParse(result.mObject.mValue),
+                     result.mObject.mVersion,
+                     now);
   }
   return false;
 }
@@ -219,7 +219,7 @@
   }
   TimePoint begun = mClock.Now();
   // A frozen renewer must leave time to renew by ourselves within the lease.
-  Millis within = mSettings.mTerms.mLease * 2 / kRenewPart;
+  Millis within = mSettings.mParameters.mLease * 2 / kRenewDivisor;
   auto answer = Outcome([&] {
     return mPeers.Call(aRenewer.mPeerAddress, "share.renew", params, within);
   });
@@ -237,15 +237,15 @@
     ShareLeaseRenewed(
       mLease, ShareTableParse((*json)["table"]), version, begun, mClock.Now());
   } else {
-    ShareLeaseRenewedOnly(
+    ShareLeaseRenewedUnchanged(
       mLease, (*json)["serial"].asInt64(), version, begun, mClock.Now());
   }
   SyncBuckets();
-  return mLease.mRenewed >= begun;
+  return mLease.mRenewedAt >= begun;
 }
 
 void
-ShareManager::AskPromises()
+ShareManager::CollectPromises()
 {
   TimePoint begun = mClock.Now();
   std::vector<std::string> members;
@@ -254,7 +254,7 @@
     if (!mLease.mTable.mMembers.count(mSelf)) {
       return;
     }
-    members = ShareLeaseAsk(mLease);
+    members = ShareLeaseOtherMembers(mLease);
   }
   for (const std::string& member : members) {
     Json::Value params;
@@ -271,7 +271,7 @@
     }
   }
   std::lock_guard<std::mutex> lock(mLock);
-  ShareLeasePromised(mLease, begun);
+  ShareLeaseOnAllPromised(mLease, begun);
 }
 
 // A renewal of another's may come between: then we try again at once, since
@@ -290,7 +290,7 @@
       return;
     }
   }
-  PokeHolders(handed);
+  NotifySlotHolders(handed);
 }
 
 // Done as well when there is nothing to hand on.
@@ -303,7 +303,7 @@
   {
     std::lock_guard<std::mutex> lock(mLock);
     bool member = mLease.mTable.mMembers.count(mSelf) != 0;
-    aHanded = ShareLeaseExcess(mLease, aLeaving);
+    aHanded = ShareLeaseSlotsToHandOver(mLease, aLeaving);
     if (aHanded.empty() && !(aLeaving && member)) {
       return WriteOutcome::Done;
     }
@@ -311,7 +311,7 @@
     SyncBuckets();
     opened = ShareLeaseClose(mLease, aHanded);
     ShareBuckets::Levels levels = mBuckets.LevelsOf(aHanded, mClock.Now());
-    table = ShareLeaseRelease(mLease, levels, aLeaving);
+    table = ShareLeaseHandOver(mLease, levels, aLeaving);
     version = mLease.mVersion;
   }
   WriteResult result = mPlatform.Write(
@@ -319,13 +319,13 @@
   std::lock_guard<std::mutex> lock(mLock);
   switch (result.mEnd) {
     case WriteOutcome::Done:
-      ShareLeaseLearn(mLease, table, result.mObject.mVersion, mClock.Now());
+      ShareLeaseUpdate(mLease, table, result.mObject.mVersion, mClock.Now());
       break;
     case WriteOutcome::Conflict:
-      ShareLeaseLearn(mLease,
-                      ShareTableParse(result.mObject.mValue),
-                      result.mObject.mVersion,
-                      mClock.Now());
+      ShareLeaseUpdate(mLease,
+                       ShareTableParse(result.mObject.mValue),
+                       result.mObject.mVersion,
+                       mClock.Now());
       break;
     case WriteOutcome::Refused:
       // Never left, so we hold them still. Closed, they would be nobody's for
@@ -352,7 +352,7 @@
 ShareManager::Learn(const Json::Value& aTable, int64_t aVersion)
 {
   std::lock_guard<std::mutex> lock(mLock);
-  ShareLeaseLearn(mLease, ShareTableParse(aTable), aVersion, mClock.Now());
+  ShareLeaseUpdate(mLease, ShareTableParse(aTable), aVersion, mClock.Now());
 }
 
 void
--- a/src/share/ShareManager.h
+++ b/src/share/ShareManager.h
@@ -51,7 +51,10 @@
   // Another instance showed us our zone's table.
   void Learn(const Json::Value& aTable, int64_t aVersion);
   // Called when slots were handed to us: a round should follow soon.
-  void OnPoke(std::function<void()> aPoke) { mPoke = std::move(aPoke); }
+  void OnSlotsReceived(std::function<void()> aPoke)
+  {
+    mOnSlotsReceived = std::move(aPoke);
+  }
   bool Holds(int aSlot) const { return HolderOf(aSlot) == mSelf; }
   ShareTable Table() const;
   int SlotsHeld() const;
@@ -66,14 +69,14 @@
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
 
 private:
-  bool RenewTogether();
+  bool RenewBatch();
   bool RenewWith(const std::map<std::string, int64_t>& aAlso);
   bool RenewByWrite(const std::map<std::string, int64_t>& aAlso);
   bool RenewByPeer(const InstanceInfo& aRenewer);
-  void AskPromises();
+  void CollectPromises();
   void ReleaseExcess(bool aLeaving);
   WriteOutcome ReleaseOnce(bool aLeaving, std::set<int>& aHanded);
-  void PokeHolders(const std::set<int>& aSlots);
+  void NotifySlotHolders(const std::set<int>& aSlots);
   Json::Value TableJson() const;
   void SyncBuckets();
   Json::Value OnRenew(const Json::Value& aParams);
@@ -93,12 +96,12 @@
   ShareLease mLease;
   ShareBuckets mBuckets;
 
-  std::function<void()> mPoke;
+  std::function<void()> mOnSlotsReceived;
   std::mutex mWriteLock; // one conditional write of ours at a time
   std::map<std::string, int64_t> mAsked; // renewals for the next write
   // How the write that took a member along ended: another one's success says
   // nothing about its renewal.
-  std::map<std::string, bool> mTakenAlong;
+  std::map<std::string, bool> mBatchRenewed;
 };
 
 } // namespace caraway
--- a/src/share/ShareManagerPeers.cpp
+++ b/src/share/ShareManagerPeers.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr Millis kPokeTime{ 500 };
+constexpr Millis kNotifyTimeout{ 500 };
 
 } // namespace
 
 // Those we handed slots to would find out at their next renewal, seconds
 // later, and until then nobody could spend them.
 void
-ShareManager::PokeHolders(const std::set<int>& aSlots)
+ShareManager::NotifySlotHolders(const std::set<int>& aSlots)
 {
   std::set<std::string> holders;
   {
@@ -31,7 +31,7 @@
   for (const std::string& holder : holders) {
     Outcome([&] {
       return mPeers.Call(
-        IncarnationAddress(holder), "share.poke", TableJson(), kPokeTime);
+        IncarnationAddress(holder), "share.poke", TableJson(), kNotifyTimeout);
     });
   }
 }
@@ -56,14 +56,14 @@
       waiting = mAsked.count(member) != 0;
     }
     if (waiting) {
-      std::this_thread::sleep_for(mSettings.mGather);
+      std::this_thread::sleep_for(mSettings.mRenewBatchWait);
       std::lock_guard<std::mutex> lock(mLock);
       also.swap(mAsked);
     }
     if (waiting) {
       RenewWith(also);
     }
-    answer["renewed"] = mTakenAlong[member];
+    answer["renewed"] = mBatchRenewed[member];
   }
   std::lock_guard<std::mutex> lock(mLock);
   answer["version"] = Json::Int64(mLease.mVersion);
@@ -81,7 +81,7 @@
   bool ours = aParams["of"].asString() == mSelf;
   Json::Value answer;
   answer["promised"] =
-    ours && ShareLeasePromise(mLease, aParams["member"].asString());
+    ours && ShareLeaseCanPromise(mLease, aParams["member"].asString());
   return answer;
 }
 
@@ -128,8 +128,8 @@
   aAdd("share.table", [this](const auto&) { return TableJson(); });
   aAdd("share.poke", [this](const auto& aParams) {
     Learn(aParams["table"], aParams["version"].asInt64());
-    if (mPoke) {
-      mPoke();
+    if (mOnSlotsReceived) {
+      mOnSlotsReceived();
     }
     return Json::Value(Json::objectValue);
   });
--- a/tests/property/BriefingProperty.cpp
+++ b/tests/property/BriefingProperty.cpp
@@ -39,7 +39,7 @@
     }
   }
 
-  void Weather(RandomChoices& aTape)
+  void DrawFaults(RandomChoices& aTape)
   {
     mPlatform.mOnWrite = [&aTape](const PlatformWrite&) {
       return MemoryFaultOf(aTape.Below(20));
@@ -92,7 +92,7 @@
 
   void Step(RandomChoices& aTape)
   {
-    Weather(aTape);
+    DrawFaults(aTape);
     size_t at = static_cast<size_t>(aTape.Below(2));
     int what = aTape.Below(10);
     if (what < 3) {
--- a/tests/property/ClaimProperty.cpp
+++ b/tests/property/ClaimProperty.cpp
@@ -124,7 +124,7 @@
     return event;
   }
 
-  ClaimEvent HandOn(Attempt& aAttempt, RandomChoices& aTape)
+  ClaimEvent ForwardOrder(Attempt& aAttempt, RandomChoices& aTape)
   {
     ClaimEvent event;
     int how = aTape.Below(6);
@@ -154,10 +154,10 @@
       case ClaimActionKind::TakeOver:
         return Write(
           aAttempt, ClaimRecordState::Claimed, action.mVersion, aTape);
-      case ClaimActionKind::KeepAnswer:
+      case ClaimActionKind::StoreAnswer:
         return Write(
           aAttempt, ClaimRecordState::Answered, action.mVersion, aTape);
-      case ClaimActionKind::KeepLost:
+      case ClaimActionKind::StoreLost:
         return Write(aAttempt, ClaimRecordState::Lost, action.mVersion, aTape);
       case ClaimActionKind::Release:
         // Whoever releases says "not run" next.
@@ -171,10 +171,10 @@
           return event;
         }
         return Standing();
-      case ClaimActionKind::AskCreator:
+      case ClaimActionKind::QueryCreator:
         return Ask(action, aTape);
       default:
-        return HandOn(aAttempt, aTape);
+        return ForwardOrder(aAttempt, aTape);
     }
   }
 
@@ -270,7 +270,7 @@
   standing.mRecord.mNonce = "n0";
   standing.mRecord.mCreator = "i0";
   action = ClaimStep(second, standing, now);
-  ASSERT_EQ(action.mKind, ClaimActionKind::AskCreator);
+  ASSERT_EQ(action.mKind, ClaimActionKind::QueryCreator);
   EXPECT_EQ(action.mPeer, "i0");
   ClaimEvent gaveUp;
   gaveUp.mKind = ClaimEventKind::PeerGaveUp;
@@ -279,7 +279,7 @@
   EXPECT_EQ(action.mVersion, 1);
   event.mKind = ClaimEventKind::Written;
   event.mVersion = 2;
-  EXPECT_EQ(ClaimStep(second, event, now).mKind, ClaimActionKind::HandOn);
+  EXPECT_EQ(ClaimStep(second, event, now).mKind, ClaimActionKind::ForwardOrder);
 }
 
 } // namespace caraway
--- a/tests/property/ConfigProperty.cpp
+++ b/tests/property/ConfigProperty.cpp
@@ -66,7 +66,7 @@
   }
 
   // How this step's calls to the platform fare.
-  void Weather(RandomChoices& aTape)
+  void DrawFaults(RandomChoices& aTape)
   {
     mPlatform.mOnWrite = [&aTape](const PlatformWrite&) {
       return MemoryFaultOf(aTape.Below(40));
@@ -124,7 +124,7 @@
 
   void Step(RandomChoices& aTape)
   {
-    Weather(aTape);
+    DrawFaults(aTape);
     size_t at = static_cast<size_t>(aTape.Below(3));
     Follower& follower = *mFollowers[at];
     int what = aTape.Below(20);
--- a/tests/property/HomeZoneProperty.cpp
+++ b/tests/property/HomeZoneProperty.cpp
@@ -27,7 +27,7 @@
 // idle out.
 struct World
 {
-  HomeZoneTerms mTerms;
+  HomeZoneParameters mParameters;
   TimePoint mNow = TimePoint(Seconds(1000));
   std::vector<Zone> mZones;
   int mBusyLoads = 0;
@@ -57,7 +57,7 @@
     view.mHome = &aZone == &Home();
     view.mServing = aZone.mServing;
     view.mWaiting = aZone.mWaiting;
-    return HomeZoneAsk(aZone.mState, view, mTerms, mNow);
+    return HomeZoneRoute(aZone.mState, view, mParameters, mNow);
   }
   void ServeHere(Zone& aZone)
   {
@@ -75,12 +75,12 @@
       return;
     }
     RC_ASSERT(&aZone != &Home());
-    if (action == HomeZoneAction::AwayAndLoad) {
+    if (action == HomeZoneAction::RemoteAndLoad) {
       aZone.mLoading = true;
       ++mBusyLoads;
     }
     if (aZone.mCut || Home().mCut) {
-      HomeZoneFailed(aZone.mState, mTerms, mNow);
+      HomeZoneFailed(aZone.mState, mParameters, mNow);
       // From now on its requests stay, without trying the home each time.
       RC_ASSERT(Ask(aZone) == HomeZoneAction::Here);
       ServeHere(aZone);
@@ -105,7 +105,7 @@
 };
 
 void
-Happen(World& aWorld, int aWhat, Zone& aZone, bool aCuts)
+ApplyEvent(World& aWorld, int aWhat, Zone& aZone, bool aCuts)
 {
   switch (aWhat) {
     case 0:
@@ -133,11 +133,11 @@
 RC_GTEST_PROP(HomeZone, OneReplicaForZonesThatReachEachOther, ())
 {
   World world;
-  world.mTerms.mBusy = 1e9;
+  world.mParameters.mBusy = 1e9;
   RandomChoices tape = RandomChoices::OfLength(300);
   while (!tape.Ended()) {
     Zone& zone = world.mZones[static_cast<size_t>(tape.Below(3))];
-    Happen(world, tape.Below(8), zone, false);
+    ApplyEvent(world, tape.Below(8), zone, false);
     world.mNow += Millis(tape.Below(250) * 20);
     RC_ASSERT(world.Replicas() <= 1);
   }
@@ -150,12 +150,12 @@
 RC_GTEST_PROP(HomeZone, AlwaysSomewhereAndLoadsAreFew, ())
 {
   World world;
-  world.mTerms.mBusy = 5;
+  world.mParameters.mBusy = 5;
   RandomChoices tape = RandomChoices::OfLength(300);
   TimePoint began = world.mNow;
   while (!tape.Ended()) {
     Zone& zone = world.mZones[static_cast<size_t>(tape.Below(3))];
-    Happen(world, tape.Below(10), zone, true);
+    ApplyEvent(world, tape.Below(10), zone, true);
     world.mNow += Millis(tape.Below(250) * 4);
   }
   auto minutes = (world.mNow - began) / std::chrono::minutes(1) + 1;
@@ -170,7 +170,7 @@
   Zone& away = world.Away();
   world.Home().mCut = true;
   world.Request(away);
-  world.mNow += 2 * world.mTerms.mFailed;
+  world.mNow += 2 * world.mParameters.mFailed;
   EXPECT_EQ(world.Ask(away), HomeZoneAction::Here);
 }
 
@@ -184,7 +184,7 @@
   world.Request(away);
   world.End(away, true);
   world.Home().mCut = false;
-  world.mNow += world.mTerms.mFailed;
+  world.mNow += world.mParameters.mFailed;
   EXPECT_EQ(world.Ask(away), HomeZoneAction::Here); // a warm replica is here
   away.mServing = false;
   EXPECT_EQ(world.Ask(away), HomeZoneAction::Away);
--- a/tests/property/LoadGateProperty.cpp
+++ b/tests/property/LoadGateProperty.cpp
@@ -14,16 +14,16 @@
 {
   std::string mId;
   RequestClass mClass = RequestClass::Batch;
-  bool mIn = false;
+  bool mHasPermit = false;
   bool mDead = false;
   TimePoint mTold{}; // when it was last told that it is in
 };
 
 struct World
 {
-  LoadGateTerms mTerms;
+  LoadGateParameters mParameters;
   TimePoint mNow = TimePoint(Seconds(1000));
-  LoadGate mGate{ mTerms, mNow };
+  LoadGate mGate{ mParameters, mNow };
   std::vector<Load> mLoads;
   std::vector<TimePoint> mStarts;
   int mMade = 0;
@@ -31,15 +31,16 @@
   // An answer may be lost: the load then doesn't know that it is in.
   void Ask(Load& aLoad, bool aHeard)
   {
-    bool before =
-      mGate.mEntries.count(aLoad.mId) != 0 && mGate.mEntries[aLoad.mId].mIn;
-    bool in = LoadGateAsk(mGate, { aLoad.mId, aLoad.mClass, false }, mNow).mIn;
+    bool before = mGate.mEntries.count(aLoad.mId) != 0 &&
+                  mGate.mEntries[aLoad.mId].mHasPermit;
+    bool in = LoadGateAcquire(mGate, { aLoad.mId, aLoad.mClass, false }, mNow)
+                .mHasPermit;
     if (in && !before) {
       mStarts.push_back(mNow);
       Check(mGate.mEntries[aLoad.mId]);
     }
     if (in && aHeard) {
-      aLoad.mIn = true;
+      aLoad.mHasPermit = true;
       aLoad.mTold = mNow;
     }
   }
@@ -48,17 +49,19 @@
   void Check(const LoadGateEntry& aEntry) const
   {
     for (const auto& other : mGate.mEntries) {
-      RC_ASSERT(other.second.mIn || other.second.mClass >= aEntry.mClass ||
+      RC_ASSERT(other.second.mHasPermit ||
+                other.second.mClass >= aEntry.mClass ||
                 other.second.mArrived > aEntry.mArrived);
     }
-    int inside = LoadGateInside(mGate);
+    int inside = LoadGateAdmitted(mGate);
     bool urgent = aEntry.mClass == RequestClass::Urgent;
-    RC_ASSERT(inside <= mTerms.mAtOnce + (urgent ? mTerms.mUrgentBeyond : 0));
+    RC_ASSERT(inside <=
+              mParameters.mAtOnce + (urgent ? mParameters.mUrgentExtra : 0));
     auto recent =
       std::count_if(mStarts.begin(), mStarts.end(), [&](TimePoint aStart) {
         return mNow - aStart < Seconds(1);
       });
-    RC_ASSERT(static_cast<double>(recent) <= 2 * mTerms.mStartsPerSecond);
+    RC_ASSERT(static_cast<double>(recent) <= 2 * mParameters.mStartsPerSecond);
   }
 
   void Step(RandomChoices& aTape)
@@ -79,8 +82,8 @@
     }
     if (what == 1 && aTape.Below(3) == 0) {
       load.mDead = true;
-    } else if (what == 2 && load.mIn) {
-      LoadGateLeave(mGate, load.mId);
+    } else if (what == 2 && load.mHasPermit) {
+      LoadGateRelease(mGate, load.mId);
       mLoads.erase(mLoads.begin() + static_cast<long>(at));
     } else {
       Ask(load, aTape.Below(5) != 0);
@@ -96,13 +99,13 @@
         if (load.mDead) {
           continue;
         }
-        waiting = waiting || !load.mIn;
+        waiting = waiting || !load.mHasPermit;
         TimePoint told = load.mTold;
         Ask(load, true);
         load.mTold = told == TimePoint{} ? load.mTold : told;
-        if (load.mIn && mNow - load.mTold > Seconds(2)) {
+        if (load.mHasPermit && mNow - load.mTold > Seconds(2)) {
           load.mDead = true;
-          LoadGateLeave(mGate, load.mId);
+          LoadGateRelease(mGate, load.mId);
         }
       }
       if (!waiting) {
@@ -138,14 +141,18 @@
   TimePoint now = TimePoint(Seconds(1000));
   LoadGate gate({}, now);
   for (const char* id : { "a", "b", "c", "d" }) {
-    EXPECT_TRUE(LoadGateAsk(gate, { id, RequestClass::Batch, false }, now).mIn);
+    EXPECT_TRUE(LoadGateAcquire(gate, { id, RequestClass::Batch, false }, now)
+                  .mHasPermit);
   }
   EXPECT_FALSE(
-    LoadGateAsk(gate, { "chat", RequestClass::Interactive, false }, now).mIn);
+    LoadGateAcquire(gate, { "chat", RequestClass::Interactive, false }, now)
+      .mHasPermit);
   EXPECT_FALSE(
-    LoadGateAsk(gate, { "late", RequestClass::Batch, false }, now).mIn);
+    LoadGateAcquire(gate, { "late", RequestClass::Batch, false }, now)
+      .mHasPermit);
   EXPECT_TRUE(
-    LoadGateAsk(gate, { "late", RequestClass::Urgent, false }, now).mIn);
+    LoadGateAcquire(gate, { "late", RequestClass::Urgent, false }, now)
+      .mHasPermit);
 }
 
 } // namespace caraway
--- a/tests/property/PlacementProperty.cpp
+++ b/tests/property/PlacementProperty.cpp
@@ -38,7 +38,7 @@
   PlacementRecord mRecord;
   int64_t mVersion = 0;
   std::map<std::string, int64_t> mEngine; // name: bytes
-  int64_t mHighestFence = 0;
+  int64_t mHighestFencingToken = 0;
   std::vector<Copy> mOnTheWay;
   std::vector<std::string> mAnswered; // decisions whose one order was answered
   std::vector<Decider> mDeciders = std::vector<Decider>(3);
@@ -51,7 +51,7 @@
     aDecider.mAsOf = aNow;
     for (const PlacedReplica& replica : mRecord.mReplicas) {
       aDecider.mSince.emplace(
-        replica.mDecision + std::to_string(replica.mFence), aNow);
+        replica.mDecision + std::to_string(replica.mFencingToken), aNow);
     }
   }
 
@@ -123,10 +123,12 @@
     Copy copy = mOnTheWay[aIndex];
     mOnTheWay.erase(mOnTheWay.begin() + static_cast<long>(aIndex));
     if (aNow - copy.mSent > kDelay ||
-        (mRecord.mChecksFencing && copy.mReplica.mFence < mHighestFence)) {
+        (mRecord.mChecksFencing &&
+         copy.mReplica.mFencingToken < mHighestFencingToken)) {
       return;
     }
-    mHighestFence = std::max(mHighestFence, copy.mReplica.mFence);
+    mHighestFencingToken =
+      std::max(mHighestFencingToken, copy.mReplica.mFencingToken);
     if (!copy.mLoad) {
       mEngine.erase(copy.mReplica.mName);
       return;
@@ -141,7 +143,7 @@
   {
     for (const std::string& decision : mAnswered) {
       PlacementRecord next = aDecider.mRecord;
-      if (PlacementSettle(next, decision)) {
+      if (PlacementAcknowledge(next, decision)) {
         Store(aDecider, next, aNow);
         return;
       }
@@ -151,7 +153,8 @@
   void Observe(Decider& aDecider, TimePoint aNow)
   {
     EngineReport report;
-    report.mHighestFence = mRecord.mChecksFencing ? mHighestFence : 0;
+    report.mHighestFencingToken =
+      mRecord.mChecksFencing ? mHighestFencingToken : 0;
     for (const auto& held : mEngine) {
       EngineReplica replica;
       replica.mName = held.first;
@@ -162,7 +165,7 @@
     std::set<std::string> past;
     for (const PlacedReplica& replica : aDecider.mRecord.mReplicas) {
       auto since = aDecider.mSince.find(replica.mDecision +
-                                        std::to_string(replica.mFence));
+                                        std::to_string(replica.mFencingToken));
       if (replica.mState == ReplicaState::Unloading &&
           since != aDecider.mSince.end() && aNow - since->second > kHorizon) {
         past.insert(replica.mDecision);
--- a/tests/property/ShareProperty.cpp
+++ b/tests/property/ShareProperty.cpp
@@ -2,7 +2,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "decide/TokenBucket.h"
-#include "support/ShareWorld.h"
+#include "support/ShareModel.h"
 #include "support/Window.h"
 
 namespace caraway {
@@ -15,7 +15,7 @@
 RC_GTEST_PROP(ShareLease, NoSlotHasTwoSpenders, ())
 {
   RandomChoices tape = RandomChoices::OfLength(1200);
-  ShareWorld world;
+  ShareModel world;
   TimePoint now = TimePoint(Seconds(1000));
   world.Begin();
   while (!tape.Ended()) {
@@ -32,7 +32,7 @@
 RC_GTEST_PROP(Share, HandedOnIsNeverSpentTwice, ())
 {
   RandomChoices tape = RandomChoices::OfLength(1200);
-  ShareWorld world;
+  ShareModel world;
   TimePoint now = TimePoint(Seconds(1000));
   const double burst = 40;
   for (const char* name : { "acme", "globex", "initech" }) {
@@ -54,25 +54,25 @@
 TEST(Share, HandedBackUnseenIsNotSpentAgain)
 {
   TimePoint now = TimePoint(Seconds(1000));
-  ShareWorld world;
+  ShareModel world;
   world.AddTenant("acme", 40);
   world.Add("a0", 1);
   world.Add("a1", 1);
-  ShareWorldNode& first = world.mNodes[0];
-  ShareWorldNode& next = world.mNodes[1];
+  ShareModelNode& first = world.mNodes[0];
+  ShareModelNode& next = world.mNodes[1];
   int slot = ShareSlotsOf("acme")[0];
   world.RenewNow(first, now);
   double before = world.LevelOf(first, "acme", slot, now);
   ASSERT_GT(before, 0);
   world.RenewNow(next, now);
-  ShareLeaseLearn(first.mLease, world.mTable, world.mVersion, now);
+  ShareLeaseUpdate(first.mLease, world.mTable, world.mVersion, now);
   ShareTable handed = world.ReleaseOf(first, false, now);
   if (handed.mSlots[slot].mHolder != "n1") {
     slot = ShareSlotsOf("acme")[1];
   }
   ASSERT_EQ(handed.mSlots[slot].mHolder, "n1");
   world.Apply(handed, world.mVersion);
-  ShareLeaseLearn(next.mLease, world.mTable, world.mVersion, now);
+  ShareLeaseUpdate(next.mLease, world.mTable, world.mVersion, now);
   world.RenewNow(next, now);
   ASSERT_EQ(world.LevelOf(next, "acme", slot, now), before);
   next.mBuckets.Find("acme", slot)->Take(15, now);
@@ -89,7 +89,7 @@
 RC_GTEST_PROP(ShareLease, EverySlotIsSpendableAfterTrouble, ())
 {
   RandomChoices tape = RandomChoices::OfLength(600);
-  ShareWorld world;
+  ShareModel world;
   TimePoint now = TimePoint(Seconds(1000));
   world.Begin();
   while (!tape.Ended()) {
@@ -163,11 +163,11 @@
     ShareLease fresh;
     fresh.mSelf = "fresh";
     fresh.mAddress = "a1";
-    ShareLeaseLearn(fresh, table, 1, now);
+    ShareLeaseUpdate(fresh, table, 1, now);
     for (int64_t version = 2; version < 32; ++version) {
       now += Seconds(1);
       if (!listed) {
-        ShareLeaseListed(fresh, { "a1" }, now);
+        ShareLeaseOnInstanceList(fresh, { "a1" }, now);
       }
       table = ShareLeasePropose(fresh, {}, now);
       ShareLeaseRenewed(fresh, table, version, now, now);
@@ -193,16 +193,16 @@
     fresh.mAddress = "a" + std::to_string(count);
     for (size_t i = 0; i < 2 * count; ++i) {
       ShareLease& member = members[i % count];
-      ShareLeaseLearn(member, table, version, now);
+      ShareLeaseUpdate(member, table, version, now);
       table = ShareLeasePropose(member, {}, now);
       ShareLeaseRenewed(member, table, ++version, now, now);
       std::map<int, std::map<std::string, double>> levels;
-      for (int slot : ShareLeaseExcess(member, false)) {
+      for (int slot : ShareLeaseSlotsToHandOver(member, false)) {
         ShareLeaseClose(member, { slot });
         levels[slot];
       }
-      table = ShareLeaseRelease(member, levels, false);
-      ShareLeaseLearn(member, table, ++version, now);
+      table = ShareLeaseHandOver(member, levels, false);
+      ShareLeaseUpdate(member, table, ++version, now);
     }
     for (int slot = 0; slot < kShareSlots; ++slot) {
       const std::string& holder = table.mSlots[slot].mHolder;
--- a/tests/property/WaitQueueProperty.cpp
+++ b/tests/property/WaitQueueProperty.cpp
@@ -17,15 +17,15 @@
   RandomChoices tape = RandomChoices::OfLength(600);
   WaitQueue queue({ 8, 0.5 });
   TimePoint now = TimePoint(Seconds(1000));
-  std::map<uint64_t, WaitItem> waiting;
+  std::map<uint64_t, QueuedRequest> waiting;
   uint64_t next = 0;
   while (!tape.Ended()) {
     now += Millis(tape.Below(50));
     int what = tape.Below(6);
     if (what < 3) {
-      WaitItem item;
+      QueuedRequest item;
       item.mId = ++next;
-      item.mLike = static_cast<uint64_t>(tape.Below(20));
+      item.mRequestDigest = static_cast<uint64_t>(tape.Below(20));
       item.mTenant = std::string(1, static_cast<char>('a' + tape.Below(3)));
       item.mClass = static_cast<RequestClass>(tape.Below(3));
       item.mTokens = 1 + tape.Below(20);
@@ -42,7 +42,7 @@
       }
       RC_ASSERT(!served || waiting.erase(served->mId) == 1);
     } else if (what == 4) {
-      for (const WaitItem& late : queue.Expire(now)) {
+      for (const QueuedRequest& late : queue.Expire(now)) {
         RC_ASSERT(late.mStartBy <= now);
         RC_ASSERT(waiting.erase(late.mId) == 1);
       }
@@ -70,7 +70,7 @@
   std::map<std::string, int> waits;
   uint64_t next = 0;
   auto offer = [&](const std::string& aTenant) {
-    WaitItem item;
+    QueuedRequest item;
     item.mId = ++next;
     item.mTenant = aTenant;
     item.mTokens = 1 + tape.Below(20);
@@ -109,11 +109,12 @@
   TimePoint mNow = TimePoint(Seconds(1000));
   uint64_t mNext = 0;
 
-  std::optional<WaitRefusal> Offer(const std::string& aTenant, uint64_t aLike)
+  std::optional<WaitRefusal> Offer(const std::string& aTenant,
+                                   uint64_t aRequestDigest)
   {
-    WaitItem item;
+    QueuedRequest item;
     item.mId = ++mNext;
-    item.mLike = aLike;
+    item.mRequestDigest = aRequestDigest;
     item.mTenant = aTenant;
     item.mTokens = 200;
     item.mStartBy = mNow + Millis(1400);
--- a/tests/standin/Engine.cpp
+++ b/tests/standin/Engine.cpp
@@ -54,7 +54,7 @@
       }
       if (body["restart"].asBool()) {
         mReplicas.clear();
-        mHighestFence = 0;
+        mHighestFencingToken = 0;
       }
       StandInSend(aOut, 200, Json::Value(Json::objectValue));
     } else {
@@ -73,13 +73,13 @@
     std::unique_lock<std::mutex> lock(mLock);
     int64_t fence = aOrder["fence"].asInt64();
     Json::Value answer(Json::objectValue);
-    if (FLAGS_checks_fencing && fence < mHighestFence) {
+    if (FLAGS_checks_fencing && fence < mHighestFencingToken) {
       answer["reason"] = "fence";
       lock.unlock();
       StandInSend(aOut, 409, answer);
       return;
     }
-    mHighestFence = std::max(mHighestFence, fence);
+    mHighestFencingToken = std::max(mHighestFencingToken, fence);
     std::string key = Key(aOrder);
     if (aOrder["order"].asString() == "unload") {
       mReplicas.erase(key);
@@ -142,7 +142,7 @@
     std::lock_guard<std::mutex> lock(mLock);
     auto now = std::chrono::steady_clock::now();
     Json::Value state;
-    state["highest_fence"] = Json::Int64(mHighestFence);
+    state["highest_fence"] = Json::Int64(mHighestFencingToken);
     state["active"] = mActive;
     state["waiting"] = static_cast<int>(mWaiting.size());
     state["replicas"] = Json::Value(Json::arrayValue);
@@ -281,7 +281,7 @@
   std::set<std::string> mOnDisk;
   uint64_t mNext = 0;
   int mActive = 0;
-  int64_t mHighestFence = 0;
+  int64_t mHighestFencingToken = 0;
   Json::Value mFaults{ Json::objectValue };
   int mLoads = 0;
   int64_t mPeakBytes = 0;
--- a/tests/support/ShareWorld.h
+++ b/tests/support/ShareModel.h
@@ -1,6 +1,6 @@
-// ShareWorld.h: instances that share a zone's slots, and what befalls them.
-#ifndef caraway_tests_ShareWorld_h
-#define caraway_tests_ShareWorld_h
+// ShareModel.h: instances that share a zone's slots, and what befalls them.
+#ifndef caraway_tests_ShareModel_h
+#define caraway_tests_ShareModel_h
 
 #include <algorithm>
 #include <map>
@@ -14,7 +14,7 @@
 namespace caraway {
 
 // An instance: its lease, its buckets, its clock and its troubles.
-struct ShareWorldNode
+struct ShareModelNode
 {
   ShareLease mLease;
   double mRate = 1; // of its clock
@@ -24,7 +24,7 @@
   ShareBuckets mBuckets;
   std::set<int> mOpened; // by its last hand-over: closed, open before
 
-  explicit ShareWorldNode(const std::string& aSelf)
+  explicit ShareModelNode(const std::string& aSelf)
     : mBuckets({}, aSelf)
   {
     mLease.mSelf = aSelf;
@@ -46,21 +46,21 @@
 
 // The zone's table at a platform that loses and delays writes, and whoever
 // writes it.
-struct ShareWorld
+struct ShareModel
 {
   ShareTable mTable;
   int64_t mVersion = 0;
   std::vector<ShareLateWrite> mLate;
-  std::vector<ShareWorldNode> mNodes;
+  std::vector<ShareModelNode> mNodes;
   ConfigSnapshot mConfig;
   std::map<std::string, double> mSpent; // by tenant
 
   void Add(const std::string& aAddress, double aRate)
   {
-    ShareWorldNode node("n" + std::to_string(mNodes.size()));
+    ShareModelNode node("n" + std::to_string(mNodes.size()));
     node.mRate = aRate;
     node.mLease.mAddress = aAddress;
-    node.mLease.mTerms.mIsolationLimit = Seconds(20);
+    node.mLease.mParameters.mIsolationLimit = Seconds(20);
     mNodes.push_back(node);
   }
 
@@ -81,7 +81,7 @@
     }
   }
 
-  ShareWorldNode& Any(RandomChoices& aTape)
+  ShareModelNode& Any(RandomChoices& aTape)
   {
     return mNodes[static_cast<size_t>(aTape.Below(255)) % mNodes.size()];
   }
@@ -92,9 +92,9 @@
     if (aTape.Below(2) == 0) {
       aNow += Millis(aTape.Below(40) * 20);
     }
-    ShareWorldNode& node = Any(aTape);
-    ShareWorldNode& other = Any(aTape);
-    for (ShareWorldNode& each : mNodes) {
+    ShareModelNode& node = Any(aTape);
+    ShareModelNode& other = Any(aTape);
+    for (ShareModelNode& each : mNodes) {
       each.mAsleep = std::max(0, each.mAsleep - 1);
     }
     if (node.mAsleep > 0) {
@@ -125,10 +125,10 @@
     } else if (what < 16) {
       Promise(node, aNow);
     } else if (what < 19 && !other.mDead) {
-      ShareLeaseLearn(node.mLease,
-                      other.mLease.mTable,
-                      other.mLease.mVersion,
-                      node.Now(aNow));
+      ShareLeaseUpdate(node.mLease,
+                       other.mLease.mTable,
+                       other.mLease.mVersion,
+                       node.Now(aNow));
     } else {
       Release(node, aTape, aNow);
     }
@@ -145,7 +145,7 @@
   }
 
   // aDone: in force and the writer knows; else it may be, or may come later.
-  bool Write(ShareWorldNode& aNode,
+  bool Write(ShareModelNode& aNode,
              const ShareTable& aTable,
              RandomChoices& aTape,
              TimePoint aNow)
@@ -167,14 +167,14 @@
         if (Apply(aTable, expected)) {
           return true;
         }
-        ShareLeaseLearn(aNode.mLease, mTable, mVersion, aNode.Now(aNow));
+        ShareLeaseUpdate(aNode.mLease, mTable, mVersion, aNode.Now(aNow));
         return false;
     }
   }
 
   // One node writes for itself and for another that asked aAgo before.
-  void Renew(ShareWorldNode& aNode,
-             ShareWorldNode& aAsker,
+  void Renew(ShareModelNode& aNode,
+             ShareModelNode& aAsker,
              RandomChoices& aTape,
              TimePoint& aNow)
   {
@@ -194,7 +194,7 @@
     ShareLeaseRenewed(aNode.mLease, table, mVersion, begun, aNode.Now(aNow));
     bool told = both && aTape.Below(3) != 0;
     if (told && also.begin()->second >= table.mChanged) {
-      ShareLeaseRenewedOnly(
+      ShareLeaseRenewedUnchanged(
         aAsker.mLease, table.mSerial, mVersion, asked, aAsker.Now(aNow));
     } else if (told) {
       ShareLeaseRenewed(
@@ -202,41 +202,41 @@
     }
   }
 
-  void Promise(ShareWorldNode& aNode, TimePoint aNow)
+  void Promise(ShareModelNode& aNode, TimePoint aNow)
   {
     TimePoint begun = aNode.Now(aNow);
-    for (const std::string& member : ShareLeaseAsk(aNode.mLease)) {
-      ShareWorldNode& other = mNodes[std::stoul(member.substr(1))];
+    for (const std::string& member : ShareLeaseOtherMembers(aNode.mLease)) {
+      ShareModelNode& other = mNodes[std::stoul(member.substr(1))];
       if (!other.Awake() ||
-          !ShareLeasePromise(other.mLease, aNode.mLease.mSelf)) {
+          !ShareLeaseCanPromise(other.mLease, aNode.mLease.mSelf)) {
         return;
       }
     }
-    ShareLeasePromised(aNode.mLease, begun);
+    ShareLeaseOnAllPromised(aNode.mLease, begun);
   }
 
   // Closes what is to be handed on, and gives the table that hands it on.
-  ShareTable ReleaseOf(ShareWorldNode& aNode, bool aLeaving, TimePoint aNow)
+  ShareTable ReleaseOf(ShareModelNode& aNode, bool aLeaving, TimePoint aNow)
   {
     TimePoint now = aNode.Now(aNow);
-    std::set<int> excess = ShareLeaseExcess(aNode.mLease, aLeaving);
+    std::set<int> excess = ShareLeaseSlotsToHandOver(aNode.mLease, aLeaving);
     aNode.mBuckets.Sync(aNode.mLease.mTable, mConfig, now);
     aNode.mOpened = ShareLeaseClose(aNode.mLease, excess);
     auto levels = aNode.mBuckets.LevelsOf(excess, now);
-    return ShareLeaseRelease(aNode.mLease, levels, aLeaving);
+    return ShareLeaseHandOver(aNode.mLease, levels, aLeaving);
   }
 
-  void Release(ShareWorldNode& aNode, RandomChoices& aTape, TimePoint aNow)
+  void Release(ShareModelNode& aNode, RandomChoices& aTape, TimePoint aNow)
   {
     bool leaving = aTape.Below(8) == 0;
-    if (!leaving && ShareLeaseExcess(aNode.mLease, false).empty()) {
+    if (!leaving && ShareLeaseSlotsToHandOver(aNode.mLease, false).empty()) {
       return;
     }
     ShareTable table = ReleaseOf(aNode, leaving, aNow);
     if (aNode.mCut) {
       ShareLeaseReopen(aNode.mLease, aNode.mOpened);
     } else if (Write(aNode, table, aTape, aNow)) {
-      ShareLeaseLearn(aNode.mLease, table, mVersion, aNode.Now(aNow));
+      ShareLeaseUpdate(aNode.mLease, table, mVersion, aNode.Now(aNow));
     }
   }
 
@@ -244,7 +244,7 @@
   {
     for (int slot = 0; slot < kShareSlots; ++slot) {
       int spenders = 0;
-      for (const ShareWorldNode& node : mNodes) {
+      for (const ShareModelNode& node : mNodes) {
         bool may =
           !node.mDead && ShareLeaseMaySpend(node.mLease, slot, node.Now(aNow));
         spenders += may ? 1 : 0;
@@ -256,7 +256,7 @@
   // As a request does, at any moment.
   void Spend(RandomChoices& aTape, TimePoint aNow)
   {
-    ShareWorldNode& node = Any(aTape);
+    ShareModelNode& node = Any(aTape);
     if (!node.Awake()) {
       return;
     }
@@ -276,16 +276,16 @@
   }
 
   // With nothing lost: knows the newest and is renewed.
-  void RenewNow(ShareWorldNode& aNode, TimePoint aNow)
+  void RenewNow(ShareModelNode& aNode, TimePoint aNow)
   {
     TimePoint now = aNode.Now(aNow);
-    ShareLeaseLearn(aNode.mLease, mTable, mVersion, now);
+    ShareLeaseUpdate(aNode.mLease, mTable, mVersion, now);
     ShareTable table = ShareLeasePropose(aNode.mLease, {}, now);
     Apply(table, mVersion);
     ShareLeaseRenewed(aNode.mLease, table, mVersion, now, now);
   }
 
-  double LevelOf(ShareWorldNode& aNode,
+  double LevelOf(ShareModelNode& aNode,
                  const std::string& aTenant,
                  int aSlot,
                  TimePoint aNow)
@@ -303,10 +303,11 @@
     for (int round = 0; round < 60; ++round) {
       aNow += Seconds(1);
       RenewAllNow(aNow);
-      for (ShareWorldNode& node : mNodes) {
-        if (!node.mDead && !ShareLeaseExcess(node.mLease, false).empty()) {
+      for (ShareModelNode& node : mNodes) {
+        if (!node.mDead &&
+            !ShareLeaseSlotsToHandOver(node.mLease, false).empty()) {
           Apply(ReleaseOf(node, false, aNow), node.mLease.mVersion);
-          ShareLeaseLearn(node.mLease, mTable, mVersion, node.Now(aNow));
+          ShareLeaseUpdate(node.mLease, mTable, mVersion, node.Now(aNow));
         }
       }
     }
@@ -319,9 +320,9 @@
   // write; who isn't a member yet joins by itself.
   void RenewAllNow(TimePoint aNow)
   {
-    ShareWorldNode* renewer = nullptr;
+    ShareModelNode* renewer = nullptr;
     std::map<std::string, int64_t> also;
-    for (ShareWorldNode& node : mNodes) {
+    for (ShareModelNode& node : mNodes) {
       if (node.mDead) {
         continue;
       }
@@ -337,11 +338,11 @@
       return;
     }
     TimePoint now = renewer->Now(aNow);
-    ShareLeaseLearn(renewer->mLease, mTable, mVersion, now);
+    ShareLeaseUpdate(renewer->mLease, mTable, mVersion, now);
     ShareTable table = ShareLeasePropose(renewer->mLease, also, now);
     Apply(table, mVersion);
     ShareLeaseRenewed(renewer->mLease, table, mVersion, now, now);
-    for (ShareWorldNode& node : mNodes) {
+    for (ShareModelNode& node : mNodes) {
       auto asked = also.find(node.mLease.mSelf);
       if (asked == also.end()) {
         continue;
@@ -350,7 +351,8 @@
       if (asked->second < table.mChanged) {
         ShareLeaseRenewed(node.mLease, table, mVersion, at, at);
       } else {
-        ShareLeaseRenewedOnly(node.mLease, table.mSerial, mVersion, at, at);
+        ShareLeaseRenewedUnchanged(
+          node.mLease, table.mSerial, mVersion, at, at);
       }
     }
   }
@@ -359,7 +361,7 @@
   {
     int slots = 0;
     for (int slot = 0; slot < kShareSlots; ++slot) {
-      for (const ShareWorldNode& node : mNodes) {
+      for (const ShareModelNode& node : mNodes) {
         slots +=
           !node.mDead && ShareLeaseMaySpend(node.mLease, slot, node.Now(aNow));
       }
--- a/tests/unit/ModelGroupTest.cpp
+++ b/tests/unit/ModelGroupTest.cpp
@@ -9,29 +9,29 @@
 // that was kept for it; without that, four of five bulletins were refused.
 TEST(ModelGroup, TheLastPlaceIsForBulletins)
 {
-  ModelServing serving;
+  ServingReplica serving;
   serving.mEndpoint.mSlots = 8;
-  EXPECT_EQ(ModelGroupClassFor(serving), RequestClass::Batch);
+  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Batch);
   serving.mInFlight = 6;
   serving.mBatchInFlight = 6;
-  EXPECT_EQ(ModelGroupClassFor(serving), RequestClass::Interactive);
+  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Interactive);
   serving.mBatchInFlight = 0;
-  EXPECT_EQ(ModelGroupClassFor(serving), RequestClass::Batch);
+  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Batch);
   serving.mInFlight = 7;
-  EXPECT_EQ(ModelGroupClassFor(serving), RequestClass::Urgent);
+  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Urgent);
 }
 
 // An engine with one place serves every class with it.
 TEST(ModelGroup, FewPlacesAreNotKeptIdle)
 {
-  ModelServing serving;
+  ServingReplica serving;
   serving.mEndpoint.mSlots = 1;
-  EXPECT_EQ(ModelGroupClassFor(serving), RequestClass::Batch);
+  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Batch);
   serving.mEndpoint.mSlots = 2;
   serving.mInFlight = 1;
-  EXPECT_EQ(ModelGroupClassFor(serving), RequestClass::Batch);
+  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Batch);
   serving.mBatchInFlight = 1;
-  EXPECT_EQ(ModelGroupClassFor(serving), RequestClass::Interactive);
+  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Interactive);
 }
 
 } // namespace caraway
--- a/tests/unit/ShareKeeperTest.cpp
+++ b/tests/unit/ShareManagerTest.cpp
@@ -11,7 +11,7 @@
 
 // A keeper that holds all slots, and a member that has just joined, who isn't
 // a process: its port refuses.
-class Handing : public ::testing::Test
+class SlotHandOver : public ::testing::Test
 {
 protected:
   static ConfigSnapshot Config()
@@ -31,7 +31,7 @@
     return settings;
   }
 
-  Handing()
+  SlotHandOver()
   {
     mConfig.Adopt(Config());
     mKeeper.Round();
@@ -48,7 +48,7 @@
   void Learn()
   {
     PlatformObject object = mPlatform.Standing("shares", "a");
-    ShareLeaseLearn(
+    ShareLeaseUpdate(
       mJoined, ShareTableParse(object.mValue), object.mVersion, mClock.Now());
   }
   // The member joins or renews, by a write of its own.
@@ -86,7 +86,7 @@
 // A tenant's half is refused for up to a second: its holder stopped spending,
 // to hand it on, and another member's renewal came first. The holder must try
 // again at once.
-TEST_F(Handing, AnothersRenewalComesFirst)
+TEST_F(SlotHandOver, AnothersRenewalComesFirst)
 {
   AtWrite(3, [this] {
     Learn();
@@ -103,7 +103,7 @@
 
 // The platform goes out just as slots are handed on. They stay spendable where
 // they are for as long as it lasts.
-TEST_F(Handing, PlatformOutMeanwhile)
+TEST_F(SlotHandOver, PlatformOutMeanwhile)
 {
   AtWrite(3, [] { return MemoryFault::Refused; });
   mKeeper.Round();
@@ -112,7 +112,7 @@
 
 // Nobody answers whether the slots were handed on. Until it is known nobody
 // spends them, for both might; the next renewal tells, whichever it was.
-TEST_F(Handing, NobodyAnswers)
+TEST_F(SlotHandOver, NobodyAnswers)
 {
   AtWrite(3, [] { return MemoryFault::WriteLost; });
   mKeeper.Round();
--- a/tests/unit/StoreGateTest.cpp
+++ b/tests/unit/StoreGateTest.cpp
@@ -53,7 +53,7 @@
   {
     mOwner.mPort.Add("load.ask", [this](const Json::Value&) {
       std::unique_lock<std::mutex> lock(mLock);
-      mGoOn.wait(lock, [this] { return mReleased; });
+      mResume.wait(lock, [this] { return mReleased; });
       return Json::Value(Json::objectValue);
     });
     mOwner.mPort.Serve();
@@ -68,11 +68,12 @@
   {
     std::lock_guard<std::mutex> lock(mLock);
     mReleased = true;
-    mGoOn.notify_all();
+    mResume.notify_all();
   }
   bool Ask(GateNode& aNode, const std::string& aId, bool aInside = false)
   {
-    return aNode.mGate->Ask({ aId, RequestClass::Interactive, aInside }).mIn;
+    return aNode.mGate->Ask({ aId, RequestClass::Interactive, aInside })
+      .mHasPermit;
   }
 
   PausedClock mClock;
@@ -80,7 +81,7 @@
   GateNode mNear1{ "i1", "mendoza-a", mClock };
   GateNode mOwner{ "i2", "uspallata-b", mClock };
   std::mutex mLock;
-  std::condition_variable mGoOn;
+  std::condition_variable mResume;
   bool mReleased = false;
 };
 
