--- a/src/decide/LeaseStep.cpp
+++ b/src/decide/LeaseStep.cpp
@@ -34,7 +34,7 @@
     mSettled = aNow >= mActFrom;
     return LeaseAction::Write;
   }
-  if (mHeard && aNow - mHeardAt < mTimes.mHeard) {
+  if (mHeard && aNow - mLastHeardAt < mTimes.mHeard) {
     mSeen.reset(); // somebody lives who holds it
     mNext = aNow + mTimes.mRetry;
     return LeaseAction::None;
@@ -175,7 +175,7 @@
 {
   if (aHolder != mSelf) {
     mHeard = true;
-    mHeardAt = aNow;
+    mLastHeardAt = aNow;
   }
 }
 
--- a/src/decide/LeaseStep.h
+++ b/src/decide/LeaseStep.h
@@ -106,7 +106,7 @@
   TimePoint mUntil{};
   TimePoint mActFrom{};
   TimePoint mNext{};
-  TimePoint mHeardAt{};
+  TimePoint mLastHeardAt{};
   bool mHeard = false;
   bool mPending = false;
   bool mWanted = true;
--- a/src/decide/ZoneMembers.cpp
+++ b/src/decide/ZoneMembers.cpp
@@ -33,9 +33,9 @@
 }
 
 ZoneMembers::MemberPeer&
-ZoneMembers::Count(const std::string& aMate, TimePoint aNow)
+ZoneMembers::Count(const std::string& aZonePeer, TimePoint aNow)
 {
-  auto [at, added] = mZonePeers.try_emplace(aMate);
+  auto [at, added] = mZonePeers.try_emplace(aZonePeer);
   if (added) {
     at->second.mHeartbeatAt = aNow;
   }
@@ -109,34 +109,34 @@
 }
 
 void
-ZoneMembers::OnHeartbeat(const std::string& aMate,
-                         const MemberHeartbeat& aPulse,
+ZoneMembers::OnHeartbeat(const std::string& aZonePeer,
+                         const MemberHeartbeat& aHeartbeat,
                          TimePoint aNow)
 {
   Tick(aNow);
-  auto found = mZonePeers.find(aMate);
+  auto found = mZonePeers.find(aZonePeer);
   if (found != mZonePeers.end()) {
     found->second.mHeartbeatAt = aNow;
-    found->second.mPulse = aPulse;
+    found->second.mPulse = aHeartbeat;
   }
 }
 
 // It may spend as soon as all have confirmed it, so it weighs in majorities
 // from now on.
 void
-ZoneMembers::OnNewcomer(const std::string& aMate, TimePoint aNow)
+ZoneMembers::OnNewcomer(const std::string& aZonePeer, TimePoint aNow)
 {
   Tick(aNow);
-  MemberPeer& mate = Count(aMate, aNow);
+  MemberPeer& mate = Count(aZonePeer, aNow);
   mate.mHeartbeatAt = aNow;
   mate.mAskedAt = aNow;
   mate.mCounted = true;
 }
 
 void
-ZoneMembers::OnConfirmed(const std::string& aMate)
+ZoneMembers::OnConfirmed(const std::string& aZonePeer)
 {
-  auto found = mZonePeers.find(aMate);
+  auto found = mZonePeers.find(aZonePeer);
   if (found != mZonePeers.end()) {
     found->second.mConfirmed = true;
   }
@@ -144,9 +144,9 @@
 }
 
 void
-ZoneMembers::OnLeft(const std::string& aMate)
+ZoneMembers::OnLeft(const std::string& aZonePeer)
 {
-  mZonePeers.erase(aMate);
+  mZonePeers.erase(aZonePeer);
   Look();
 }
 
@@ -169,12 +169,12 @@
 }
 
 bool
-ZoneMembers::Hears(const MemberPeer& aMate,
+ZoneMembers::Hears(const MemberPeer& aZonePeer,
                    TimePoint aNow,
                    Millis aWithin) const
 {
-  return aNow - aMate.mHeartbeatAt <= aWithin && aMate.mCounted &&
-         aMate.mPulse.mCounted && !aMate.mPulse.mSilent.count(mSelf);
+  return aNow - aZonePeer.mHeartbeatAt <= aWithin && aZonePeer.mCounted &&
+         aZonePeer.mPulse.mCounted && !aZonePeer.mPulse.mSilent.count(mSelf);
 }
 
 // Of two, neither is one.
@@ -207,11 +207,11 @@
   return mJoined && !mLeft && (alone || going);
 }
 
-// A majority doesn't hear aMate; of two, this instance doesn't.
+// A majority doesn't hear aZonePeer; of two, this instance doesn't.
 bool
-ZoneMembers::Lost(const std::string& aMate, TimePoint aNow) const
+ZoneMembers::Lost(const std::string& aZonePeer, TimePoint aNow) const
 {
-  auto found = mZonePeers.find(aMate);
+  auto found = mZonePeers.find(aZonePeer);
   Millis silent{ 0 };
   if (found != mZonePeers.end()) {
     silent =
@@ -224,24 +224,25 @@
   for (const auto& [name, mate] : mZonePeers) {
     bool heard = aNow - mate.mHeartbeatAt <= mSilent;
     bool weighs = heard && mate.mCounted && mate.mPulse.mCounted;
-    deaf += weighs && mate.mPulse.mSilent.count(aMate) ? 1 : 0;
+    deaf += weighs && mate.mPulse.mSilent.count(aZonePeer) ? 1 : 0;
   }
   return 2 * deaf > Counted() || Counted() == 2 || silent > kPresumedDead;
 }
 
 bool
-ZoneMembers::MayMark(const std::string& aMate, TimePoint aNow) const
+ZoneMembers::MayMark(const std::string& aZonePeer, TimePoint aNow) const
 {
-  return Lost(aMate, aNow) && mZonePeers.at(aMate).mMarkedSince == TimePoint();
+  return Lost(aZonePeer, aNow) &&
+         mZonePeers.at(aZonePeer).mMarkedSince == TimePoint();
 }
 
 bool
-ZoneMembers::MayRemove(const std::string& aMate, TimePoint aNow) const
+ZoneMembers::MayRemove(const std::string& aZonePeer, TimePoint aNow) const
 {
-  if (!Lost(aMate, aNow)) {
+  if (!Lost(aZonePeer, aNow)) {
     return false;
   }
-  TimePoint marked = mZonePeers.at(aMate).mMarkedSince;
+  TimePoint marked = mZonePeers.at(aZonePeer).mMarkedSince;
   return marked != TimePoint() && aNow - marked > mSilent + kMargin;
 }
 
--- a/src/decide/ZoneMembers.h
+++ b/src/decide/ZoneMembers.h
@@ -65,22 +65,22 @@
   void OnListed(const std::vector<MemberEntry>& aEntries,
                 TimePoint aAskedAt,
                 TimePoint aNow);
-  void OnHeartbeat(const std::string& aMate,
-                   const MemberHeartbeat& aPulse,
+  void OnHeartbeat(const std::string& aZonePeer,
+                   const MemberHeartbeat& aHeartbeat,
                    TimePoint aNow);
   // A newcomer asks to be counted.
-  void OnNewcomer(const std::string& aMate, TimePoint aNow);
-  // aMate counts this instance.
-  void OnConfirmed(const std::string& aMate);
+  void OnNewcomer(const std::string& aZonePeer, TimePoint aNow);
+  // aZonePeer counts this instance.
+  void OnConfirmed(const std::string& aZonePeer);
   // It spends nothing any more, and said so.
-  void OnLeft(const std::string& aMate);
+  void OnLeft(const std::string& aZonePeer);
   // This instance stops spending, for good.
   void Leave() { mLeft = true; }
 
   bool MaySpend(TimePoint aNow) const;
-  // The entry of aMate.
-  bool MayMark(const std::string& aMate, TimePoint aNow) const;
-  bool MayRemove(const std::string& aMate, TimePoint aNow) const;
+  // The entry of aZonePeer.
+  bool MayMark(const std::string& aZonePeer, TimePoint aNow) const;
+  bool MayRemove(const std::string& aZonePeer, TimePoint aNow) const;
   // A fresh list is needed: to go on spending, or to see an entry go.
   bool NeedsStore(TimePoint aNow) const;
   // This instance's entry is missing or marked and must be written again.
@@ -104,11 +104,11 @@
     bool mCounted = false;
     bool mConfirmed = false; // it counts this instance
   };
-  MemberPeer& Count(const std::string& aMate, TimePoint aNow);
-  bool Hears(const MemberPeer& aMate, TimePoint aNow, Millis aWithin) const;
+  MemberPeer& Count(const std::string& aZonePeer, TimePoint aNow);
+  bool Hears(const MemberPeer& aZonePeer, TimePoint aNow, Millis aWithin) const;
   bool Majority(TimePoint aNow, Millis aWithin) const;
   size_t Counted() const;
-  bool Lost(const std::string& aMate, TimePoint aNow) const;
+  bool Lost(const std::string& aZonePeer, TimePoint aNow) const;
   void Look();
 
   std::string mSelf;
--- a/src/decide/ZoneTakeover.cpp
+++ b/src/decide/ZoneTakeover.cpp
@@ -12,7 +12,7 @@
 
 ZoneTakeover::ZoneTakeover(TimePoint aNow)
   : mStart(aNow)
-  , mHeardAt(aNow)
+  , mLastHeardAt(aNow)
 {
 }
 
@@ -26,7 +26,7 @@
 void
 ZoneTakeover::OnInstanceHeard(TimePoint aNow)
 {
-  mHeardAt = aNow;
+  mLastHeardAt = aNow;
   mEmptySince = TimePoint();
   mListWait = kListAgain;
 }
@@ -42,7 +42,7 @@
   mEntries = aEntries;
   mListWait =
     aEntries > 0 ? std::min(mListWait * 2, kMaxListInterval) : kListAgain;
-  if (aEntries > 0 || aAskedAt <= mHeardAt) {
+  if (aEntries > 0 || aAskedAt <= mLastHeardAt) {
     mEmptySince = TimePoint();
   } else if (mEmptySince == TimePoint()) {
     mEmptySince = aAskedAt;
@@ -58,7 +58,7 @@
 bool
 ZoneTakeover::Silent(TimePoint aNow) const
 {
-  return aNow - mStart >= kStartupDelay && aNow - mHeardAt >= mSilent;
+  return aNow - mStart >= kStartupDelay && aNow - mLastHeardAt >= mSilent;
 }
 
 // Those of a higher rank ask later, when nobody before them has taken it, and
@@ -74,7 +74,7 @@
     mLedByOtherAt != TimePoint() && aNow - mLedByOtherAt < mSilent + turn;
   Millis wait =
     mListWait < kMaxListInterval ? mListWait : kMaxListInterval * (1 + mRank);
-  return Silent(aNow) && !led && aNow - mHeardAt >= mSilent + turn &&
+  return Silent(aNow) && !led && aNow - mLastHeardAt >= mSilent + turn &&
          aNow - mListedAt >= wait;
 }
 
--- a/src/decide/ZoneTakeover.h
+++ b/src/decide/ZoneTakeover.h
@@ -63,13 +63,13 @@
   int Entries() const { return mEntries; } // as last listed; -1 = never
   int Rank() const { return mRank; }
   TimePoint ListedAt() const { return mListedAt; }
-  TimePoint HeardAt() const { return mHeardAt; }
+  TimePoint HeardAt() const { return mLastHeardAt; }
 
 private:
   Millis mSilent = kSilenceTimeout;
   Millis mGap{ 0 };
   TimePoint mStart;
-  TimePoint mHeardAt;
+  TimePoint mLastHeardAt;
   TimePoint mListedAt{};
   TimePoint mEmptySince{}; // none = not empty
   TimePoint mLedByOtherAt{};
--- a/src/entry/EntryDaemon.cpp
+++ b/src/entry/EntryDaemon.cpp
@@ -34,7 +34,7 @@
            mState.mLog,
            mState.mMetrics,
            mState.mSettings.mStore)
-  , mFeed(mState, mStore, [this] { Changed(); })
+  , mFeed(mState, mStore, [this] { OnStateChanged(); })
   , mPeers(mState)
   , mMembers(mState, mStore, mPeers)
   , mRelay(mState, mStore, mPeers, mFeed)
@@ -45,7 +45,12 @@
                ZoneLeaseName(mState.mSettings.mZone),
                mState.mSettings.mOrderSilence)
   , mTokens(mState, mPeers, mMembers)
-  , mOrders(mState, mStore, mPeers, mMembers, mZoneLease, [this] { Changed(); })
+  , mOrders(mState,
+            mStore,
+            mPeers,
+            mMembers,
+            mZoneLease,
+            [this] { OnStateChanged(); })
   , mFront(mState, mTokens, mOrders)
   , mReadyReplies([this](const InboundRequest& aRequest) {
     bool asked = aRequest.mHead.mTarget == wire::kReadyPath;
@@ -72,9 +77,10 @@
     mMetricsPort = ListenPort::Open(
       reactor, mState.mSettings.mMetrics, mMetricsReplies, kMostOthers);
   }
-  mPeers.OnFill([this](Json::Value& aPulse) { FillHeartbeat(aPulse); });
-  mPeers.OnHeartbeat([this](const Peer& aPeer, const Json::Value& aPulse) {
-    ReadHeartbeat(aPeer, aPulse);
+  mPeers.OnHeartbeatFill(
+    [this](Json::Value& aHeartbeat) { FillHeartbeat(aHeartbeat); });
+  mPeers.OnHeartbeat([this](const Peer& aPeer, const Json::Value& aHeartbeat) {
+    ReadHeartbeat(aPeer, aHeartbeat);
   });
   mPeers.Start();
   mMembers.Start();
@@ -96,7 +102,7 @@
 }
 
 void
-EntryDaemon::Changed()
+EntryDaemon::OnStateChanged()
 {
   mOrders.OnChanged();
   mFront.ServersChanged();
@@ -117,17 +123,17 @@
 // ---- What instances tell each other
 
 void
-EntryDaemon::FillHeartbeat(Json::Value& aPulse)
+EntryDaemon::FillHeartbeat(Json::Value& aHeartbeat)
 {
-  mRelay.FillHeartbeat(aPulse);
-  mUse.FillHeartbeat(aPulse);
+  mRelay.FillHeartbeat(aHeartbeat);
+  mUse.FillHeartbeat(aHeartbeat);
 }
 
 void
-EntryDaemon::ReadHeartbeat(const Peer& aPeer, const Json::Value& aPulse)
+EntryDaemon::ReadHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat)
 {
-  mUse.ReadHeartbeat(aPeer, aPulse);
-  mRelay.ReadHeartbeat(aPeer, aPulse);
+  mUse.ReadHeartbeat(aPeer, aHeartbeat);
+  mRelay.ReadHeartbeat(aPeer, aHeartbeat);
   mFront.ServersChanged();
 }
 
@@ -150,7 +156,7 @@
   gauge("caraway_list_age_ms", mState.AgeOf(mFeed.ListNews()).count());
   gauge("caraway_list_told_by_another", mFeed.Paused() ? 1 : 0);
   gauge("caraway_lease_held", mZoneLease.Holds() ? 1 : 0);
-  gauge("caraway_zones_led", static_cast<int64_t>(mOrders.Led()));
+  gauge("caraway_zones_led", static_cast<int64_t>(mOrders.LedZones()));
   gauge("caraway_loads_under_way", static_cast<int64_t>(mOrders.Loads()));
   gauge("caraway_loads_queued", static_cast<int64_t>(mOrders.Waiting()));
   gauge("caraway_store_age_ms", mState.AgeOf(mStore.LastGood()).count());
@@ -213,7 +219,7 @@
     mCallers->RefuseUnread();
   }
   bool done = closed && mFront.RequestsInFlight() == 0 &&
-              mCallers->AllClosed() && !mMembers.SaysGoodbye();
+              mCallers->AllClosed() && !mMembers.RemovingEntry();
   if (done || now >= mState.mLeave.End() + kLastAnswers) {
     mCallers->EndAll();
     mState.mLog.Line("left").Ms("after_ms", mState.AgeOf(mLeavingSince));
--- a/src/entry/EntryDaemon.h
+++ b/src/entry/EntryDaemon.h
@@ -45,9 +45,9 @@
   void Begin();
   void CheckLeaving();
   void LeaveZone();
-  void Changed();
-  void FillHeartbeat(Json::Value& aPulse);
-  void ReadHeartbeat(const Peer& aPeer, const Json::Value& aPulse);
+  void OnStateChanged();
+  void FillHeartbeat(Json::Value& aHeartbeat);
+  void ReadHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat);
   ShortReply MetricsReply() const;
 
   EntryState mState;
--- a/src/entry/EntrySettings.h
+++ b/src/entry/EntrySettings.h
@@ -22,10 +22,12 @@
   double mCpuShare = 1;            // of a core
   Millis mGrace{ 8000 };           // from SIGTERM to SIGKILL
   Millis mOrderSilence{ 3000 };    // between two holders' orders to a server
-  Millis mBeat{ 1200 };            // servers write to their entries so often
-  double mRepeatRatio = 0.2;       // repeats a request, over all instances
-  double mRepeatSlack = 0;         // repeats besides, in each window
-  Millis mRepeatWindow{ 10000 };
+  Millis mServerHeartbeatInterval{
+    1200
+  };                        // servers write to their entries so often
+  double mRetryRatio = 0.2; // repeats a request, over all instances
+  double mRetrySlack = 0;   // repeats besides, in each window
+  Millis mRetryWindow{ 10000 };
 };
 
 } // namespace caraway
--- a/src/entry/EntryState.cpp
+++ b/src/entry/EntryState.cpp
@@ -10,9 +10,8 @@
   , mLog(aClock, mSettings.mName, aLogFile)
   , mServerPool(mReactor)
   , mPeerPool(mReactor)
-  , mRepeats({ mSettings.mRepeatRatio,
-               mSettings.mRepeatSlack,
-               mSettings.mRepeatWindow })
+  , mRepeats(
+      { mSettings.mRetryRatio, mSettings.mRetrySlack, mSettings.mRetryWindow })
   , mRandom(std::random_device{}())
 {
 }
@@ -21,7 +20,7 @@
 EntryState::CountDemand(const std::string& aName, TimePoint aNow)
 {
   mDemand.Add(aName, 1, aNow);
-  ++mAskedSincePulse[aName];
+  ++mRequestsSinceHeartbeat[aName];
 }
 
 Millis
--- a/src/entry/EntryState.h
+++ b/src/entry/EntryState.h
@@ -39,7 +39,7 @@
   ServerView mServers;
   bool mServersKnown = false; // the list was read at least once
   DemandTracker mDemand;      // of all instances
-  std::map<std::string, int> mAskedSincePulse; // here, by model
+  std::map<std::string, int> mRequestsSinceHeartbeat; // here, by model
   ServerRetryBudget mRepeats;
   int mInstances = 1; // that may be running, this one included
   RunTimeEstimates mRunTimes;
--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -155,8 +155,7 @@
   TokenRequest request;
   request.mTenant = mTenant;
   request.mTokens = CostOf(mFacts, aTenant);
-  request.mPatience =
-    std::max(mRoute->mTarget / kTokenPatience, kLeastPatience);
+  request.mMaxWait = std::max(mRoute->mTarget / kTokenPatience, kLeastPatience);
   if (mRoute->mKind == RouteKind::Stream) {
     request.mReserve = ReserveFor(mRoute->mPriority, mConfig->LeastUrgent());
   }
--- a/src/entry/ExchangeEnd.cpp
+++ b/src/entry/ExchangeEnd.cpp
@@ -91,8 +91,10 @@
   const std::string& answered = mAnswerFacts.mServer;
   if (status == 421 && !answered.empty() && answered != server) {
     constexpr int kLostBeats = 3; // an entry goes after so many silent ones
-    mState.mServers.Elsewhere(
-      server, mState.mSettings.mBeat * kLostBeats, mState.Now());
+    mState.mServers.Elsewhere(server,
+                              mState.mSettings.mServerHeartbeatInterval *
+                                kLostBeats,
+                              mState.Now());
     mState.mLog.Line("server_elsewhere")
       .Text("server", server)
       .Text("answered", answered);
--- a/src/entry/FeedRelay.cpp
+++ b/src/entry/FeedRelay.cpp
@@ -68,8 +68,8 @@
     result["entries"] = mFeed.ServersText();
     return result;
   });
-  mPeers.OnNote(kNews, [this](const Json::Value& aNews) { OnTold(aNews); });
-  mPeers.OnNote(kReadNews, [this](const Json::Value&) {
+  mPeers.OnMessage(kNews, [this](const Json::Value& aNews) { OnTold(aNews); });
+  mPeers.OnMessage(kReadNews, [this](const Json::Value&) {
     if (mFeed.Paused() && !mState.mLeave.Leaving()) {
       ReadAgain("asked to");
     }
@@ -113,7 +113,7 @@
   }
   mMarks.push_back({ mState.Now(), mFeed.ServersWhole() });
   Trim();
-  mPeers.SendNoteInZone(kNews, News());
+  mPeers.SendMessageInZone(kNews, News());
   HandOver();
 }
 
@@ -136,7 +136,7 @@
   }
   if (const Peer* first = First()) {
     mHandOverNext = now + kHandOver;
-    mPeers.SendNoteTo(first->mName, kReadNews, Json::Value());
+    mPeers.SendMessageTo(first->mName, kReadNews, Json::Value());
   }
 }
 
@@ -218,10 +218,10 @@
 FeedRelay::OnTold(const Json::Value& aNews)
 {
   std::string from = aNews["from"].asString();
-  if (!mPeers.Stays(from)) {
+  if (!mPeers.IsStaying(from)) {
     return;
   }
-  Millis onTheWay = mPeers.OnTheWay(aNews["echoes"]).value_or(kUnknownWay);
+  Millis onTheWay = mPeers.RoundTripTime(aNews["echoes"]).value_or(kUnknownWay);
   TimePoint now = mState.Now();
   TimePoint newsAt = now - onTheWay - Millis(aNews["age_ms"].asInt64());
   Millis configAge = onTheWay + Millis(aNews["config_age_ms"].asInt64());
--- a/src/entry/FeedRelay.h
+++ b/src/entry/FeedRelay.h
@@ -26,8 +26,8 @@
             ConfigFeed& aFeed);
 
   void Start();
-  void FillHeartbeat(Json::Value& aPulse) const;
-  void ReadHeartbeat(const Peer& aPeer, const Json::Value& aPulse);
+  void FillHeartbeat(Json::Value& aHeartbeat) const;
+  void ReadHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat);
 
 private:
   // A change that this instance, reading the store, took into its own list.
--- a/src/entry/FeedRelayFetch.cpp
+++ b/src/entry/FeedRelayFetch.cpp
@@ -26,18 +26,19 @@
 // ---- By pulses
 
 void
-FeedRelay::FillHeartbeat(Json::Value& aPulse) const
+FeedRelay::FillHeartbeat(Json::Value& aHeartbeat) const
 {
-  aPulse["config"] = Json::Int64(mState.mConfig ? mState.mConfig->mVersion : 0);
-  aPulse["servers"] = Json::Int64(mFeed.ServersRevision());
-  aPulse["rank"] = Rank();
+  aHeartbeat["config"] =
+    Json::Int64(mState.mConfig ? mState.mConfig->mVersion : 0);
+  aHeartbeat["servers"] = Json::Int64(mFeed.ServersRevision());
+  aHeartbeat["rank"] = Rank();
 }
 
 void
-FeedRelay::ReadHeartbeat(const Peer& aPeer, const Json::Value& aPulse)
+FeedRelay::ReadHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat)
 {
-  WantConfig(aPulse["config"].asInt64(), aPeer.mName);
-  int64_t servers = aPulse["servers"].asInt64();
+  WantConfig(aHeartbeat["config"].asInt64(), aPeer.mName);
+  int64_t servers = aHeartbeat["servers"].asInt64();
   if (servers <= mFeed.ServersRevision()) {
     return;
   }
--- a/src/entry/LeaseLoop.cpp
+++ b/src/entry/LeaseLoop.cpp
@@ -20,7 +20,7 @@
 
 // Pulses after which a living holder has said that it holds the lease, however
 // lately it has taken it; some are lost.
-constexpr int kClaimPulses = 2;
+constexpr int kClaimHeartbeats = 2;
 
 Millis
 YieldOf(const EntrySettings& aSettings)
@@ -78,9 +78,9 @@
 void
 LeaseLoop::Start()
 {
-  mPeers.OnFill([this](Json::Value& aPulse) {
+  mPeers.OnHeartbeatFill([this](Json::Value& aHeartbeat) {
     if (Holds()) {
-      aPulse["leases"].append(mName);
+      aHeartbeat["leases"].append(mName);
     }
   });
   std::uniform_int_distribution<int64_t> stagger(0, kStagger.count());
@@ -111,7 +111,7 @@
 {
   TimePoint now = mState.Now();
   if (!mStep.Released()) {
-    HearOfHolder(now);
+    ObserveHolder(now);
   }
   switch (mStep.Due(now)) {
     case LeaseAction::None:
@@ -123,22 +123,22 @@
       Write();
       break;
   }
-  TellChange();
+  ReportChange();
 }
 
 void
-LeaseLoop::HearOfHolder(TimePoint aNow)
+LeaseLoop::ObserveHolder(TimePoint aNow)
 {
   std::string other = mPeers.HolderOf(mName);
   if (!other.empty()) {
     mStep.OnClaim(other, aNow);
-    mClaimer = other;
-  } else if (mPeers.Alive(mClaimer)) {
+    mLastClaimant = other;
+  } else if (mPeers.Alive(mLastClaimant)) {
     mStep.OnHolderReleased(aNow); // it lives, and says so no more
-    mClaimer.clear();
-  } else if (aNow >= mLookAgainAt && mPeers.Alive(mStep.SeenHolder())) {
+    mLastClaimant.clear();
+  } else if (aNow >= mRecheckAt && mPeers.Alive(mStep.SeenHolder())) {
     // Given up, perhaps, before its claim was ever heard here.
-    mLookAgainAt = aNow + mPeers.HeartbeatInterval() * kClaimPulses;
+    mRecheckAt = aNow + mPeers.HeartbeatInterval() * kClaimHeartbeats;
     mStep.LookAgain(aNow);
   }
 }
@@ -151,7 +151,8 @@
               [this](StoreOutcome aOutcome, const std::string& aBody) {
                 TimePoint now = mState.Now();
                 auto record = ReadRecord(aBody);
-                mLookAgainAt = now + mPeers.HeartbeatInterval() * kClaimPulses;
+                mRecheckAt =
+                  now + mPeers.HeartbeatInterval() * kClaimHeartbeats;
                 if (aOutcome == StoreOutcome::Missing) {
                   mStep.OnRead(std::nullopt, now);
                 } else if (aOutcome == StoreOutcome::Done && record) {
@@ -193,12 +194,12 @@
                 } else {
                   mStep.OnFailed(now);
                 }
-                TellChange();
+                ReportChange();
               });
 }
 
 void
-LeaseLoop::TellChange()
+LeaseLoop::ReportChange()
 {
   bool holds = Holds();
   if (holds != mTold) {
--- a/src/entry/LeaseLoop.h
+++ b/src/entry/LeaseLoop.h
@@ -40,19 +40,19 @@
 
 private:
   void Tick();
-  void HearOfHolder(TimePoint aNow);
+  void ObserveHolder(TimePoint aNow);
   void Read();
   void Write();
-  void TellChange();
+  void ReportChange();
 
   EntryState& mState;
   StoreClient& mStore;
   Peers& mPeers;
   std::string mName;
   LeaseStep mStep;
-  Millis mYield;            // by this instance's part of a core
-  std::string mClaimer;     // the last that said it holds the lease
-  TimePoint mLookAgainAt{}; // at a lease whose holder lives and claims nothing
+  Millis mYield;             // by this instance's part of a core
+  std::string mLastClaimant; // the last that said it holds the lease
+  TimePoint mRecheckAt{};    // at a lease whose holder lives and claims nothing
   bool mWanted = true;
   bool mTold = false; // what the last log line said
 };
--- a/src/entry/OrderNotes.cpp
+++ b/src/entry/LoadMessages.cpp
@@ -1,9 +1,9 @@
-#include "entry/OrderNotes.h"
+#include "entry/LoadMessages.h"
 
 namespace caraway {
 
 Json::Value
-WantJson(const LoadRequest& aWant)
+LoadRequestJson(const LoadRequest& aWant)
 {
   Json::Value want;
   want["service"] = aWant.mService;
@@ -15,7 +15,7 @@
 }
 
 LoadRequest
-ReadWant(const Json::Value& aWant)
+ReadLoadRequest(const Json::Value& aWant)
 {
   return { aWant["service"].asString(),
            aWant["model"].asString(),
--- a/src/entry/OrderNotes.h
+++ b/src/entry/LoadMessages.h
@@ -1,7 +1,7 @@
-// OrderNotes.h: what instances tell each other about models: wants, and what
+// LoadMessages.h: what instances tell each other about models: wants, and what
 // servers hold.
-#ifndef caraway_entry_OrderNotes_h
-#define caraway_entry_OrderNotes_h
+#ifndef caraway_entry_LoadMessages_h
+#define caraway_entry_LoadMessages_h
 
 #include <json/json.h>
 
@@ -11,15 +11,15 @@
 namespace caraway {
 
 // A zone has taken up the load of a model; see LoadClaims.
-inline constexpr char kClaim[] = "load_claim";
+inline constexpr char kClaimMessage[] = "load_claim";
 
 // A load from the weight store begins or has ended; see StoreLoadTracker.
-inline constexpr char kStoreLoad[] = "store_load";
+inline constexpr char kStoreLoadMessage[] = "store_load";
 
 Json::Value
-WantJson(const LoadRequest& aWant);
+LoadRequestJson(const LoadRequest& aWant);
 LoadRequest
-ReadWant(const Json::Value& aWant);
+ReadLoadRequest(const Json::Value& aWant);
 
 // A server, its life, orders accepted, what it holds, and for how long it will
 // take no other order. Readers throw
--- a/src/entry/LoadScheduler.cpp
+++ b/src/entry/LoadScheduler.cpp
@@ -22,7 +22,7 @@
   , mChanged(std::move(aChanged))
   , mLease(aLease)
   , mZone(std::move(aZone))
-  , mAccounts(aState, aPeers, aLease, mZone, [this] { mChanged(); })
+  , mInventories(aState, aPeers, aLease, mZone, [this] { mChanged(); })
   , mClaims(mZone)
 {
 }
@@ -31,8 +31,8 @@
 LoadScheduler::Start()
 {
   mState.mReactor.Every(kPump, [this] { Pump(); });
-  mState.mReactor.Every(kGrow, [this] { Grow(); });
-  mAccounts.Start();
+  mState.mReactor.Every(kGrow, [this] { AddReplicas(); });
+  mInventories.Start();
 }
 
 LoadScheduler::Key
--- a/src/entry/LoadScheduler.h
+++ b/src/entry/LoadScheduler.h
@@ -51,12 +51,12 @@
   size_t Waiting() const { return mQueue.size(); }
 
   // Somebody asks for a model or adapter; when it is expected.
-  Json::Value OnWanted(const LoadRequest& aWant);
+  Json::Value OnLoadRequest(const LoadRequest& aWant);
   // Of another zone's holder.
   void OnClaim(const Json::Value& aNote);
   void OnStoreLoad(const Json::Value& aNote);
   // Of this zone's holder, about one of its servers.
-  void TakeContent(const Json::Value& aNote) { mAccounts.TakeContent(aNote); }
+  void OnContent(const Json::Value& aNote) { mInventories.OnContent(aNote); }
 
 private:
   // Service, model, adapter.
@@ -97,20 +97,20 @@
 
   // Deciding.
   void Pump();
-  LoadPriorityFacts RankFacts(const Queued& aQueued) const;
-  Millis UsualLoad(const LoadRequest& aWant) const;
+  LoadPriorityFacts PriorityFactsOf(const Queued& aQueued) const;
+  Millis ShortestLoadTime(const LoadRequest& aWant) const;
   bool Begin(const LoadRequest& aWant, PlacementFacts& aFacts);
   bool BeginAdapter(const LoadRequest& aWant);
-  std::optional<ModelOrder> LeastAskedAdapter(const Backend& aBackend) const;
+  std::optional<ModelOrder> LeastDemandedAdapter(const Backend& aBackend) const;
   PlacementFacts& FactsFor(const std::string& aService);
-  size_t ServersHere(const std::string& aService) const;
-  bool AnyFree(const PlacementFacts& aFacts) const;
+  size_t ServersInZone(const std::string& aService) const;
+  bool AnyServerFree(const PlacementFacts& aFacts) const;
   std::optional<Millis> Estimate(const LoadRequest& aWant);
-  std::optional<Millis> LeftToAnother(const LoadRequest& aWant);
-  void Grow();
+  std::optional<Millis> ExpectedFromOtherZone(const LoadRequest& aWant);
+  void AddReplicas();
   // To the other zones' holders, for a model that nobody holds.
-  void TellClaim(const LoadRequest& aWant, bool aBegun, Millis aExpected);
-  void TellStoreLoad(const std::string& aServer, Millis aLeft);
+  void SendClaim(const LoadRequest& aWant, bool aBegun, Millis aExpected);
+  void SendStoreLoad(const std::string& aServer, Millis aLeft);
 
   // Ordering.
   Job* Find(const std::string& aServer, uint64_t aId);
@@ -119,7 +119,7 @@
   void OnAnswer(const std::string& aServer, uint64_t aId, OrderAnswer aAnswer);
   void OnAccepted(Job& aJob, bool aDone);
   void AfterLoadOrder(Job& aJob);
-  void TakeAsLoaded(const std::string& aServer, uint64_t aId);
+  void AssumeLoaded(const std::string& aServer, uint64_t aId);
   void Retry(Job& aJob, Millis aDelay);
   void Resync(Job& aJob);
   void PollLoaded(const std::string& aServer, uint64_t aId);
@@ -135,15 +135,15 @@
   std::string mZone;
   std::map<Key, Queued> mQueue;
   std::map<std::string, Job> mJobs; // by server
-  ServerInventories mAccounts;
+  ServerInventories mInventories;
   // Until when, by server and model; see PlacementFacts.
   std::map<std::pair<std::string, std::string>, TimePoint> mRecentlyLoaded;
   StoreLoadTracker mStoreLoads;
   LoadClaims mClaims;
   // By service, with when demand and replicas were counted.
   std::map<std::string, std::pair<TimePoint, PlacementFacts>> mFacts;
-  bool mPumpDue = false;
-  TimePoint mPumpedAt{};
+  bool mScheduleDue = false;
+  TimePoint mScheduledAt{};
   uint64_t mNextJob = 0;
 };
 
--- a/src/entry/LoadSchedulerBegin.cpp
+++ b/src/entry/LoadSchedulerBegin.cpp
@@ -39,13 +39,13 @@
     }
     if (!aWant.mMore) {
       // Who asks hasn't heard of it yet, or found it missing.
-      mAccounts.Recheck(id);
+      mInventories.Recheck(id);
       return true;
     }
   }
   mStoreLoads.SetLimits(engine->mLoadsPerSecond,
                         mState.mSettings.mZones.size(),
-                        ServersHere(aWant.mService));
+                        ServersInZone(aWant.mService));
   aFacts.mStoreWait = mStoreLoads.Wait(mState.Now());
   auto choice = ChoosePlacement(*engine, aWant.mModel, mState.mServers, aFacts);
   if (!choice) {
@@ -74,7 +74,7 @@
   load.mModel = aWant.mModel;
   job.mSteps.push_back(load);
   aFacts.mBusy[job.mServer] = choice->Whole();
-  TellClaim(aWant, true, choice->Whole());
+  SendClaim(aWant, true, choice->Whole());
   StartJob(std::move(job));
   return aWant.mAdapter.empty();
 }
@@ -90,12 +90,12 @@
     if (backend.mEntry.mZone != mZone ||
         backend.mEntry.mService != aWant.mService || backend.mEntry.mDraining ||
         !backend.Holds(aWant.mModel, "") || mJobs.count(id) ||
-        !mAccounts.AtRest(id) ||
+        !mInventories.AtRest(id) ||
         now < std::max(backend.mAvoidUntil, backend.mAddressReusedUntil)) {
       continue;
     }
     if (backend.Holds(aWant.mModel, aWant.mAdapter)) {
-      mAccounts.Recheck(id);
+      mInventories.Recheck(id);
       return true;
     }
     size_t count = 0;
@@ -119,7 +119,7 @@
                 : 0;
   job.mLoad = kAdapterBase + Millis(static_cast<int64_t>(mb / kAdapterMbPerMs));
   if (static_cast<int>(bestCount) >= engine->mAdapterSlots) {
-    auto victim = LeastAskedAdapter(*best);
+    auto victim = LeastDemandedAdapter(*best);
     if (!victim) {
       return false;
     }
@@ -135,7 +135,7 @@
 
 // Its unload; nothing while all are in use.
 std::optional<ModelOrder>
-LoadScheduler::LeastAskedAdapter(const Backend& aBackend) const
+LoadScheduler::LeastDemandedAdapter(const Backend& aBackend) const
 {
   std::optional<ModelOrder> least;
   double leastRate = 0;
--- a/src/entry/LoadSchedulerClaims.cpp
+++ b/src/entry/LoadSchedulerClaims.cpp
@@ -1,13 +1,13 @@
 #include "entry/LoadScheduler.h"
 
-#include "entry/OrderNotes.h"
+#include "entry/LoadMessages.h"
 
 namespace caraway {
 
 // What the zones' holders tell each other, so that one of them loads a model.
 
 void
-LoadScheduler::TellClaim(const LoadRequest& aWant,
+LoadScheduler::SendClaim(const LoadRequest& aWant,
                          bool aBegun,
                          Millis aExpected)
 {
@@ -20,17 +20,17 @@
   note["model"] = aWant.mModel;
   note["begun"] = aBegun;
   note["expected_ms"] = Json::Int64(aExpected.count());
-  mTell(kClaim, note);
+  mTell(kClaimMessage, note);
 }
 
 // aLeft 0: it has ended.
 void
-LoadScheduler::TellStoreLoad(const std::string& aServer, Millis aLeft)
+LoadScheduler::SendStoreLoad(const std::string& aServer, Millis aLeft)
 {
   Json::Value note;
   note["server"] = aServer;
   note["left_ms"] = Json::Int64(aLeft.count());
-  mTell(kStoreLoad, note);
+  mTell(kStoreLoadMessage, note);
 }
 
 void
--- a/src/entry/LoadSchedulerDecide.cpp
+++ b/src/entry/LoadSchedulerDecide.cpp
@@ -35,7 +35,7 @@
 // get another replica.
 
 Json::Value
-LoadScheduler::OnWanted(const LoadRequest& aWant)
+LoadScheduler::OnLoadRequest(const LoadRequest& aWant)
 {
   Json::Value result(Json::objectValue);
   if (!mLease.Holds() || !EngineOf(aWant.mService)) {
@@ -43,7 +43,7 @@
     return result;
   }
   TimePoint now = mState.Now();
-  if (auto left = LeftToAnother(aWant)) {
+  if (auto left = ExpectedFromOtherZone(aWant)) {
     result["expected_ms"] = Json::Int64(left->count());
     return result;
   }
@@ -57,13 +57,13 @@
   queued.mAskedAt = now;
   queued.mNeedBy = std::max(queued.mNeedBy, now + aWant.mLeft);
   if (added) {
-    mPumpDue = true;
+    mScheduleDue = true;
     Pump();
   }
   if (auto expected = Estimate(aWant)) {
     result["expected_ms"] = Json::Int64(expected->count());
     if (added && mQueue.count(KeyOf(aWant))) {
-      TellClaim(aWant, false, *expected);
+      SendClaim(aWant, false, *expected);
     }
   }
   return result;
@@ -72,7 +72,7 @@
 // When another zone brings aWant; nothing when this one has to, or does it
 // notably sooner.
 std::optional<Millis>
-LoadScheduler::LeftToAnother(const LoadRequest& aWant)
+LoadScheduler::ExpectedFromOtherZone(const LoadRequest& aWant)
 {
   TimePoint now = mState.Now();
   auto elsewhere = aWant.mMore || !aWant.mAdapter.empty()
@@ -132,7 +132,7 @@
     }
     // What it holds is being asked for.
     if (backend.mEntry.mZone == facts.mZone && !facts.mBusy.count(id) &&
-        backend.mEntry.mService == aService && !mAccounts.AtRest(id)) {
+        backend.mEntry.mService == aService && !mInventories.AtRest(id)) {
       facts.mBusy[id] = std::max(backend.LoadingFor(now), kReport);
     }
   }
@@ -164,21 +164,21 @@
       ++at;
     }
   }
-  bool due = mPumpDue || now - mPumpedAt >= kPumpAnyway;
+  bool due = mScheduleDue || now - mScheduledAt >= kPumpAnyway;
   if (!mLease.MayAct() || !due || queue.empty()) {
     return;
   }
-  mPumpDue = false;
-  mPumpedAt = now;
+  mScheduleDue = false;
+  mScheduledAt = now;
   std::vector<std::pair<LoadPriorityKey, Queued*>> ranked;
   for (Queued* queued : queue) {
-    ranked.emplace_back(RankLoad(RankFacts(*queued), now), queued);
+    ranked.emplace_back(RankLoad(PriorityFactsOf(*queued), now), queued);
   }
   std::sort(ranked.begin(), ranked.end());
   std::vector<Key> begun;
   for (const auto& [rank, queued] : ranked) {
     PlacementFacts& facts = FactsFor(queued->mWant.mService);
-    if (AnyFree(facts) && Begin(queued->mWant, facts)) {
+    if (AnyServerFree(facts) && Begin(queued->mWant, facts)) {
       begun.push_back(KeyOf(queued->mWant));
     }
   }
@@ -188,7 +188,7 @@
 }
 
 LoadPriorityFacts
-LoadScheduler::RankFacts(const Queued& aQueued) const
+LoadScheduler::PriorityFactsOf(const Queued& aQueued) const
 {
   LoadPriorityFacts facts;
   facts.mRate = mState.mDemand.Rate(aQueued.mWant.mModel, mState.Now());
@@ -196,12 +196,12 @@
   facts.mAsked = aQueued.mWant.mPriority < kLowestPriority; // or all are full
   facts.mSince = aQueued.mSince;
   facts.mNeedBy = aQueued.mNeedBy;
-  facts.mLoad = UsualLoad(aQueued.mWant);
+  facts.mLoad = ShortestLoadTime(aQueued.mWant);
   return facts;
 }
 
 size_t
-LoadScheduler::ServersHere(const std::string& aService) const
+LoadScheduler::ServersInZone(const std::string& aService) const
 {
   size_t count = 0;
   for (const auto& [id, backend] : mState.mServers.All()) {
@@ -217,7 +217,7 @@
 // the time, and looking for a place for each want would take the instance's
 // whole part of a core.
 bool
-LoadScheduler::AnyFree(const PlacementFacts& aFacts) const
+LoadScheduler::AnyServerFree(const PlacementFacts& aFacts) const
 {
   for (const auto& [id, backend] : mState.mServers.All()) {
     if (backend.mEntry.mService == aFacts.mService &&
@@ -231,7 +231,7 @@
 
 // The soonest that a server of this zone has it once it begins.
 Millis
-LoadScheduler::UsualLoad(const LoadRequest& aWant) const
+LoadScheduler::ShortestLoadTime(const LoadRequest& aWant) const
 {
   const EngineSpec* engine = EngineOf(aWant.mService);
   if (!engine || !aWant.mAdapter.empty()) {
@@ -255,7 +255,7 @@
 // More replicas of what is asked for more than its servers can carry, before
 // requests have to wait.
 void
-LoadScheduler::Grow()
+LoadScheduler::AddReplicas()
 {
   if (!mLease.MayAct() || !mState.mConfig) {
     return;
@@ -274,7 +274,7 @@
       if (need != ReplicaNeed::None) {
         LoadRequest want{ name, model, "", kLowestPriority, Millis(0), true };
         want.mPriority = need == ReplicaNeed::Now ? 0 : kLowestPriority;
-        OnWanted(want);
+        OnLoadRequest(want);
       }
     }
   }
--- a/src/entry/LoadSchedulerReport.cpp
+++ b/src/entry/LoadSchedulerReport.cpp
@@ -1,6 +1,6 @@
 #include "entry/LoadScheduler.h"
 
-#include "entry/OrderTimes.h"
+#include "entry/OrderLimits.h"
 
 namespace caraway {
 
@@ -24,13 +24,13 @@
   uint64_t id = aJob.mId;
   Backend* backend = mState.mServers.Find(server);
   HeldModels planned = backend ? backend->mModels : HeldModels();
-  mAccounts.Learn(server, [this, server, id, planned](bool aSettled) {
+  mInventories.Learn(server, [this, server, id, planned](bool aSettled) {
     Job* job = Find(server, id);
     Backend* known = mState.mServers.Find(server);
     if (!job || !known) {
       return;
     }
-    if (!aSettled && ++job->mTries > kMostTries) {
+    if (!aSettled && ++job->mTries > kMaxOrderAttempts) {
       EndJob(server, "no report");
     } else if (!aSettled) {
       Retry(*job, kResyncRetry);
@@ -56,7 +56,7 @@
     EndJob(aServer, "load takes too long");
     return;
   }
-  mAccounts.Learn(aServer, [this, aServer, aId](bool aSettled) {
+  mInventories.Learn(aServer, [this, aServer, aId](bool aSettled) {
     OnPolled(aServer, aId, aSettled);
   });
 }
--- a/src/entry/LoadSchedulerSend.cpp
+++ b/src/entry/LoadSchedulerSend.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-#include "entry/OrderNotes.h"
-#include "entry/OrderTimes.h"
+#include "entry/LoadMessages.h"
+#include "entry/OrderLimits.h"
 #include "platform/OrderMessage.h"
 
 namespace caraway {
@@ -35,7 +35,7 @@
 
 // A pulse may be lost, so two of them are waited for; in a large fleet, where
 // pulses are rare, no longer than a load takes.
-constexpr int kSettleTurns = 2;
+constexpr int kSettleRounds = 2;
 
 constexpr Millis kMostSettle{ 1000 };
 
@@ -62,7 +62,7 @@
   aJob.mId = ++mNextJob;
   if (aJob.mSource == WeightSource::Store) {
     mStoreLoads.Began(aJob.mServer, aJob.mUnload + aJob.mLoad, now);
-    TellStoreLoad(aJob.mServer, aJob.mUnload + aJob.mLoad);
+    SendStoreLoad(aJob.mServer, aJob.mUnload + aJob.mLoad);
   }
   const ModelOrder& first = aJob.mSteps.front();
   mState.mLog.Line("place_decided")
@@ -71,7 +71,7 @@
     .Text("adapter", aJob.mWant.mAdapter)
     .Text("evict", first.mLoad ? "" : first.mModel + "/" + first.mAdapter)
     .Count("source", static_cast<int>(aJob.mSource))
-    .Count("orders", mAccounts.Of(aJob.mServer).Orders())
+    .Count("orders", mInventories.Of(aJob.mServer).Orders())
     .Number("rate", mState.mDemand.Rate(aJob.mWant.mModel, now))
     .Count("priority", aJob.mWant.mPriority)
     .Ms("expected_ms", aJob.mUnload + aJob.mLoad);
@@ -82,7 +82,7 @@
   backend->mLoadingUntil = aJob.mExpected;
   mJobs[server] = std::move(aJob);
   if (tell) {
-    mAccounts.Tell(server);
+    mInventories.Tell(server);
   }
   SendStep(server, id);
 }
@@ -105,11 +105,11 @@
     EndJob(aServer, "lease ended");
     return;
   }
-  if (++job->mTries > kMostTries) {
+  if (++job->mTries > kMaxOrderAttempts) {
     EndJob(aServer, "too many tries");
     return;
   }
-  ServerInventory& account = mAccounts.Of(aServer);
+  ServerInventory& account = mInventories.Of(aServer);
   if (!account.Known()) {
     Resync(*job);
     return;
@@ -159,7 +159,7 @@
                         "answer=\"" +
                           std::to_string(static_cast<int>(aAnswer)) + "\"");
   const ModelOrder& step = job->mSteps.front();
-  ServerInventory& account = mAccounts.Of(aServer);
+  ServerInventory& account = mInventories.Of(aServer);
   switch (aAnswer) {
     case OrderAnswer::Accepted:
       OnAccepted(*job, false);
@@ -215,11 +215,11 @@
   aJob.mSteps.pop_front();
   aJob.mTries = 0;
   aJob.mCounted = true;
-  mAccounts.Of(server).OnAccepted(step, aDone);
+  mInventories.Of(server).OnAccepted(step, aDone);
   if (step.mLoad) {
-    mAccounts.Put(server);
+    mInventories.Put(server);
   } else {
-    mAccounts.Show(server);
+    mInventories.Show(server);
     mChanged(); // may end the job
   }
   Job* job = Find(server, id);
@@ -235,7 +235,7 @@
   // server refuses other orders.
   bool adapter = !step.mAdapter.empty();
   if (adapter && !aDone) {
-    mAccounts.Of(server).Forget();
+    mInventories.Of(server).Forget();
   }
   Retry(*job, adapter ? Millis(0) : kUnloadTime);
 }
@@ -259,14 +259,14 @@
   // model only a fifth of a second late: a quarter of what its load takes.
   bool adapter = !aJob.mWant.mAdapter.empty();
   mState.mReactor.After(aJob.mLoad + (adapter ? Millis(0) : kLoadMargin),
-                        [this, server, id] { TakeAsLoaded(server, id); });
+                        [this, server, id] { AssumeLoaded(server, id); });
 }
 
 // What comes from a server's own memory or disk comes in the time that the
 // configuration names. Should it be late, a request finds it missing and is
 // sent again.
 void
-LoadScheduler::TakeAsLoaded(const std::string& aServer, uint64_t aId)
+LoadScheduler::AssumeLoaded(const std::string& aServer, uint64_t aId)
 {
   Job* job = Find(aServer, aId);
   if (!job) {
@@ -277,8 +277,8 @@
     EndJob(aServer, "server gone");
     return;
   }
-  mAccounts.Of(aServer).OnLoadFinished();
-  mAccounts.Show(aServer);
+  mInventories.Of(aServer).OnLoadFinished();
+  mInventories.Show(aServer);
   EndJob(aServer, job->mWant.mAdapter.empty() ? "loaded" : "adapter loaded");
   mChanged();
 }
@@ -294,7 +294,7 @@
 void
 LoadScheduler::OnChanged()
 {
-  mPumpDue = true;
+  mScheduleDue = true;
   std::vector<std::string> loaded;
   std::vector<std::string> lost;
   for (const auto& [server, job] : mJobs) {
@@ -333,19 +333,19 @@
   bool there = backend && backend->Holds(job.mWant.mModel, job.mWant.mAdapter);
   if (job.mSource == WeightSource::Store) {
     mStoreLoads.Ended(aServer, there, mState.Now());
-    TellStoreLoad(aServer, Millis(0));
+    SendStoreLoad(aServer, Millis(0));
   }
   if (backend) {
     backend->mLoadingUntil = mState.Now();
   }
   // An order may still be under way, or come late.
   if (backend && !there) {
-    mAccounts.Of(aServer).Forget();
+    mInventories.Of(aServer).Forget();
   }
   if (there && job.mWant.mAdapter.empty()) {
     Settle(aServer, job.mWant.mModel);
   }
-  mPumpDue = true;
+  mScheduleDue = true;
   mJobs.erase(found);
 }
 
@@ -361,7 +361,7 @@
     at = now < at->second ? std::next(at) : mRecentlyLoaded.erase(at);
   }
   mRecentlyLoaded[{ aServer, aModel }] =
-    now + std::min(mPeers.HeartbeatInterval() * kSettleTurns, kMostSettle);
+    now + std::min(mPeers.HeartbeatInterval() * kSettleRounds, kMostSettle);
 }
 
 } // namespace caraway
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -55,15 +55,17 @@
     OnCountMe(aParams);
     return Json::Value(Json::objectValue);
   });
-  mPeers.OnNote(kLeft, [this](const Json::Value& aNote) {
+  mPeers.OnMessage(kLeft, [this](const Json::Value& aNote) {
     mZone.OnLeft(aNote["name"].asString());
     mOnChange();
   });
-  mPeers.OnNote(kListNews, [this](const Json::Value&) { mLookNow = true; });
-  mPeers.OnFill([this](Json::Value& aPulse) { FillHeartbeat(aPulse); });
-  mPeers.OnHeartbeat([this](const Peer& aPeer, const Json::Value& aPulse) {
+  mPeers.OnMessage(kListNews,
+                   [this](const Json::Value&) { mFreshListDue = true; });
+  mPeers.OnHeartbeatFill(
+    [this](Json::Value& aHeartbeat) { FillHeartbeat(aHeartbeat); });
+  mPeers.OnHeartbeat([this](const Peer& aPeer, const Json::Value& aHeartbeat) {
     if (aPeer.mZone == mState.mSettings.mZone) {
-      ReadHeartbeat(aPeer.mName, aPulse);
+      ReadHeartbeat(aPeer.mName, aHeartbeat);
     }
   });
   Join();
@@ -80,35 +82,36 @@
   if (mZone.MustJoin() && !mJoining && !mState.mLeave.Leaving()) {
     Join();
   }
-  AskToBeCounted();
+  RequestConfirmations();
   Forget();
-  TellChange();
+  ReportChange();
   bool needed = mZone.NeedsStore(now);
   Millis wait = needed ? std::min(mListWait, kListNeeded) : mListWait;
-  if (!mListing && (mLookNow || mState.AgeOf(mListedAt) >= wait)) {
+  if (!mListing && (mFreshListDue || mState.AgeOf(mListedAt) >= wait)) {
     List();
   }
 }
 
 void
-Membership::FillHeartbeat(Json::Value& aPulse) const
+Membership::FillHeartbeat(Json::Value& aHeartbeat) const
 {
   MemberHeartbeat pulse = mZone.Pulse(mState.Now());
-  aPulse["counted"] = pulse.mCounted;
+  aHeartbeat["counted"] = pulse.mCounted;
   for (const std::string& mate : pulse.mSilent) {
-    aPulse["silent"].append(mate);
+    aHeartbeat["silent"].append(mate);
   }
 }
 
 void
-Membership::ReadHeartbeat(const std::string& aMate, const Json::Value& aPulse)
+Membership::ReadHeartbeat(const std::string& aZonePeer,
+                          const Json::Value& aHeartbeat)
 {
   MemberHeartbeat pulse;
-  pulse.mCounted = aPulse["counted"].asBool();
-  for (const Json::Value& mate : aPulse["silent"]) {
+  pulse.mCounted = aHeartbeat["counted"].asBool();
+  for (const Json::Value& mate : aHeartbeat["silent"]) {
     pulse.mSilent.insert(mate.asString());
   }
-  mZone.OnHeartbeat(aMate, pulse, mState.Now());
+  mZone.OnHeartbeat(aZonePeer, pulse, mState.Now());
 }
 
 void
@@ -174,7 +177,7 @@
       }
       mJoining = false;
       mRevision = object->mRevision;
-      mToldCounted = aCounted;
+      mRecordedCounted = aCounted;
       mZone.OnJoined(aCounted, asked);
       List();
     });
@@ -182,9 +185,9 @@
 
 // So that its next life needs nobody's confirmation.
 void
-Membership::NoteCounted()
+Membership::RecordCounted()
 {
-  if (mToldCounted || mJoining || mState.mLeave.Leaving() || !MaySpend()) {
+  if (mRecordedCounted || mJoining || mState.mLeave.Leaving() || !MaySpend()) {
     return;
   }
   mJoining = true;
@@ -197,7 +200,7 @@
                 auto object = wire::ReadObjectAnswer(aBody);
                 if (aOutcome == StoreOutcome::Done && object) {
                   mRevision = object->mRevision;
-                  mToldCounted = true;
+                  mRecordedCounted = true;
                 } else if (aOutcome == StoreOutcome::Conflict ||
                            aOutcome == StoreOutcome::Missing) {
                   Join();
@@ -216,15 +219,15 @@
   if (mRevision == 0 || mJoining) {
     return;
   }
-  mSaysGoodbye = true;
+  mRemovingEntry = true;
   Json::Value note;
   note["name"] = mState.mSettings.mName;
   mStore.Call("leave",
               wire::DeleteCall(kKind, mState.mSettings.mName, mRevision),
               [this, note](StoreOutcome aOutcome, const std::string&) {
-                mSaysGoodbye = false;
+                mRemovingEntry = false;
                 if (aOutcome == StoreOutcome::Done) {
-                  mPeers.SendNoteInZone(kLeft, note);
+                  mPeers.SendMessageInZone(kLeft, note);
                 }
               });
 }
@@ -237,8 +240,8 @@
   uint64_t round = ++mListRound;
   mListing = true;
   TimePoint asked = mState.Now();
-  bool fresh = mLookNow || mZone.NeedsStore(asked);
-  mLookNow = false;
+  bool fresh = mFreshListDue || mZone.NeedsStore(asked);
+  mFreshListDue = false;
   mStore.Call("list_instances",
               wire::ListCall(kKind, "", !fresh),
               [this, round, asked, fresh](StoreOutcome aOutcome,
@@ -291,13 +294,13 @@
   if (aFresh && readable) {
     mOnCensus(census, aAskedAt);
   }
-  DropSilent(listed);
+  DropSilentPeers(listed);
   mOnChange();
 }
 
 // Those that the list lacks and that are silent are gone.
 void
-Membership::DropSilent(const std::set<std::string>& aListed)
+Membership::DropSilentPeers(const std::set<std::string>& aListed)
 {
   std::vector<std::string> gone;
   for (const auto& [name, peer] : mPeers.All()) {
@@ -313,7 +316,7 @@
 }
 
 void
-Membership::AskToBeCounted()
+Membership::RequestConfirmations()
 {
   Json::Value params;
   params["name"] = mState.mSettings.mName;
@@ -361,8 +364,8 @@
     mStore.Call(mark ? "mark_instance" : "forget_instance",
                 call,
                 [this](StoreOutcome, const std::string&) {
-                  mLookNow = true;
-                  mPeers.SendNoteInZone(kListNews, Json::Value());
+                  mFreshListDue = true;
+                  mPeers.SendMessageInZone(kListNews, Json::Value());
                   mState.mReactor.After(kRetry,
                                         [this] { mForgetting = false; });
                 });
@@ -371,14 +374,14 @@
 }
 
 void
-Membership::TellChange()
+Membership::ReportChange()
 {
-  NoteCounted();
+  RecordCounted();
   bool spends = MaySpend();
   if (spends != mTold) {
     mTold = spends;
     mState.mLog.Line(spends ? "part_begun" : "part_ended")
-      .Count("members", static_cast<int64_t>(OfZone().size()))
+      .Count("members", static_cast<int64_t>(CountedMembers().size()))
       .Count("unconfirmed", static_cast<int64_t>(mZone.Unconfirmed().size()))
       .Flag("store", mStore.Reached());
     mOnChange();
--- a/src/entry/Membership.h
+++ b/src/entry/Membership.h
@@ -25,57 +25,58 @@
   // Tells the zone that this instance spends nothing from now on.
   void Leave();
   // The zone isn't told yet.
-  bool SaysGoodbye() const { return mSaysGoodbye; }
-  // Called when MaySpend() or OfZone() may be different.
+  bool RemovingEntry() const { return mRemovingEntry; }
+  // Called when MaySpend() or CountedMembers() may be different.
   void OnChange(std::function<void()> aChange)
   {
     mOnChange = std::move(aChange);
   }
   // Called with how many entries each zone has, as a fresh list showed it.
-  using Census =
+  using ZoneCounts =
     std::function<void(const std::map<std::string, int>&, TimePoint aAskedAt)>;
-  void OnCensus(Census aCensus) { mOnCensus = std::move(aCensus); }
+  void OnZoneCounts(ZoneCounts aCensus) { mOnCensus = std::move(aCensus); }
   // A fresh list is wanted.
-  void LookSoon() { mLookNow = true; }
+  void RequestFreshList() { mFreshListDue = true; }
 
   // This instance may spend its part of tenants' limits.
   bool MaySpend() const { return mZone.MaySpend(mState.Now()); }
   // The instances of this zone that are counted, this one included.
-  std::vector<std::string> OfZone() const { return mZone.All(); }
+  std::vector<std::string> CountedMembers() const { return mZone.All(); }
 
 private:
   StoreObject Entry(bool aCounted) const;
   void Join();
   void Write(int64_t aRevision, bool aCounted);
-  void NoteCounted();
+  void RecordCounted();
   void List();
   void OnList(const StorePage& aPage, bool aFresh, TimePoint aAskedAt);
-  void DropSilent(const std::set<std::string>& aListed);
+  void DropSilentPeers(const std::set<std::string>& aListed);
   void OnCountMe(const Json::Value& aParams);
-  void AskToBeCounted();
+  void RequestConfirmations();
   void Forget();
-  void TellChange();
+  void ReportChange();
   void Look();
-  void FillHeartbeat(Json::Value& aPulse) const;
-  void ReadHeartbeat(const std::string& aMate, const Json::Value& aPulse);
+  void FillHeartbeat(Json::Value& aHeartbeat) const;
+  void ReadHeartbeat(const std::string& aZonePeer,
+                     const Json::Value& aHeartbeat);
 
   EntryState& mState;
   StoreClient& mStore;
   Peers& mPeers;
   ZoneMembers mZone;
   std::function<void()> mOnChange = [] {};
-  Census mOnCensus = [](const auto&, TimePoint) {};
+  ZoneCounts mOnCensus = [](const auto&, TimePoint) {};
   Millis mListWait;
   uint64_t mListRound = 0;
   bool mListing = false;
-  bool mLookNow = false; // a fresh list is due
+  bool mFreshListDue = false; // a fresh list is due
   TimePoint mListedAt{};
   int64_t mRevision = 0;                       // of this instance's entry
   std::map<std::string, StoreObject> mEntries; // of the zone, as listed
   std::set<std::string> mAsking;               // mates, to be counted
   bool mJoining = false;                       // a write of the entry is due
-  bool mSaysGoodbye = false;                   // its entry is being removed
-  bool mToldCounted = false;                   // by the entry
+  bool mRemovingEntry = false;                 // its entry is being removed
+  bool mRecordedCounted = false;               // by the entry
   bool mForgetting = false;
   bool mTold = false; // what the last log line said
 };
--- a/src/entry/OrderTimes.h
+++ b/src/entry/OrderLimits.h
@@ -1,6 +1,6 @@
-// OrderTimes.h: limits that orders and reports share.
-#ifndef caraway_entry_OrderTimes_h
-#define caraway_entry_OrderTimes_h
+// OrderLimits.h: limits that orders and reports share.
+#ifndef caraway_entry_OrderLimits_h
+#define caraway_entry_OrderLimits_h
 
 #include "caraway/Time.h"
 
@@ -8,7 +8,7 @@
 
 // Of one step of a job, reports included; then it is planned anew. Six seconds
 // of asking: longer than all but the longest streams hold up an unload.
-inline constexpr int kMostTries = 60;
+inline constexpr int kMaxOrderAttempts = 60;
 
 // A server answers an order within milliseconds; one that doesn't within this
 // is down, or its answer is lost.
--- a/src/entry/Peers.cpp
+++ b/src/entry/Peers.cpp
@@ -22,13 +22,13 @@
 // In a large fleet six turns, see HeartbeatInterval().
 constexpr Millis kAlive{ 1500 };
 
-constexpr int kAliveTurns = 6;
+constexpr int kAliveRounds = 6;
 
 // A datagram larger than this is cut into pieces by the network.
 constexpr size_t kMostDatagram = 60000;
 
 std::string
-NoteText(const std::string& aKind, const Json::Value& aNote)
+MessageText(const std::string& aKind, const Json::Value& aNote)
 {
   Json::Value note;
   note["note"] = aKind;
@@ -59,13 +59,13 @@
     mState.mReactor, mState.mSettings.mPeers, mReplies, kMostConns);
   mLife = Stamp();
   mState.mReactor.Every(kPulse, [this] { Pulse(); });
-  StartLeaving();
+  WatchLeaving();
 }
 
 void
-Peers::OnFill(std::function<void(Json::Value&)> aFill)
+Peers::OnHeartbeatFill(std::function<void(Json::Value&)> aFill)
 {
-  mFills.push_back(std::move(aFill));
+  mHeartbeatFillers.push_back(std::move(aFill));
 }
 
 void
@@ -75,10 +75,10 @@
 }
 
 void
-Peers::OnNote(const std::string& aKind,
-              std::function<void(const Json::Value&)> aRead)
+Peers::OnMessage(const std::string& aKind,
+                 std::function<void(const Json::Value&)> aRead)
 {
-  mNotes[aKind] = std::move(aRead);
+  mMessageHandlers[aKind] = std::move(aRead);
 }
 
 void
@@ -90,13 +90,13 @@
 bool
 Peers::Alive(const Peer& aPeer) const
 {
-  return aPeer.mHeardAt != TimePoint() &&
-         mState.Now() - aPeer.mHeardAt <
-           std::max(kAlive, HeartbeatInterval() * kAliveTurns);
+  return aPeer.mLastHeardAt != TimePoint() &&
+         mState.Now() - aPeer.mLastHeardAt <
+           std::max(kAlive, HeartbeatInterval() * kAliveRounds);
 }
 
 int
-Peers::PulseTurns() const
+Peers::HeartbeatRounds() const
 {
   size_t turns = (mPeers.size() + kAtATime - 1) / kAtATime;
   return static_cast<int>(std::max<size_t>(turns, 1));
@@ -105,7 +105,7 @@
 Millis
 Peers::HeartbeatInterval() const
 {
-  return kPulse * PulseTurns();
+  return kPulse * HeartbeatRounds();
 }
 
 bool
@@ -164,7 +164,7 @@
   pulse["stamp"] = Json::Int64(Stamp());
   pulse["leaving"] = mState.mLeave.Leaving();
   pulse["left"] = mLeft;
-  for (const auto& fill : mFills) {
+  for (const auto& fill : mHeartbeatFillers) {
     fill(pulse);
   }
   mClaims.clear();
@@ -172,13 +172,13 @@
     mClaims.insert(lease.asString());
   }
   std::string text = JsonWrite(pulse);
-  auto next = mPeers.upper_bound(mLastPulsed);
+  auto next = mPeers.upper_bound(mLastHeartbeatTo);
   for (size_t i = 0; i < std::min(kAtATime, mPeers.size()); ++i, ++next) {
     if (next == mPeers.end()) {
       next = mPeers.begin();
     }
     SendTo(next->second, text);
-    mLastPulsed = next->first;
+    mLastHeartbeatTo = next->first;
   }
   ForgetSilent();
 }
@@ -195,36 +195,36 @@
 }
 
 void
-Peers::SendNote(const std::string& aKind, const Json::Value& aNote)
+Peers::SendMessage(const std::string& aKind, const Json::Value& aNote)
 {
-  std::string text = NoteText(aKind, aNote);
+  std::string text = MessageText(aKind, aNote);
   for (const auto& [name, peer] : mPeers) {
     SendTo(peer, text);
   }
 }
 
 void
-Peers::SendNoteTo(const std::string& aPeer,
-                  const std::string& aKind,
-                  const Json::Value& aNote)
+Peers::SendMessageTo(const std::string& aPeer,
+                     const std::string& aKind,
+                     const Json::Value& aNote)
 {
   auto found = mPeers.find(aPeer);
   if (found != mPeers.end()) {
-    SendTo(found->second, NoteText(aKind, aNote));
+    SendTo(found->second, MessageText(aKind, aNote));
   }
 }
 
 void
-Peers::SendNoteInZone(const std::string& aKind, const Json::Value& aNote)
+Peers::SendMessageInZone(const std::string& aKind, const Json::Value& aNote)
 {
-  std::string text = NoteText(aKind, aNote);
+  std::string text = MessageText(aKind, aNote);
   for (const auto& [name, peer] : mPeers) {
     if (peer.mZone == mState.mSettings.mZone) {
       SendTo(peer, text);
     }
   }
   for (const auto& [name, departed] : mDeparted) {
-    if (EndsHere(departed)) {
+    if (DrainsInZone(departed)) {
       SendTo(departed.mPeer, text);
     }
   }
@@ -275,8 +275,8 @@
   Json::Value value = JsonParseOrEmpty(aText);
   try {
     if (value.isMember("note")) {
-      auto found = mNotes.find(value["note"].asString());
-      if (found != mNotes.end()) {
+      auto found = mMessageHandlers.find(value["note"].asString());
+      if (found != mMessageHandlers.end()) {
         found->second(value["body"]);
       }
     } else if (value.isMember("name")) {
@@ -288,21 +288,22 @@
 }
 
 void
-Peers::ReadHeartbeat(const Json::Value& aPulse)
+Peers::ReadHeartbeat(const Json::Value& aHeartbeat)
 {
-  std::string name = aPulse["name"].asString();
+  std::string name = aHeartbeat["name"].asString();
   if (name.empty() || name == mState.mSettings.mName) {
     return;
   }
-  int64_t life = aPulse["life"].asInt64();
-  if (aPulse["left"].asBool()) {
-    OnGoodbye(aPulse); // the datagram that said so may be lost
+  int64_t life = aHeartbeat["life"].asInt64();
+  if (aHeartbeat["left"].asBool()) {
+    OnGoodbye(aHeartbeat); // the datagram that said so may be lost
   }
   bool departed = IsDeparted(name, life);
   if (!departed) {
     bool alive = Alive(name);
     mDeparted.erase(name); // it lives again
-    Learn(name, aPulse["zone"].asString(), aPulse["address"].asString());
+    Learn(
+      name, aHeartbeat["zone"].asString(), aHeartbeat["address"].asString());
     if (!alive) {
       mState.mLog.Line("instance_heard").Text("peer", name);
     }
@@ -312,19 +313,19 @@
     peer.mLife = life;
     peer.mLeaving = false;
   }
-  peer.mHeardAt = mState.Now();
-  peer.mStamp = aPulse["stamp"].asInt64();
+  peer.mLastHeardAt = mState.Now();
+  peer.mSenderTime = aHeartbeat["stamp"].asInt64();
   peer.mLeases.clear();
-  for (const Json::Value& lease : aPulse["leases"]) {
+  for (const Json::Value& lease : aHeartbeat["leases"]) {
     peer.mLeases.push_back(lease.asString());
   }
-  peer.mQueued = aPulse["queued"].asInt();
-  peer.mRank = aPulse["rank"].asString();
-  if (aPulse["leaving"].asBool()) {
-    OnLeavingNote(aPulse);
+  peer.mQueued = aHeartbeat["queued"].asInt();
+  peer.mRank = aHeartbeat["rank"].asString();
+  if (aHeartbeat["leaving"].asBool()) {
+    OnLeavingMessage(aHeartbeat);
   }
   for (const auto& read : mReads) {
-    read(peer, aPulse);
+    read(peer, aHeartbeat);
   }
 }
 
--- a/src/entry/Peers.h
+++ b/src/entry/Peers.h
@@ -31,11 +31,11 @@
   std::string mName;
   std::string mZone;
   std::string mAddress;
-  TimePoint mHeardAt{};             // never = only listed
+  TimePoint mLastHeardAt{};         // never = only listed
   std::vector<std::string> mLeases; // that it says it holds
   int mQueued = 0;                  // models that wait for its orders
   int64_t mLife = 0;                // differs between lives of one name
-  int64_t mStamp = 0;               // its clock, as its last pulse said
+  int64_t mSenderTime = 0;          // its clock, as its last pulse said
   std::string mRank;                // as a reader, see WatchStep
   bool mLeaving = false;            // it was told to stop
 };
@@ -52,22 +52,22 @@
   // Throws Poco::Exception when the address can't be bound.
   void Start();
   // Adds to every pulse that goes out, and reads from every one that comes.
-  void OnFill(std::function<void(Json::Value&)> aFill);
+  void OnHeartbeatFill(std::function<void(Json::Value&)> aFill);
   void OnHeartbeat(std::function<void(const Peer&, const Json::Value&)> aRead);
   // Datagrams beside the pulse, by their kind.
-  void OnNote(const std::string& aKind,
-              std::function<void(const Json::Value&)> aRead);
+  void OnMessage(const std::string& aKind,
+                 std::function<void(const Json::Value&)> aRead);
   // Called with the name of one that says that it was told to stop.
   void OnLeaving(std::function<void(const std::string&)> aLeaving)
   {
     mOnLeaving = std::move(aLeaving);
   }
-  void SendNote(const std::string& aKind, const Json::Value& aNote);
-  void SendNoteTo(const std::string& aPeer,
-                  const std::string& aKind,
-                  const Json::Value& aNote);
+  void SendMessage(const std::string& aKind, const Json::Value& aNote);
+  void SendMessageTo(const std::string& aPeer,
+                     const std::string& aKind,
+                     const Json::Value& aNote);
   // To the instances of this zone only, those included that have just left.
-  void SendNoteInZone(const std::string& aKind, const Json::Value& aNote);
+  void SendMessageInZone(const std::string& aKind, const Json::Value& aNote);
 
   void Add(const std::string& aName, Method aMethod);
   void Call(const std::string& aPeer,
@@ -94,18 +94,18 @@
     return mClaims.count(aLease) > 0;
   }
   // It is known, and wasn't told to stop.
-  bool Stays(const std::string& aName) const;
+  bool IsStaying(const std::string& aName) const;
 
   // How long a datagram is on its way, the time that it lies unread included:
   // Echoes() tells those of this zone when their last pulse came, and by that
   // each knows how long its pulse and the answer took together.
   Json::Value Echoes() const;
   // aEchoes: those in the datagram. None: the other has heard nothing yet.
-  std::optional<Millis> OnTheWay(const Json::Value& aEchoes) const;
+  std::optional<Millis> RoundTripTime(const Json::Value& aEchoes) const;
   // Between two pulses to the same instance.
   Millis HeartbeatInterval() const;
   // Pulses after which each instance has had one.
-  int PulseTurns() const;
+  int HeartbeatRounds() const;
 
   void OnReadable() override;
 
@@ -121,18 +121,18 @@
   void ForgetSilent();
   void ForgetDeparted();
   // In this zone, and it may still have requests under way.
-  bool EndsHere(const Departed& aDeparted) const;
-  void StartLeaving();
-  void LookLeaving();
+  bool DrainsInZone(const Departed& aDeparted) const;
+  void WatchLeaving();
+  void AnnounceOwnLeaving();
   int64_t Stamp() const; // this machine's clock
   Json::Value Self() const;
-  void OnLeavingNote(const Json::Value& aNote);
+  void OnLeavingMessage(const Json::Value& aNote);
   void OnGoodbye(const Json::Value& aNote);
-  void TakeLeases(const Peer& aPeer);
+  void ClearLeases(const Peer& aPeer);
   bool IsDeparted(const std::string& aName, int64_t aLife) const;
   void SendTo(const Peer& aPeer, const std::string& aText);
   void ReadDatagram(const std::string& aText);
-  void ReadHeartbeat(const Json::Value& aPulse);
+  void ReadHeartbeat(const Json::Value& aHeartbeat);
   ShortReply Answer(const InboundRequest& aRequest);
 
   EntryState& mState;
@@ -141,15 +141,16 @@
   std::shared_ptr<ListenPort> mPort;
   std::map<std::string, Peer> mPeers; // by name, without this instance
   std::map<std::string, Method> mMethods;
-  std::vector<std::function<void(Json::Value&)>> mFills;
+  std::vector<std::function<void(Json::Value&)>> mHeartbeatFillers;
   std::vector<std::function<void(const Peer&, const Json::Value&)>> mReads;
-  std::map<std::string, std::function<void(const Json::Value&)>> mNotes;
-  std::string mLastPulsed;
+  std::map<std::string, std::function<void(const Json::Value&)>>
+    mMessageHandlers;
+  std::string mLastHeartbeatTo;
   std::map<std::string, Departed> mDeparted;
   std::set<std::string> mClaims; // leases
   std::function<void(const std::string&)> mOnLeaving = [](const auto&) {};
   int64_t mLife = 0;
-  bool mToldLeaving = false;
+  bool mAnnouncedLeaving = false;
   bool mLeft = false;
 };
 
--- a/src/entry/PeersLeave.cpp
+++ b/src/entry/PeersLeave.cpp
@@ -36,15 +36,16 @@
 }
 
 void
-Peers::StartLeaving()
+Peers::WatchLeaving()
 {
-  OnNote(kLeaving, [this](const Json::Value& aNote) { OnLeavingNote(aNote); });
-  OnNote(kGoodbye, [this](const Json::Value& aNote) { OnGoodbye(aNote); });
-  mState.mReactor.Every(kLookLeaving, [this] { LookLeaving(); });
+  OnMessage(kLeaving,
+            [this](const Json::Value& aNote) { OnLeavingMessage(aNote); });
+  OnMessage(kGoodbye, [this](const Json::Value& aNote) { OnGoodbye(aNote); });
+  mState.mReactor.Every(kLookLeaving, [this] { AnnounceOwnLeaving(); });
 }
 
 bool
-Peers::Stays(const std::string& aName) const
+Peers::IsStaying(const std::string& aName) const
 {
   auto found = mPeers.find(aName);
   return found != mPeers.end() && !found->second.mLeaving;
@@ -60,11 +61,11 @@
 }
 
 void
-Peers::LookLeaving()
+Peers::AnnounceOwnLeaving()
 {
-  if (mState.mLeave.Leaving() && !mToldLeaving) {
-    mToldLeaving = true;
-    SendNote(kLeaving, Self());
+  if (mState.mLeave.Leaving() && !mAnnouncedLeaving) {
+    mAnnouncedLeaving = true;
+    SendMessage(kLeaving, Self());
   }
 }
 
@@ -73,12 +74,12 @@
 {
   if (!mLeft) {
     mLeft = true;
-    SendNote(kGoodbye, Self());
+    SendMessage(kGoodbye, Self());
   }
 }
 
 void
-Peers::OnLeavingNote(const Json::Value& aNote)
+Peers::OnLeavingMessage(const Json::Value& aNote)
 {
   auto found = mPeers.find(aNote["name"].asString());
   if (found == mPeers.end() || found->second.mLeaving ||
@@ -87,13 +88,13 @@
   }
   found->second.mLeaving = true;
   mState.mLog.Line("instance_leaving").Text("peer", found->first);
-  TakeLeases(found->second);
+  ClearLeases(found->second);
   mOnLeaving(found->first);
 }
 
 // The pulse that doesn't claim them any more may take a turn of all instances.
 void
-Peers::TakeLeases(const Peer& aPeer)
+Peers::ClearLeases(const Peer& aPeer)
 {
   mState.mReactor.After(
     kLeasesAfter, [this, name = aPeer.mName, life = aPeer.mLife] {
@@ -108,7 +109,7 @@
 void
 Peers::OnGoodbye(const Json::Value& aNote)
 {
-  OnLeavingNote(aNote);
+  OnLeavingMessage(aNote);
   std::string name = aNote["name"].asString();
   int64_t life = aNote["life"].asInt64();
   Departed departed{ Peer(), mState.Now() };
@@ -136,7 +137,7 @@
 }
 
 bool
-Peers::EndsHere(const Departed& aDeparted) const
+Peers::DrainsInZone(const Departed& aDeparted) const
 {
   return aDeparted.mPeer.mZone == mState.mSettings.mZone &&
          !aDeparted.mPeer.mAddress.empty() &&
@@ -163,17 +164,17 @@
 {
   Json::Value echoes(Json::objectValue);
   auto echo = [this, &echoes](const Peer& aPeer) {
-    if (aPeer.mZone == mState.mSettings.mZone && aPeer.mStamp > 0) {
-      echoes[aPeer.mName].append(Json::Int64(aPeer.mStamp));
+    if (aPeer.mZone == mState.mSettings.mZone && aPeer.mSenderTime > 0) {
+      echoes[aPeer.mName].append(Json::Int64(aPeer.mSenderTime));
       echoes[aPeer.mName].append(
-        Json::Int64(mState.AgeOf(aPeer.mHeardAt).count()));
+        Json::Int64(mState.AgeOf(aPeer.mLastHeardAt).count()));
     }
   };
   for (const auto& [name, peer] : mPeers) {
     echo(peer);
   }
   for (const auto& [name, departed] : mDeparted) {
-    if (EndsHere(departed)) {
+    if (DrainsInZone(departed)) {
       echo(departed.mPeer);
     }
   }
@@ -181,7 +182,7 @@
 }
 
 std::optional<Millis>
-Peers::OnTheWay(const Json::Value& aEchoes) const
+Peers::RoundTripTime(const Json::Value& aEchoes) const
 {
   const Json::Value& own = aEchoes[mState.mSettings.mName];
   if (!own.isArray() || own.size() != 2) {
--- a/src/entry/RateLimiter.h
+++ b/src/entry/RateLimiter.h
@@ -15,8 +15,8 @@
 {
   std::string mTenant;
   double mTokens = 0;
-  double mReserve = 0;   // of the burst, to be left for more urgent requests
-  Millis mPatience{ 0 }; // tokens that accrue within it are waited for
+  double mReserve = 0;  // of the burst, to be left for more urgent requests
+  Millis mMaxWait{ 0 }; // tokens that accrue within it are waited for
 };
 
 // Tokens that were taken for a request, and where.
--- a/src/entry/ServerInventories.cpp
+++ b/src/entry/ServerInventories.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-#include "entry/OrderNotes.h"
-#include "entry/OrderTimes.h"
+#include "entry/LoadMessages.h"
+#include "entry/OrderLimits.h"
 #include "platform/OrderMessage.h"
 
 namespace caraway {
@@ -21,7 +21,7 @@
 
 // Of rounds of pulses: a second in a small fleet, and in a large one so
 // seldom that a holder's notes stay within its part of a narrow link.
-constexpr int kTellTurns = 4;
+constexpr int kSendAllRounds = 4;
 
 } // namespace
 
@@ -41,8 +41,8 @@
 void
 ServerInventories::Start()
 {
-  mState.mReactor.Every(kLearn, [this] { LearnUnknown(); });
-  mState.mReactor.Every(kTellTick, [this] { TellAll(); });
+  mState.mReactor.Every(kLearn, [this] { RequestMissingReports(); });
+  mState.mReactor.Every(kTellTick, [this] { SendAllContents(); });
 }
 
 bool
@@ -92,7 +92,7 @@
 // ---- Reports
 
 void
-ServerInventories::LearnUnknown()
+ServerInventories::RequestMissingReports()
 {
   if (!mLease.Holds()) {
     return;
@@ -208,21 +208,22 @@
 ServerInventories::Tell(const std::string& aServer)
 {
   if (const Backend* backend = mState.mServers.Find(aServer)) {
-    mPeers.SendNote("content",
-                    ContentJson(*backend, backend->LoadingFor(mState.Now())));
+    mPeers.SendMessage(
+      "content", ContentJson(*backend, backend->LoadingFor(mState.Now())));
   }
 }
 
 // A note that was lost is made good, and late entries stay without effect.
 void
-ServerInventories::TellAll()
+ServerInventories::SendAllContents()
 {
   if (!mLease.MayAct()) {
     return;
   }
   TimePoint now = mState.Now();
-  Millis again = mPeers.HeartbeatInterval() * mPeers.PulseTurns() * kTellTurns;
-  bool due = now - mToldAll >= again;
+  Millis again =
+    mPeers.HeartbeatInterval() * mPeers.HeartbeatRounds() * kSendAllRounds;
+  bool due = now - mSentAllAt >= again;
   Json::Value all(Json::arrayValue);
   for (auto& [id, backend] : mState.mServers.All()) {
     if (!Mine(backend) || !Known(id)) {
@@ -234,13 +235,13 @@
     }
   }
   if (due && !all.empty()) {
-    mToldAll = now;
-    mPeers.SendNote("contents", all);
+    mSentAllAt = now;
+    mPeers.SendMessage("contents", all);
   }
 }
 
 void
-ServerInventories::TakeContent(const Json::Value& aNote)
+ServerInventories::OnContent(const Json::Value& aNote)
 {
   std::string server = aNote["id"].asString();
   Backend* backend = mState.mServers.Find(server);
--- a/src/entry/ServerInventories.h
+++ b/src/entry/ServerInventories.h
@@ -49,7 +49,7 @@
   void Recheck(const std::string& aServer);
 
   // What another instance tells of a server.
-  void TakeContent(const Json::Value& aNote);
+  void OnContent(const Json::Value& aNote);
 
 private:
   struct Entry
@@ -61,8 +61,8 @@
     TimePoint mRechecked{};
   };
   Entry& EntryOf(const std::string& aServer);
-  void LearnUnknown();
-  void TellAll();
+  void RequestMissingReports();
+  void SendAllContents();
   bool Mine(const Backend& aBackend) const;
 
   EntryState& mState;
@@ -72,7 +72,7 @@
   std::function<void()> mChanged;
   std::map<std::string, Entry> mEntries; // by server
   int64_t mToken = 0;                    // lease under which they are known
-  TimePoint mToldAll{};
+  TimePoint mSentAllAt{};
 };
 
 } // namespace caraway
--- a/src/entry/SettingsWatch.cpp
+++ b/src/entry/SettingsWatch.cpp
@@ -20,26 +20,26 @@
   : mState(aState)
   , mPath(std::move(aPath))
   , mReader(std::move(aReader))
-  , mSeen(LookAtFile())
+  , mSeen(FileStamp())
 {
 }
 
 void
 SettingsWatch::Start()
 {
-  mState.mReactor.Every(kLook, [this] { LookNow(); });
+  mState.mReactor.Every(kLook, [this] { ReloadIfChanged(); });
 }
 
 void
-SettingsWatch::LookNow()
+SettingsWatch::ReloadIfChanged()
 {
-  if (LookAtFile() != mSeen) {
+  if (FileStamp() != mSeen) {
     Reload("file changed");
   }
 }
 
 SettingsWatch::Look
-SettingsWatch::LookAtFile() const
+SettingsWatch::FileStamp() const
 {
   struct stat file = {};
   if (stat(mPath.c_str(), &file) != 0) {
@@ -51,7 +51,7 @@
 void
 SettingsWatch::Reload(const char* aWhy)
 {
-  mSeen = LookAtFile();
+  mSeen = FileStamp();
   std::string wrong;
   auto settings = mReader(mPath, wrong);
   mState.mLog.Line("settings_reloaded")
@@ -68,10 +68,9 @@
 {
   EntrySettings& mine = mState.mSettings;
   mine.mGrace = aSettings.mGrace;
-  mine.mBeat = aSettings.mBeat;
-  mState.mRepeats.SetLimits({ aSettings.mRepeatRatio,
-                              aSettings.mRepeatSlack,
-                              aSettings.mRepeatWindow });
+  mine.mServerHeartbeatInterval = aSettings.mServerHeartbeatInterval;
+  mState.mRepeats.SetLimits(
+    { aSettings.mRetryRatio, aSettings.mRetrySlack, aSettings.mRetryWindow });
 }
 
 } // namespace caraway
--- a/src/entry/SettingsWatch.h
+++ b/src/entry/SettingsWatch.h
@@ -30,11 +30,11 @@
   void Start();
   void Reload(const char* aWhy);
   // Reads it again if it looks different.
-  void LookNow();
+  void ReloadIfChanged();
 
 private:
   using Look = std::pair<int64_t, int64_t>; // time of change, bytes
-  Look LookAtFile() const;
+  Look FileStamp() const;
   void Apply(const EntrySettings& aSettings);
 
   EntryState& mState;
--- a/src/entry/TenantRateLimiter.cpp
+++ b/src/entry/TenantRateLimiter.cpp
@@ -42,10 +42,11 @@
   mPeers.Add(kLend,
              [this](const Json::Value& aParams) { return OnLend(aParams); });
   mPeers.Add(kTakeBack, [this](const Json::Value& aParams) {
-    OnTakeBack(aParams);
+    OnReturnedTokens(aParams);
     return Json::Value(Json::objectValue);
   });
-  mPeers.OnNote(kSpare, [this](const Json::Value& aNote) { OnSpare(aNote); });
+  mPeers.OnMessage(kSpare,
+                   [this](const Json::Value& aNote) { OnSpareTokens(aNote); });
   mMembers.OnChange([this] { Refresh(); });
   mState.mReactor.Every(kRefresh, [this] { Refresh(); });
 }
@@ -59,25 +60,25 @@
     return;
   }
   TimePoint now = mState.Now();
-  std::vector<std::string> members = mMembers.OfZone();
+  std::vector<std::string> members = mMembers.CountedMembers();
   bool spends = mMembers.MaySpend();
   size_t zones = mState.mSettings.mZones.size();
   for (const auto& [name, limit] : mState.mConfig->mTenants) {
     if (limit.mRate <= 0) {
       continue;
     }
-    TenantTokenBucket& purse = mTenants[name].mPurse;
+    TenantTokenBucket& purse = mTenants[name].mTokenBucket;
     double part =
       spends ? PartOf(limit, zones, members, mState.mSettings.mName) : 0;
     purse.SetPart(limit, part, now);
-    purse.SetHolders(Askable(limit));
+    purse.SetHolders(LendersOf(limit));
   }
 }
 
 // The holders of this zone, then those of the others; each instance begins
 // elsewhere, so that not all ask the same one.
 std::vector<std::string>
-TenantRateLimiter::Askable(const TenantLimit& aLimit) const
+TenantRateLimiter::LendersOf(const TenantLimit& aLimit) const
 {
   const std::string& self = mState.mSettings.mName;
   std::vector<std::string> zones = mState.mSettings.mZones;
@@ -94,7 +95,7 @@
       }
     }
     if (zone == mState.mSettings.mZone) {
-      members = mMembers.OfZone();
+      members = mMembers.CountedMembers();
     }
     std::vector<std::string> alive;
     for (const std::string& holder : HoldersOf(aLimit, zones.size(), members)) {
@@ -130,16 +131,16 @@
   want.mId = ++mNextId;
   want.mTokens = aRequest.mTokens;
   want.mReserve = aRequest.mReserve;
-  want.mUntil = now + aRequest.mPatience;
+  want.mUntil = now + aRequest.mMaxWait;
   mWaiters[want.mId] = { aRequest, std::move(aDone) };
-  mTenants[aRequest.mTenant].mPurse.Wait(want, now);
+  mTenants[aRequest.mTenant].mTokenBucket.Wait(want, now);
   Step(aRequest.mTenant);
 }
 
 void
 TenantRateLimiter::Step(const std::string& aTenant)
 {
-  TenantBucketStep step = mTenants[aTenant].mPurse.Step(mState.Now());
+  TenantBucketStep step = mTenants[aTenant].mTokenBucket.Step(mState.Now());
   if (step.mCall) {
     Call(aTenant, *step.mCall);
   }
@@ -147,7 +148,7 @@
     Arm(aTenant, *step.mNextStepAt);
   }
   for (const TokenPaid& paid : step.mPaid) {
-    OnPaid(aTenant, paid);
+    OnGranted(aTenant, paid);
   }
   for (const TokenRefused& refused : step.mRefused) {
     OnRefused(refused);
@@ -189,7 +190,7 @@
     params,
     kLoanLife,
     [this, aTenant, holder, asked](bool aGood, const Json::Value& aResult) {
-      TenantTokenBucket& purse = mTenants[aTenant].mPurse;
+      TenantTokenBucket& purse = mTenants[aTenant].mTokenBucket;
       if (aGood && aResult["tokens"].isNumeric() &&
           aResult["after_ms"].isInt64()) {
         TokenLoan loan{ aResult["tokens"].asDouble(),
@@ -204,7 +205,7 @@
 }
 
 void
-TenantRateLimiter::OnPaid(const std::string& aTenant, const TokenPaid& aPaid)
+TenantRateLimiter::OnGranted(const std::string& aTenant, const TokenPaid& aPaid)
 {
   auto found = mWaiters.find(aPaid.mId);
   if (found == mWaiters.end()) {
@@ -231,7 +232,7 @@
   mWaiters.erase(found);
   const std::string& name = waiter.mRequest.mTenant;
   const TenantLimit* limit = mState.mConfig->Tenant(name);
-  const TenantTokenBucket& purse = mTenants[name].mPurse;
+  const TenantTokenBucket& purse = mTenants[name].mTokenBucket;
   mState.mLog.Line("tokens_refused")
     .Text("tenant", name)
     .Number("tokens", waiter.mRequest.mTokens)
@@ -240,7 +241,7 @@
     .Number("burst", limit ? limit->mBurst : 0)
     .Number("level", purse.Level(mState.Now()))
     .Flag("holds_part", mMembers.MaySpend())
-    .Count("members", static_cast<int64_t>(mMembers.OfZone().size()))
+    .Count("members", static_cast<int64_t>(mMembers.CountedMembers().size()))
     .Count("instances", mState.mInstances)
     .Ms("after_ms", aRefused.mAfter);
   waiter.mDone({ std::nullopt, aRefused.mAfter });
@@ -256,7 +257,7 @@
   auto found = mTenants.find(aParams["tenant"].asString());
   double tokens = aParams["tokens"].asDouble();
   if (found != mTenants.end() && tokens > 0) {
-    loan = found->second.mPurse.Lend(
+    loan = found->second.mTokenBucket.Lend(
       tokens, aParams["reserve"].asDouble(), mState.Now());
   }
   result["tokens"] = loan.mTokens;
@@ -265,24 +266,24 @@
 }
 
 void
-TenantRateLimiter::OnTakeBack(const Json::Value& aParams)
+TenantRateLimiter::OnReturnedTokens(const Json::Value& aParams)
 {
   auto found = mTenants.find(aParams["tenant"].asString());
   double tokens = aParams["tokens"].asDouble();
   if (found != mTenants.end() && tokens > 0) {
     TimePoint now = mState.Now();
     TimePoint taken = now - Millis(aParams["age_ms"].asInt64());
-    found->second.mPurse.GiveBack(tokens, taken, now);
+    found->second.mTokenBucket.GiveBack(tokens, taken, now);
   }
 }
 
 void
-TenantRateLimiter::OnSpare(const Json::Value& aNote)
+TenantRateLimiter::OnSpareTokens(const Json::Value& aNote)
 {
   for (const std::string& name : aNote.getMemberNames()) {
     auto found = mTenants.find(name);
     if (found != mTenants.end() && aNote[name].asDouble() > 0) {
-      found->second.mPurse.Add(aNote[name].asDouble(), mState.Now());
+      found->second.mTokenBucket.Add(aNote[name].asDouble(), mState.Now());
     }
   }
 }
@@ -292,14 +293,14 @@
 {
   Json::Value note(Json::objectValue);
   for (auto& [name, tenant] : mTenants) {
-    double level = tenant.mPurse.Empty(mState.Now());
+    double level = tenant.mTokenBucket.Empty(mState.Now());
     if (level > 0) {
       note[name] = level;
     }
   }
-  for (const std::string& mate : mMembers.OfZone()) {
+  for (const std::string& mate : mMembers.CountedMembers()) {
     if (!note.empty() && mPeers.Alive(mate)) {
-      mPeers.SendNoteTo(mate, kSpare, note); // lost on the way, it is spent
+      mPeers.SendMessageTo(mate, kSpare, note); // lost on the way, it is spent
       return;
     }
   }
@@ -313,7 +314,7 @@
 {
   for (const TokenSource& source : aGrant.mSources) {
     if (source.mHolder.empty()) {
-      mTenants[aGrant.mTenant].mPurse.GiveBack(
+      mTenants[aGrant.mTenant].mTokenBucket.GiveBack(
         source.mTokens, aGrant.mAt, mState.Now());
       continue;
     }
--- a/src/entry/TenantRateLimiter.h
+++ b/src/entry/TenantRateLimiter.h
@@ -34,19 +34,19 @@
   };
   struct Tenant
   {
-    TenantTokenBucket mPurse;
+    TenantTokenBucket mTokenBucket;
     TimePoint mTimerAt{}; // pending
   };
   void Refresh();
-  std::vector<std::string> Askable(const TenantLimit& aLimit) const;
+  std::vector<std::string> LendersOf(const TenantLimit& aLimit) const;
   void Step(const std::string& aTenant);
   void Arm(const std::string& aTenant, TimePoint aAt);
   void Call(const std::string& aTenant, const TokenLoanCall& aCall);
-  void OnPaid(const std::string& aTenant, const TokenPaid& aPaid);
+  void OnGranted(const std::string& aTenant, const TokenPaid& aPaid);
   void OnRefused(const TokenRefused& aRefused);
   Json::Value OnLend(const Json::Value& aParams);
-  void OnTakeBack(const Json::Value& aParams);
-  void OnSpare(const Json::Value& aNote);
+  void OnReturnedTokens(const Json::Value& aParams);
+  void OnSpareTokens(const Json::Value& aNote);
 
   EntryState& mState;
   Peers& mPeers;
--- a/src/entry/UsageRelay.cpp
+++ b/src/entry/UsageRelay.cpp
@@ -35,13 +35,13 @@
 void
 UsageRelay::Start()
 {
-  mPeers.OnNote(kUse, [this](const Json::Value& aNote) { OnTold(aNote); });
+  mPeers.OnMessage(kUse, [this](const Json::Value& aNote) { OnTold(aNote); });
   mState.mReactor.Every(kTell, [this] { Tell(); });
 }
 
 // aZone "" = all servers.
 Json::Value
-UsageRelay::UseOf(const std::string& aZone) const
+UsageRelay::UsageOf(const std::string& aZone) const
 {
   Json::Value use(Json::objectValue);
   for (const auto& [id, backend] : mState.mServers.All()) {
@@ -56,47 +56,48 @@
 }
 
 void
-UsageRelay::FillHeartbeat(Json::Value& aPulse)
+UsageRelay::FillHeartbeat(Json::Value& aHeartbeat)
 {
-  aPulse["under_way"] = UseOf("");
-  Json::Value& asked = aPulse["asked"];
+  aHeartbeat["under_way"] = UsageOf("");
+  Json::Value& asked = aHeartbeat["asked"];
   asked = Json::Value(Json::objectValue);
-  for (const auto& [model, count] : mState.mAskedSincePulse) {
+  for (const auto& [model, count] : mState.mRequestsSinceHeartbeat) {
     asked[model] = count;
   }
-  mState.mAskedSincePulse.clear();
+  mState.mRequestsSinceHeartbeat.clear();
 }
 
 void
-UsageRelay::ReadHeartbeat(const Peer& aPeer, const Json::Value& aPulse)
+UsageRelay::ReadHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat)
 {
-  mState.mServers.PutPeerRequests(aPeer.mName, ReadCounts(aPulse["under_way"]));
-  const Json::Value& asked = aPulse["asked"];
+  mState.mServers.PutPeerRequests(aPeer.mName,
+                                  ReadCounts(aHeartbeat["under_way"]));
+  const Json::Value& asked = aHeartbeat["asked"];
   for (const std::string& model : asked.getMemberNames()) {
     // Each pulse reaches a part of the instances only, in turn.
     mState.mDemand.Add(
-      model, asked[model].asInt() * mPeers.PulseTurns(), mState.Now());
+      model, asked[model].asInt() * mPeers.HeartbeatRounds(), mState.Now());
   }
 }
 
 void
 UsageRelay::Tell()
 {
-  if (mPeers.PulseTurns() == 1) {
+  if (mPeers.HeartbeatRounds() == 1) {
     return; // pulses reach everybody as often
   }
   for (const std::string& zone : mState.mSettings.mZones) {
     std::string holder = mPeers.HolderOf(ZoneLeaseName(zone));
     if (!holder.empty()) {
-      TellHolder(zone, holder);
+      SendUsageTo(zone, holder);
     }
   }
 }
 
 void
-UsageRelay::TellHolder(const std::string& aZone, const std::string& aHolder)
+UsageRelay::SendUsageTo(const std::string& aZone, const std::string& aHolder)
 {
-  Json::Value use = UseOf(aZone);
+  Json::Value use = UsageOf(aZone);
   // Once more when all has ended, and then nothing.
   if (use.empty() && !mTold.count(aZone)) {
     return;
@@ -110,7 +111,7 @@
   note["from"] = mState.mSettings.mName;
   note["zone"] = aZone;
   note["servers"] = std::move(use);
-  mPeers.SendNoteTo(aHolder, kUse, note);
+  mPeers.SendMessageTo(aHolder, kUse, note);
 }
 
 void
--- a/src/entry/UsageRelay.h
+++ b/src/entry/UsageRelay.h
@@ -22,13 +22,13 @@
   UsageRelay(EntryState& aState, Peers& aPeers);
 
   void Start();
-  void FillHeartbeat(Json::Value& aPulse);
-  void ReadHeartbeat(const Peer& aPeer, const Json::Value& aPulse);
+  void FillHeartbeat(Json::Value& aHeartbeat);
+  void ReadHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat);
 
 private:
   void Tell();
-  void TellHolder(const std::string& aZone, const std::string& aHolder);
-  Json::Value UseOf(const std::string& aZone) const;
+  void SendUsageTo(const std::string& aZone, const std::string& aHolder);
+  Json::Value UsageOf(const std::string& aZone) const;
   void OnTold(const Json::Value& aNote);
 
   EntryState& mState;
--- a/src/entry/ZoneSchedulers.cpp
+++ b/src/entry/ZoneSchedulers.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "entry/OrderNotes.h"
+#include "entry/LoadMessages.h"
 
 namespace caraway {
 
@@ -32,9 +32,9 @@
   Add(mState.mSettings.mZone, aLease);
   for (const std::string& zone : mState.mSettings.mZones) {
     if (zone != mState.mSettings.mZone) {
-      auto outside = std::make_unique<Outside>(mState, mStore, mPeers, zone);
+      auto outside = std::make_unique<OtherZone>(mState, mStore, mPeers, zone);
       Add(zone, outside->mLease);
-      mOutside[zone] = std::move(outside);
+      mOtherZones[zone] = std::move(outside);
     }
   }
 }
@@ -42,13 +42,13 @@
 void
 ZoneSchedulers::Add(const std::string& aZone, LeaseLoop& aLease)
 {
-  mDesks[aZone] = std::make_unique<LoadScheduler>(
+  mSchedulers[aZone] = std::make_unique<LoadScheduler>(
     mState,
     mPeers,
     aLease,
     aZone,
     [this, aZone](const char* aKind, const Json::Value& aNote) {
-      TellHolders(aZone, aKind, aNote);
+      NotifyHolders(aZone, aKind, aNote);
     },
     [this] { mChanged(); });
 }
@@ -56,38 +56,39 @@
 void
 ZoneSchedulers::Start()
 {
-  mPeers.Add(
-    kWant, [this](const Json::Value& aParams) { return OnWantCall(aParams); });
-  for (const char* kind : { kClaim, kStoreLoad }) {
-    mPeers.OnNote(kind, [this, kind](const Json::Value& aNote) {
-      for (const auto& [zone, desk] : mDesks) {
-        TakeNote(*desk, kind, aNote);
+  mPeers.Add(kWant, [this](const Json::Value& aParams) {
+    return OnLoadRequestCall(aParams);
+  });
+  for (const char* kind : { kClaimMessage, kStoreLoadMessage }) {
+    mPeers.OnMessage(kind, [this, kind](const Json::Value& aNote) {
+      for (const auto& [zone, desk] : mSchedulers) {
+        DispatchMessage(*desk, kind, aNote);
       }
     });
   }
-  mPeers.OnNote("contents", [this](const Json::Value& aNote) {
+  mPeers.OnMessage("contents", [this](const Json::Value& aNote) {
     for (const Json::Value& content : aNote) {
-      TakeContent(content);
+      OnContent(content);
     }
   });
-  mPeers.OnNote("content",
-                [this](const Json::Value& aNote) { TakeContent(aNote); });
-  mPeers.OnFill([this](Json::Value& aPulse) {
-    aPulse["queued"] = static_cast<int>(Waiting());
+  mPeers.OnMessage("content",
+                   [this](const Json::Value& aNote) { OnContent(aNote); });
+  mPeers.OnHeartbeatFill([this](Json::Value& aHeartbeat) {
+    aHeartbeat["queued"] = static_cast<int>(Waiting());
     if (mState.mLeave.Leaving()) {
-      aPulse["leaving"] = true;
+      aHeartbeat["leaving"] = true;
     }
   });
-  for (const auto& [zone, desk] : mDesks) {
+  for (const auto& [zone, desk] : mSchedulers) {
     desk->Start();
   }
-  StartAdopting();
+  StartTakeovers();
 }
 
 void
 ZoneSchedulers::OnChanged()
 {
-  for (const auto& [zone, desk] : mDesks) {
+  for (const auto& [zone, desk] : mSchedulers) {
     desk->OnChanged();
   }
 }
@@ -96,7 +97,7 @@
 ZoneSchedulers::Loads() const
 {
   size_t loads = 0;
-  for (const auto& [zone, desk] : mDesks) {
+  for (const auto& [zone, desk] : mSchedulers) {
     loads += desk->Loads();
   }
   return loads;
@@ -106,17 +107,17 @@
 ZoneSchedulers::Waiting() const
 {
   size_t waiting = 0;
-  for (const auto& [zone, desk] : mDesks) {
+  for (const auto& [zone, desk] : mSchedulers) {
     waiting += desk->Waiting();
   }
   return waiting;
 }
 
 size_t
-ZoneSchedulers::Led() const
+ZoneSchedulers::LedZones() const
 {
   return static_cast<size_t>(
-    std::count_if(mDesks.begin(), mDesks.end(), [](const auto& aOne) {
+    std::count_if(mSchedulers.begin(), mSchedulers.end(), [](const auto& aOne) {
       return aOne.second->Holds();
     }));
 }
@@ -130,27 +131,27 @@
 LoadScheduler*
 ZoneSchedulers::Find(const std::string& aZone) const
 {
-  auto found = mDesks.find(aZone);
-  return found == mDesks.end() ? nullptr : found->second.get();
+  auto found = mSchedulers.find(aZone);
+  return found == mSchedulers.end() ? nullptr : found->second.get();
 }
 
 // ---- Asking
 
 // Who orders in aZone, and how many wants it has queued; nothing when nobody is
 // known to.
-std::optional<ZoneSchedulers::DeskFacts>
-ZoneSchedulers::FactsOf(const std::string& aZone) const
+std::optional<ZoneSchedulers::SchedulerState>
+ZoneSchedulers::SchedulerStateOf(const std::string& aZone) const
 {
   const LoadScheduler* desk = Find(aZone);
   if (desk && desk->Holds()) {
-    return DeskFacts{ "", static_cast<int>(desk->Waiting()) };
+    return SchedulerState{ "", static_cast<int>(desk->Waiting()) };
   }
   std::string holder = mPeers.HolderOf(ZoneLeaseName(aZone));
   auto peer = mPeers.All().find(holder);
   if (peer == mPeers.All().end()) {
     return std::nullopt;
   }
-  return DeskFacts{ holder, peer->second.mQueued };
+  return SchedulerState{ holder, peer->second.mQueued };
 }
 
 // Where it can be had soonest: the model itself for an adapter, else a copy
@@ -181,7 +182,7 @@
   }
   std::vector<ZoneOffer> known;
   for (auto& [zone, offer] : offers) {
-    if (auto desk = FactsOf(zone)) {
+    if (auto desk = SchedulerStateOf(zone)) {
       offer.mZone = zone;
       offer.mQueued = desk->mQueued;
       known.push_back(offer);
@@ -196,7 +197,7 @@
   TimePoint now = mState.Now();
   Asked& asked = mAsked[KeyOf(aWant)];
   bool lately = asked.mAt != TimePoint() && now - asked.mAt < kAskAgain;
-  if (asked.mUnderWay || lately) {
+  if (asked.mRequestPending || lately) {
     return;
   }
   asked.mAt = now;
@@ -204,13 +205,13 @@
   if (zone.empty()) {
     return;
   }
-  asked.mUnderWay = true;
+  asked.mRequestPending = true;
   LoadScheduler* desk = Find(zone);
   if (desk && desk->Holds()) {
-    OnTold(aWant, true, desk->OnWanted(aWant));
+    OnTold(aWant, true, desk->OnLoadRequest(aWant));
     return;
   }
-  Json::Value params = WantJson(aWant);
+  Json::Value params = LoadRequestJson(aWant);
   params["zone"] = zone;
   mPeers.Call(mPeers.HolderOf(ZoneLeaseName(zone)),
               kWant,
@@ -223,11 +224,11 @@
 
 // An instance that knows of no zones but its own names none.
 Json::Value
-ZoneSchedulers::OnWantCall(const Json::Value& aParams)
+ZoneSchedulers::OnLoadRequestCall(const Json::Value& aParams)
 {
   std::string zone = aParams["zone"].asString();
   LoadScheduler* desk = Find(zone.empty() ? mState.mSettings.mZone : zone);
-  return desk ? desk->OnWanted(ReadWant(aParams))
+  return desk ? desk->OnLoadRequest(ReadLoadRequest(aParams))
               : Json::Value(Json::objectValue);
 }
 
@@ -237,7 +238,7 @@
                        const Json::Value& aResult)
 {
   Asked& asked = mAsked[KeyOf(aWant)];
-  asked.mUnderWay = false;
+  asked.mRequestPending = false;
   asked.mExpected = TimePoint();
   if (aGood && aResult["expected_ms"].isInt64()) {
     asked.mExpected = mState.Now() + Millis(aResult["expected_ms"].asInt64());
@@ -258,45 +259,45 @@
 // ---- Notes
 
 void
-ZoneSchedulers::TakeContent(const Json::Value& aNote)
+ZoneSchedulers::OnContent(const Json::Value& aNote)
 {
   const Backend* backend = mState.mServers.Find(aNote["id"].asString());
   LoadScheduler* desk = backend ? Find(backend->mEntry.mZone) : nullptr;
   if (backend) {
-    (desk ? *desk : *Find(mState.mSettings.mZone)).TakeContent(aNote);
+    (desk ? *desk : *Find(mState.mSettings.mZone)).OnContent(aNote);
   }
 }
 
 // To the holders of all zones but aFrom, each once, this instance included
 // where it leads several.
 void
-ZoneSchedulers::TellHolders(const std::string& aFrom,
-                            const char* aKind,
-                            const Json::Value& aNote)
+ZoneSchedulers::NotifyHolders(const std::string& aFrom,
+                              const char* aKind,
+                              const Json::Value& aNote)
 {
   std::set<std::string> holders;
-  for (const auto& [zone, desk] : mDesks) {
+  for (const auto& [zone, desk] : mSchedulers) {
     if (zone != aFrom && desk->Holds()) {
-      TakeNote(*desk, aKind, aNote);
+      DispatchMessage(*desk, aKind, aNote);
     } else if (zone != aFrom) {
       holders.insert(mPeers.HolderOf(ZoneLeaseName(zone)));
     }
   }
   holders.erase("");
   for (const std::string& holder : holders) {
-    mPeers.SendNoteTo(holder, aKind, aNote);
+    mPeers.SendMessageTo(holder, aKind, aNote);
   }
 }
 
 void
-ZoneSchedulers::TakeNote(LoadScheduler& aDesk,
-                         const char* aKind,
-                         const Json::Value& aNote)
+ZoneSchedulers::DispatchMessage(LoadScheduler& aScheduler,
+                                const char* aKind,
+                                const Json::Value& aNote)
 {
-  if (aKind == kStoreLoad) {
-    aDesk.OnStoreLoad(aNote);
-  } else if (aNote["zone"].asString() != aDesk.Zone()) {
-    aDesk.OnClaim(aNote);
+  if (aKind == kStoreLoadMessage) {
+    aScheduler.OnStoreLoad(aNote);
+  } else if (aNote["zone"].asString() != aScheduler.Zone()) {
+    aScheduler.OnClaim(aNote);
   }
 }
 
--- a/src/entry/ZoneSchedulers.h
+++ b/src/entry/ZoneSchedulers.h
@@ -40,7 +40,7 @@
   size_t Loads() const;
   size_t Waiting() const;
   // Zones whose orders this instance gives.
-  size_t Led() const;
+  size_t LedZones() const;
 
   void Want(const LoadRequest& aWant) override;
   std::optional<Millis> Expected(const LoadRequest& aWant) override;
@@ -54,23 +54,23 @@
   {
     TimePoint mAt{};
     TimePoint mExpected{}; // none = not told
-    bool mUnderWay = false;
+    bool mRequestPending = false;
   };
-  struct DeskFacts
+  struct SchedulerState
   {
     std::string mHolder; // "" = this instance
     int mQueued = 0;
   };
   // Another zone, which this instance may come to lead.
-  struct Outside
+  struct OtherZone
   {
-    Outside(EntryState& aState,
-            StoreClient& aStore,
-            Peers& aPeers,
-            const std::string& aZone);
+    OtherZone(EntryState& aState,
+              StoreClient& aStore,
+              Peers& aPeers,
+              const std::string& aZone);
 
     LeaseLoop mLease;
-    ZoneTakeover mAdoption;
+    ZoneTakeover mTakeover;
     bool mLed = false; // what the last log line said
   };
 
@@ -79,25 +79,26 @@
   LoadScheduler* Find(const std::string& aZone) const;
 
   // Asking.
-  std::optional<DeskFacts> FactsOf(const std::string& aZone) const;
+  std::optional<SchedulerState> SchedulerStateOf(
+    const std::string& aZone) const;
   std::string ZoneFor(const LoadRequest& aWant) const;
   void OnTold(const LoadRequest& aWant, bool aGood, const Json::Value& aResult);
-  Json::Value OnWantCall(const Json::Value& aParams);
-  void TakeContent(const Json::Value& aNote);
-  void TellHolders(const std::string& aFrom,
-                   const char* aKind,
-                   const Json::Value& aNote);
-  void TakeNote(LoadScheduler& aDesk,
-                const char* aKind,
-                const Json::Value& aNote);
+  Json::Value OnLoadRequestCall(const Json::Value& aParams);
+  void OnContent(const Json::Value& aNote);
+  void NotifyHolders(const std::string& aFrom,
+                     const char* aKind,
+                     const Json::Value& aNote);
+  void DispatchMessage(LoadScheduler& aScheduler,
+                       const char* aKind,
+                       const Json::Value& aNote);
 
   // Leading zones that have no instance.
-  void StartAdopting();
-  void OnHeartbeat(const Peer& aPeer, const Json::Value& aPulse);
+  void StartTakeovers();
+  void OnHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat);
   void Look();
-  void LookAt(const std::string& aZone, Outside& aOutside);
+  void CheckZone(const std::string& aZone, OtherZone& aOutside);
   int RankFor(const std::string& aZone) const;
-  void TellLed(const std::string& aZone, Outside& aOutside);
+  void LogLed(const std::string& aZone, OtherZone& aOutside);
 
   EntryState& mState;
   StoreClient& mStore;
@@ -105,8 +106,8 @@
   Membership& mMembers;
   std::function<void()> mChanged;
   std::map<Key, Asked> mAsked;
-  std::map<std::string, std::unique_ptr<Outside>> mOutside;     // by zone
-  std::map<std::string, std::unique_ptr<LoadScheduler>> mDesks; // by zone
+  std::map<std::string, std::unique_ptr<OtherZone>> mOtherZones;     // by zone
+  std::map<std::string, std::unique_ptr<LoadScheduler>> mSchedulers; // by zone
   std::set<std::string> mLeaving; // instances that say that they leave
 };
 
--- a/src/entry/ZoneSchedulersTakeover.cpp
+++ b/src/entry/ZoneSchedulersTakeover.cpp
@@ -14,34 +14,34 @@
 
 // Zones without an instance of their own: when this one leads them.
 
-ZoneSchedulers::Outside::Outside(EntryState& aState,
-                                 StoreClient& aStore,
-                                 Peers& aPeers,
-                                 const std::string& aZone)
+ZoneSchedulers::OtherZone::OtherZone(EntryState& aState,
+                                     StoreClient& aStore,
+                                     Peers& aPeers,
+                                     const std::string& aZone)
   : mLease(aState,
            aStore,
            aPeers,
            ZoneLeaseName(aZone),
            aState.mSettings.mOrderSilence)
-  , mAdoption(aState.Now())
+  , mTakeover(aState.Now())
 {
 }
 
 void
-ZoneSchedulers::StartAdopting()
+ZoneSchedulers::StartTakeovers()
 {
-  mPeers.OnHeartbeat([this](const Peer& aPeer, const Json::Value& aPulse) {
-    OnHeartbeat(aPeer, aPulse);
+  mPeers.OnHeartbeat([this](const Peer& aPeer, const Json::Value& aHeartbeat) {
+    OnHeartbeat(aPeer, aHeartbeat);
   });
-  mMembers.OnCensus(
+  mMembers.OnZoneCounts(
     [this](const std::map<std::string, int>& aByZone, TimePoint aAskedAt) {
-      for (auto& [zone, outside] : mOutside) {
+      for (auto& [zone, outside] : mOtherZones) {
         auto found = aByZone.find(zone);
-        outside->mAdoption.OnListed(found == aByZone.end() ? 0 : found->second,
+        outside->mTakeover.OnListed(found == aByZone.end() ? 0 : found->second,
                                     aAskedAt);
       }
     });
-  for (auto& [zone, outside] : mOutside) {
+  for (auto& [zone, outside] : mOtherZones) {
     outside->mLease.SetWanted(false);
     outside->mLease.Start();
   }
@@ -50,35 +50,35 @@
 
 // One that leaves has given its lease up, and gives no orders any more.
 void
-ZoneSchedulers::OnHeartbeat(const Peer& aPeer, const Json::Value& aPulse)
+ZoneSchedulers::OnHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat)
 {
-  bool leaving = aPulse["leaving"].asBool();
+  bool leaving = aHeartbeat["leaving"].asBool();
   if (leaving) {
     mLeaving.insert(aPeer.mName);
   } else {
     mLeaving.erase(aPeer.mName);
   }
-  auto found = mOutside.find(aPeer.mZone);
-  if (found != mOutside.end() && leaving) {
-    found->second->mAdoption.OnLeaving();
-  } else if (found != mOutside.end()) {
-    found->second->mAdoption.OnInstanceHeard(mState.Now());
+  auto found = mOtherZones.find(aPeer.mZone);
+  if (found != mOtherZones.end() && leaving) {
+    found->second->mTakeover.OnLeaving();
+  } else if (found != mOtherZones.end()) {
+    found->second->mTakeover.OnInstanceHeard(mState.Now());
   }
 }
 
 void
 ZoneSchedulers::Look()
 {
-  for (auto& [zone, outside] : mOutside) {
-    LookAt(zone, *outside);
+  for (auto& [zone, outside] : mOtherZones) {
+    CheckZone(zone, *outside);
   }
 }
 
 void
-ZoneSchedulers::LookAt(const std::string& aZone, Outside& aOutside)
+ZoneSchedulers::CheckZone(const std::string& aZone, OtherZone& aOutside)
 {
   TimePoint now = mState.Now();
-  ZoneTakeover& adoption = aOutside.mAdoption;
+  ZoneTakeover& adoption = aOutside.mTakeover;
   adoption.SetHeartbeatInterval(mPeers.HeartbeatInterval());
   adoption.OnLedHere(aOutside.mLease.Holds());
   if (adoption.Silent(now)) {
@@ -89,10 +89,10 @@
     }
   }
   if (!mState.mLeave.Leaving() && adoption.NeedsList(now)) {
-    mMembers.LookSoon();
+    mMembers.RequestFreshList();
   }
   aOutside.mLease.SetWanted(!mState.mLeave.Leaving() && adoption.MayLead(now));
-  TellLed(aZone, aOutside);
+  LogLed(aZone, aOutside);
 }
 
 // How many of the living outsiders come before this one.
@@ -111,14 +111,14 @@
 }
 
 void
-ZoneSchedulers::TellLed(const std::string& aZone, Outside& aOutside)
+ZoneSchedulers::LogLed(const std::string& aZone, OtherZone& aOutside)
 {
   bool led = aOutside.mLease.Holds();
   if (led == aOutside.mLed) {
     return;
   }
   aOutside.mLed = led;
-  const ZoneTakeover& adoption = aOutside.mAdoption;
+  const ZoneTakeover& adoption = aOutside.mTakeover;
   mState.mLog.Line(led ? "zone_adopted" : "zone_handed_back")
     .Text("zone", aZone)
     .Count("token", aOutside.mLease.Token())
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -103,7 +103,7 @@
         settings.Reload("signal");
       }
       if (sLeave.exchange(false)) {
-        settings.LookNow(); // the time that is granted may have changed
+        settings.ReloadIfChanged(); // the time that is granted may have changed
         daemon.Leave();
       }
     }
--- a/tests/platform/AnswersTest.cpp
+++ b/tests/platform/AnswersTest.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "platform/WireNames.h"
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 namespace caraway {
 
@@ -17,10 +17,10 @@
 }
 
 void
-SetManners(EntryWorld& aWorld, Manners aManners)
+SetManners(EntryTestFleet& aWorld, ServerBehaviour aManners)
 {
   for (auto& server : aWorld.mPlain) {
-    server->mManners = aManners;
+    server->mBehaviour = aManners;
   }
 }
 
@@ -28,14 +28,14 @@
 
 TEST(Answers, ServersStatusBodyAndSealComeUnchanged)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
-  CallerPtr call = world.Call(0, "/order/x?y=1", "r1", {}, "pay");
+  TestCallPtr call = world.Call(0, "/order/x?y=1", "r1", {}, "pay");
   EXPECT_EQ(200, call->mStatus);
   EXPECT_EQ("answer to r1 of pay", call->mBody);
   EXPECT_NE("", call->Field(wire::kSeal));
-  SetManners(world, Manners::Fails);
-  CallerPtr failed = world.Call(0, "/order/x", "r2");
+  SetManners(world, ServerBehaviour::Fails);
+  TestCallPtr failed = world.Call(0, "/order/x", "r2");
   EXPECT_EQ(500, failed->mStatus);
   EXPECT_EQ("failed", failed->mBody);
   EXPECT_NE("", failed->Field(wire::kSeal));
@@ -45,10 +45,10 @@
 // caller must not hear that it didn't run, and no second server may get it.
 TEST(Answers, OrderWhoseAnswerIsLostRunsOnceAndIsNotDenied)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
-  SetManners(world, Manners::RunsAndCuts);
-  CallerPtr call = world.Call(0, "/order/x", "r1");
+  SetManners(world, ServerBehaviour::RunsThenCloses);
+  TestCallPtr call = world.Call(0, "/order/x", "r1");
   EXPECT_NE(0, call->mStatus);
   EXPECT_FALSE(PromisesNotRun(call->mStatus));
   EXPECT_EQ(1, world.RunsOf("r1"));
@@ -57,12 +57,12 @@
 // A read may run twice: it goes to the other server.
 TEST(Answers, ReadWhoseAnswerIsLostIsAskedOfAnother)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
-  world.mPlain[0]->mManners = Manners::RunsAndCuts;
+  world.mPlain[0]->mBehaviour = ServerBehaviour::RunsThenCloses;
   // Servers are drawn: until that one was asked, too.
   for (int i = 0; i < 8 || (i < 64 && world.mPlain[0]->mRuns.empty()); ++i) {
-    CallerPtr call = world.Call(0, "/safe/x", "r" + std::to_string(i));
+    TestCallPtr call = world.Call(0, "/safe/x", "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
   }
   EXPECT_GT(world.mPlain[0]->mRuns.size(), 0u);
@@ -70,11 +70,11 @@
 
 TEST(Answers, ReadThatFailedIsAskedOfAnother)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
-  world.mPlain[0]->mManners = Manners::Fails;
+  world.mPlain[0]->mBehaviour = ServerBehaviour::Fails;
   for (int i = 0; i < 8; ++i) {
-    CallerPtr call = world.Call(0, "/safe/x", "r" + std::to_string(i));
+    TestCallPtr call = world.Call(0, "/safe/x", "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
   }
 }
@@ -83,10 +83,10 @@
 // says when to come back.
 TEST(Answers, RefusalIsTrueAndSaysWhenToComeBack)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
-  SetManners(world, Manners::Refuses);
-  CallerPtr call = world.Call(0, "/order/x", "r1");
+  SetManners(world, ServerBehaviour::Refuses);
+  TestCallPtr call = world.Call(0, "/order/x", "r1");
   EXPECT_EQ(503, call->mStatus);
   EXPECT_NE("", call->Field(wire::kRetryAfter));
   world.For(Millis(300));
@@ -97,14 +97,14 @@
 // isn't the server's: the caller never gets it as a success.
 TEST(Answers, SpoiltAnswersNeverLookWhole)
 {
-  for (Manners manners : { Manners::Truncates,
-                           Manners::Unsealed,
-                           Manners::Encoded,
-                           Manners::Garbage }) {
-    EntryWorld world;
+  for (ServerBehaviour manners : { ServerBehaviour::Truncates,
+                                   ServerBehaviour::Unsealed,
+                                   ServerBehaviour::Encoded,
+                                   ServerBehaviour::Garbage }) {
+    EntryTestFleet world;
     world.AwaitReady();
     SetManners(world, manners);
-    CallerPtr call = world.Call(0, "/order/x", "r1");
+    TestCallPtr call = world.Call(0, "/order/x", "r1");
     EXPECT_GE(call->mStatus, 500);
     EXPECT_FALSE(PromisesNotRun(call->mStatus));
     EXPECT_EQ(1, world.RunsOf("r1"));
@@ -115,13 +115,14 @@
 // behind it. Each caller gets its own, also the next on that connection.
 TEST(Answers, ForeignAnswersReachNobody)
 {
-  for (Manners manners : { Manners::LateAnswer, Manners::ExtraAnswer }) {
-    EntryWorld world;
+  for (ServerBehaviour manners :
+       { ServerBehaviour::LateAnswer, ServerBehaviour::ExtraAnswer }) {
+    EntryTestFleet world;
     world.AwaitReady();
     SetManners(world, manners);
     for (int i = 0; i < 6; ++i) {
       std::string id = "r" + std::to_string(i);
-      CallerPtr call = world.Call(0, "/order/x", id, {}, "b");
+      TestCallPtr call = world.Call(0, "/order/x", id, {}, "b");
       EXPECT_EQ(200, call->mStatus);
       EXPECT_EQ("answer to " + id + " of b", call->mBody);
       EXPECT_EQ("", call->mOver);
@@ -133,9 +134,9 @@
 // for, not on and on: the budget of repeats is everybody's.
 TEST(Answers, ReadThatFailsEverywhereRunsTwice)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
-  SetManners(world, Manners::Fails);
+  SetManners(world, ServerBehaviour::Fails);
   EXPECT_EQ(500, world.Call(0, "/safe/x", "r1")->mStatus);
   EXPECT_EQ(2, world.RunsOf("r1"));
 }
@@ -145,10 +146,10 @@
 TEST(Answers, ReadThatRanAndFailedIsntRefusedAsNotRun)
 {
   for (int first : { 0, 1 }) {
-    EntryWorld world;
+    EntryTestFleet world;
     world.AwaitReady();
-    world.mPlain[first]->mManners = Manners::Fails;
-    world.mPlain[1 - first]->mManners = Manners::Refuses;
+    world.mPlain[first]->mBehaviour = ServerBehaviour::Fails;
+    world.mPlain[1 - first]->mBehaviour = ServerBehaviour::Refuses;
     for (int i = 0; i < 6; ++i) {
       std::string id = "r" + std::to_string(i);
       int status = world.Call(0, "/safe/x", id)->mStatus;
@@ -162,7 +163,7 @@
 // by each request again and again.
 TEST(Answers, AddressOfAnotherServerIsLeftAlone)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   world.mPlain[0]->mExpectedId = "somebody-else";
   for (int i = 0; i < 20; ++i) {
@@ -175,13 +176,13 @@
 // and the server is told to stop.
 TEST(Answers, RoutesTimeEndsARequest)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mConfig["routes"][1]["timeoutMs"] = 300;
   world.Configure();
   world.AwaitReady();
   world.For(Seconds(2));
-  SetManners(world, Manners::Hangs);
-  CallerPtr call = world.Call(0, "/order/x", "r1");
+  SetManners(world, ServerBehaviour::Hangs);
+  TestCallPtr call = world.Call(0, "/order/x", "r1");
   EXPECT_EQ(504, call->mStatus);
   EXPECT_LT(call->mHeadAt - call->mAsked, Millis(600));
   EXPECT_TRUE(world.Until(
--- a/tests/platform/CallersTest.cpp
+++ b/tests/platform/CallersTest.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "platform/WireNames.h"
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 #include <Poco/Net/StreamSocket.h>
 
@@ -11,13 +11,13 @@
 
 TEST(Callers, ServerGetsTheTenantAndNeverTheKey)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
-  CallerPtr call = world.Call(0,
-                              "/order/x",
-                              "r1",
-                              { { wire::kAuthorization, "Bearer key-globex" },
-                                { wire::kTenant, "acme" } });
+  TestCallPtr call = world.Call(0,
+                                "/order/x",
+                                "r1",
+                                { { wire::kAuthorization, "Bearer key-globex" },
+                                  { wire::kTenant, "acme" } });
   EXPECT_EQ(200, call->mStatus);
   for (auto& server : world.mPlain) {
     for (const ServerRun& run : server->mRuns) {
@@ -29,7 +29,7 @@
 
 TEST(Callers, UnknownKeyAndUnknownRoute)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   EXPECT_EQ(
     401,
@@ -53,9 +53,9 @@
          std::string("X: y\nContent-Length: 200\r\n"),
          std::string("Transfer-Encoding: chunked, identity\r\n"),
          std::string("Content-Length: +5\r\n") }) {
-    EntryWorld world;
+    EntryTestFleet world;
     world.AwaitReady();
-    CallerPtr call =
+    TestCallPtr call =
       world.SendRaw(0,
                     "POST /order/x HTTP/1.1\r\nHost: host\r\n"
                     "Attempt-Id: good\r\nAuthorization: Bearer key-acme\r\n" +
@@ -69,9 +69,9 @@
 
 TEST(Callers, ChunkedBodyReachesTheServerWhole)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
-  CallerPtr call = world.SendRaw(
+  TestCallPtr call = world.SendRaw(
     0,
     "POST /order/x HTTP/1.1\r\nHost: host\r\nAttempt-Id: r1\r\n"
     "Authorization: Bearer key-acme\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -84,7 +84,7 @@
 // goes nowhere.
 TEST(Callers, SystemFieldsOfACallerAreDropped)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   std::vector<HttpField> fields;
   for (const char* name : { wire::kHold,
@@ -94,7 +94,7 @@
                             wire::kExpectInstance }) {
     fields.push_back({ name, "evil" });
   }
-  CallerPtr call = world.Call(0, "/order/x", "r1", fields);
+  TestCallPtr call = world.Call(0, "/order/x", "r1", fields);
   EXPECT_EQ(200, call->mStatus); // the stand-in refuses a foreign instance
   EXPECT_EQ(1, world.RunsOf("r1"));
 }
@@ -103,7 +103,7 @@
 // is left, not more.
 TEST(Callers, ServerGetsWhatIsLeftOfTheDeadline)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   world.Call(0, "/order/x", "r1", { { wire::kDeadline, "1200" } });
   int64_t left = -1;
@@ -120,9 +120,9 @@
 // both are answered, in order.
 TEST(Callers, RequestsOnOneConnectionAreAnsweredInOrder)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
-  CallerPtr call =
+  TestCallPtr call =
     world.SendRaw(0,
                   world.RequestText("/order/x", "r1", {}, "one") +
                     world.RequestText("/order/x", "r2", {}, "two"));
@@ -137,7 +137,7 @@
 
 TEST(Callers, HeadAndBodyBeyondTheLimitsAreRefused)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mConfig["limits"]["maxHeaderBytes"] = 1000;
   world.mConfig["limits"]["maxBodyBytes"] = 2000;
   world.mConfig["limits"]["headerTimeoutMs"] = 300;
@@ -147,7 +147,7 @@
   std::string big(1500, 'x');
   EXPECT_EQ(431, world.Call(0, "/order/x", "r1", { { "X", big } })->mStatus);
   EXPECT_EQ(413, world.Call(0, "/order/x", "r2", {}, big + big)->mStatus);
-  CallerPtr slow = world.SendRaw(0, "POST /order/x HTTP/1.1\r\nHo");
+  TestCallPtr slow = world.SendRaw(0, "POST /order/x HTTP/1.1\r\nHo");
   EXPECT_TRUE(world.Until([&] { return slow->mStatus != 0; }, Seconds(2)));
   EXPECT_EQ(408, slow->mStatus);
 }
@@ -156,7 +156,7 @@
 // are served meanwhile, and a proper scraper is once the others have gone.
 TEST(Callers, ManySlowScrapersDisturbNothing)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   Poco::Net::SocketAddress metrics(
     world.mInstances[0]->State().mSettings.mMetrics);
@@ -173,7 +173,7 @@
     }
   }
   for (int i = 0; i < 5; ++i) {
-    CallerPtr call = world.Call(0, "/safe/x", "r" + std::to_string(i));
+    TestCallPtr call = world.Call(0, "/safe/x", "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
     EXPECT_LT(call->mHeadAt - call->mAsked, Millis(300));
   }
--- a/tests/platform/EmptyZonesTest.cpp
+++ b/tests/platform/EmptyZonesTest.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 
 #include "platform/WireNames.h"
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 namespace caraway {
 
@@ -29,18 +29,18 @@
 }
 
 // One instance in each zone; all engines are in zone b.
-EntryPlan
+EntryFleetOptions
 TwoZones()
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mZones = { "a", "b" };
   return plan;
 }
 
-struct TwoZoneWorld : EntryWorld
+struct TwoZoneFleet : EntryTestFleet
 {
-  explicit TwoZoneWorld(EntryPlan aPlan = TwoZones())
-    : EntryWorld(std::move(aPlan))
+  explicit TwoZoneFleet(EntryFleetOptions aPlan = TwoZones())
+    : EntryTestFleet(std::move(aPlan))
   {
     mStore->Remove(wire::kServersKind, mEngines[0]->Id());
     EXPECT_TRUE(Until(
@@ -68,7 +68,7 @@
   }
 
   // A model that lies on no server's memory is asked for at an instance.
-  CallerPtr Ask(size_t aInstance, const std::string& aModel)
+  TestCallPtr Ask(size_t aInstance, const std::string& aModel)
   {
     return Call(aInstance,
                 "/resume/stream",
@@ -102,7 +102,7 @@
     for (const auto& [token, names] : holders) {
       EXPECT_EQ(1u, names.size()) << "token " << token;
     }
-    EXPECT_EQ(0, Engine().mOverfull);
+    EXPECT_EQ(0, Engine().mOverCapacityLoads);
   }
 
   int mAsked = 0;
@@ -113,7 +113,7 @@
 // Guards against servers that stand idle with nobody who may order there.
 TEST(EmptyZones, ServersOfAnEmptiedZoneTakeOrders)
 {
-  TwoZoneWorld world;
+  TwoZoneFleet world;
   world.AwaitReady();
   world.Remove(1);
   EXPECT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
@@ -124,7 +124,7 @@
 // Guards against an adopter that keeps a zone whose own instance is back.
 TEST(EmptyZones, FirstInstanceOfTheZoneGetsItBack)
 {
-  TwoZoneWorld world;
+  TwoZoneFleet world;
   world.AwaitReady();
   world.Remove(1);
   ASSERT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
@@ -141,7 +141,7 @@
 // list, or isn't adopted a second time at all.
 TEST(EmptyZones, ZoneIsAdoptedAgainWhenItEmptiesAgain)
 {
-  TwoZoneWorld world;
+  TwoZoneFleet world;
   world.AwaitReady();
   world.Remove(1);
   ASSERT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
@@ -158,7 +158,7 @@
 // entries stand, so they may live.
 TEST(EmptyZones, SilentZoneWithEntriesIsNotAdopted)
 {
-  TwoZoneWorld world;
+  TwoZoneFleet world;
   world.AwaitReady();
   world.mInstances[1].reset(); // without a word
   EXPECT_FALSE(world.AskUntilServed(0, "m1", kAdopted));
@@ -170,9 +170,9 @@
 // Guards against two adopters of one zone.
 TEST(EmptyZones, OneOfSeveralAdopts)
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mZones = { "a", "b", "c" };
-  TwoZoneWorld world(plan);
+  TwoZoneFleet world(plan);
   world.mStore->Remove(wire::kServersKind, world.mEngines[2]->Id());
   world.AwaitReady();
   world.Remove(1);
@@ -186,9 +186,9 @@
 // ends.
 TEST(EmptyZones, AdopterThatLeavesHandsOn)
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mZones = { "a", "b", "c" };
-  TwoZoneWorld world(plan);
+  TwoZoneFleet world(plan);
   world.mStore->Remove(wire::kServersKind, world.mEngines[2]->Id());
   world.AwaitReady();
   world.Remove(1);
--- a/tests/platform/FreshnessTest.cpp
+++ b/tests/platform/FreshnessTest.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "platform/WireNames.h"
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 namespace caraway {
 
@@ -13,30 +13,30 @@
 // Stated for all of these, from the store's answer on.
 constexpr Millis kBound{ 2000 };
 
-EntryPlan
+EntryFleetOptions
 TwoInstances()
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mInstances = 2;
   return plan;
 }
 
 void
-TakeKey(EntryWorld& aWorld)
+TakeKey(EntryTestFleet& aWorld)
 {
   aWorld.mConfig["tenants"][0]["apiKeys"] = Json::Value(Json::arrayValue);
   aWorld.Configure();
 }
 
 bool
-Follows(EntryWorld& aWorld, size_t aInstance)
+Follows(EntryTestFleet& aWorld, size_t aInstance)
 {
   return aWorld.LogLines(aInstance, "list_followed") >
          aWorld.LogLines(aInstance, "list_read_again");
 }
 
 int64_t
-VersionAt(EntryWorld& aWorld, size_t aInstance)
+VersionAt(EntryTestFleet& aWorld, size_t aInstance)
 {
   const auto& config = aWorld.mInstances[aInstance]->State().mConfig;
   return config ? config->mVersion : 0;
@@ -46,7 +46,7 @@
 
 TEST(Freshness, WithdrawnKeyStopsWorking)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   EXPECT_EQ(200, world.Call(0, "/order/x", "r1")->mStatus);
   TakeKey(world);
@@ -59,7 +59,7 @@
 TEST(Freshness, InstanceThatTheStoreTurnsAwayLearnsFromAnother)
 {
   for (auto mood : { StandInStore::Mood::Silent, StandInStore::Mood::Busy }) {
-    EntryWorld world(TwoInstances());
+    EntryTestFleet world(TwoInstances());
     world.AwaitReady();
     world.mStore->SetMood(0, mood);
     world.For(Millis(500));
@@ -78,7 +78,7 @@
 // hand over than other calls between instances.
 TEST(Freshness, LargeConfigurationComesFromAnother)
 {
-  EntryWorld world(TwoInstances());
+  EntryTestFleet world(TwoInstances());
   world.AwaitReady();
   Json::Value route = world.mConfig["routes"][0];
   for (int i = 0; i < 3000; ++i) {
@@ -96,7 +96,7 @@
 // All watches hear nothing while changes are made, then the history is gone.
 TEST(Freshness, ForgottenHistoryIsReadAnew)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   world.mStore->MuteWatches(true);
   TakeKey(world);
@@ -119,13 +119,13 @@
 // says so, not that keys or routes are unknown, and isn't ready.
 TEST(Freshness, UnknownConfigurationIsNoDenial)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mInstances[0].reset();
   world.mStore->SetMoodOfAll(StandInStore::Mood::Silent);
   world.mInstances[0] = world.MakeInstance(0);
   world.For(Millis(300));
   EXPECT_FALSE(world.mInstances[0]->Ready());
-  CallerPtr call = world.Call(0, "/order/x", "r1");
+  TestCallPtr call = world.Call(0, "/order/x", "r1");
   EXPECT_EQ(503, call->mStatus);
   EXPECT_NE("", call->Field(wire::kRetryAfter));
 }
@@ -133,7 +133,7 @@
 // An older version comes after a newer one: the newer stays in force.
 TEST(Freshness, ConfigurationNeverGoesBack)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   world.Configure();
   world.For(Millis(1500));
@@ -148,7 +148,7 @@
 // Entries that can't be read name no server, and leave the others in force.
 TEST(Freshness, UnreadableEntriesStopNothing)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   Json::Value bad;
   bad["service"] = 7;
@@ -167,7 +167,7 @@
 // two seconds in which entries come back; what is still missing then is gone.
 TEST(Freshness, LapsedEntriesAreKeptForTwoSeconds)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   world.mStore->SetMoodOfAll(StandInStore::Mood::Silent);
   world.For(Seconds(3));
@@ -186,9 +186,9 @@
 // store is asked doesn't grow with them, and what changes is in force at all.
 TEST(Freshness, OneOfAZoneReadsForAll)
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mInstances = 4;
-  EntryWorld world(plan);
+  EntryTestFleet world(plan);
   world.AwaitReady();
   world.For(Millis(2500));
   int before = world.mStore->Calls();
@@ -215,9 +215,9 @@
 TEST(Freshness, ReaderThatIsLostIsReplaced)
 {
   for (bool killed : { true, false }) {
-    EntryPlan plan;
+    EntryFleetOptions plan;
     plan.mInstances = 3;
-    EntryWorld world(plan);
+    EntryTestFleet world(plan);
     world.AwaitReady();
     world.For(Millis(2500));
     size_t reader = 0;
@@ -248,7 +248,7 @@
 // no entry is left to tell of it, and who follows would send there for ever.
 TEST(Freshness, RemovalBetweenTwoLivesOfTheReaderIsSeen)
 {
-  EntryWorld world(TwoInstances());
+  EntryTestFleet world(TwoInstances());
   world.AwaitReady();
   world.For(Millis(1500));
   size_t reader = Follows(world, 0) ? 1 : 0;
--- a/tests/platform/LeavingEntryTest.cpp
+++ b/tests/platform/LeavingEntryTest.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "platform/WireNames.h"
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 namespace caraway {
 
@@ -19,17 +19,17 @@
 
 const std::vector<HttpField> kLongPlain = { { wire::kDeadline, "25000" } };
 
-EntryPlan
+EntryFleetOptions
 TwoInstances()
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mInstances = 2;
   return plan;
 }
 
 // Routes wait as long as their callers do.
 void
-LetRequestsLast(EntryWorld& aWorld)
+LetRequestsLast(EntryTestFleet& aWorld)
 {
   for (Json::Value& route : aWorld.mConfig["routes"]) {
     route["timeoutMs"] = 25000;
@@ -38,13 +38,13 @@
 }
 
 // A stream of four seconds is under way at the first instance, which leaves.
-CallerPtr
-LeaveDuringAStream(EntryWorld& aWorld, const std::string& aBehind = "")
+TestCallPtr
+LeaveDuringAStream(EntryTestFleet& aWorld, const std::string& aBehind = "")
 {
   LetRequestsLast(aWorld);
   aWorld.mEngines[0]->mEventGap = Millis(800);
   aWorld.AwaitReady();
-  CallerPtr call = aWorld.SendRaw(
+  TestCallPtr call = aWorld.SendRaw(
     0, aWorld.RequestText("/stream/stream", "r1", kLong) + aBehind);
   EXPECT_TRUE(aWorld.Until([&] { return call->mStatus == 200; }, Seconds(2)));
   aWorld.mInstances[0]->Leave();
@@ -53,7 +53,7 @@
 
 // The answer to the second request on aCall's connection: 0 = none.
 int
-SecondStatus(const CallerView& aCall)
+SecondStatus(const TestCall& aCall)
 {
   HttpHead head;
   size_t used = 0;
@@ -65,7 +65,7 @@
 
 // The instances don't run, everything else does.
 void
-StandStill(EntryWorld& aWorld, Millis aTime)
+StandStill(EntryTestFleet& aWorld, Millis aTime)
 {
   TimePoint until = aWorld.mClock.Now() + aTime;
   while (aWorld.mClock.Now() < until) {
@@ -74,7 +74,7 @@
 }
 
 bool
-AwaitGone(EntryWorld& aWorld)
+AwaitGone(EntryTestFleet& aWorld)
 {
   return aWorld.Until([&] { return aWorld.mInstances[0]->Gone(); }, Seconds(9));
 }
@@ -83,10 +83,10 @@
 
 TEST(LeavingEntry, StreamUnderWayEndsWhole)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mEngines[0]->mEventGap = Millis(500);
   world.AwaitReady();
-  CallerPtr call = world.Send(0, "/stream/stream", "r1", kModel);
+  TestCallPtr call = world.Send(0, "/stream/stream", "r1", kModel);
   ASSERT_TRUE(world.Until([&] { return call->mStatus == 200; }, Seconds(1)));
   world.mInstances[0]->Leave();
   EXPECT_FALSE(world.mInstances[0]->Ready());
@@ -98,11 +98,11 @@
 // The balancer sends callers on for a while after the instance is unready.
 TEST(LeavingEntry, CallersThatStillComeAreServed)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   world.mInstances[0]->Leave();
   for (int i = 0; i < 4; ++i) {
-    CallerPtr call = world.Call(0, "/order/x", "r" + std::to_string(i));
+    TestCallPtr call = world.Call(0, "/order/x", "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
     EXPECT_EQ("close", call->Field("Connection"));
     world.For(Millis(400));
@@ -113,19 +113,19 @@
 // stop. Held to the end it would be cut; another instance can still serve it.
 TEST(LeavingEntry, WaitingRequestIsSentAway)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mEngines[0]->mLoadTime = Seconds(60);
   world.mConfig["routes"][3]["timeoutMs"] = 25000;
   world.mConfig["routes"][3]["targetLatencyMs"] = 3000;
   world.Configure();
   world.AwaitReady();
   world.For(Seconds(1));
-  CallerPtr call = world.Send(0,
-                              "/resume/stream",
-                              "r1",
-                              { { wire::kModel, "m1" },
-                                { wire::kTokens, "1,1" },
-                                { wire::kDeadline, "25000" } });
+  TestCallPtr call = world.Send(0,
+                                "/resume/stream",
+                                "r1",
+                                { { wire::kModel, "m1" },
+                                  { wire::kTokens, "1,1" },
+                                  { wire::kDeadline, "25000" } });
   world.For(Millis(300));
   ASSERT_EQ(0, call->mStatus);
   world.mInstances[0]->Leave();
@@ -139,12 +139,12 @@
 // cut by its end.
 TEST(LeavingEntry, RequestBehindAStreamIsntBegunForTheEndToCut)
 {
-  EntryWorld world(TwoInstances());
+  EntryTestFleet world(TwoInstances());
   for (auto& server : world.mPlain) {
     server->mWork = Seconds(5);
   }
   std::string behind = world.RequestText("/order/x", "r2", kLongPlain);
-  CallerPtr call = LeaveDuringAStream(world, behind);
+  TestCallPtr call = LeaveDuringAStream(world, behind);
   ASSERT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(6)));
   EXPECT_TRUE(AwaitGone(world));
   EXPECT_EQ(503, SecondStatus(*call));
@@ -155,8 +155,8 @@
 // read and dropped.
 TEST(LeavingEntry, RequestSentAsAStreamEndsIsAnswered)
 {
-  EntryWorld world(TwoInstances());
-  CallerPtr call = LeaveDuringAStream(world);
+  EntryTestFleet world(TwoInstances());
+  TestCallPtr call = LeaveDuringAStream(world);
   ASSERT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(6)));
   call->mChannel->Write(world.RequestText("/order/x", "r2", kLongPlain));
   EXPECT_TRUE(AwaitGone(world));
@@ -168,9 +168,9 @@
 // the tenant's tokens away itself.
 TEST(LeavingEntry, RefusalOfALastInstanceIsntAboutTheRate)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   std::string behind = world.RequestText("/order/x", "r2", kLongPlain);
-  CallerPtr call = LeaveDuringAStream(world, behind);
+  TestCallPtr call = LeaveDuringAStream(world, behind);
   EXPECT_TRUE(AwaitGone(world));
   EXPECT_EQ(503, SecondStatus(*call));
 }
@@ -179,14 +179,14 @@
 // begun, long after the instance should begin nothing.
 TEST(LeavingEntry, RequestThatIsWholeTooLateIsRefused)
 {
-  EntryWorld world(TwoInstances());
+  EntryTestFleet world(TwoInstances());
   for (auto& server : world.mPlain) {
     server->mWork = Seconds(6);
   }
   LetRequestsLast(world);
   world.AwaitReady();
   std::string text = world.RequestText("/order/x", "r1", kLongPlain);
-  CallerPtr call = world.SendRaw(0, text.substr(0, text.size() - 1));
+  TestCallPtr call = world.SendRaw(0, text.substr(0, text.size() - 1));
   world.For(Millis(200));
   world.mInstances[0]->Leave();
   world.For(Millis(4000));
@@ -199,14 +199,14 @@
 // Guards against a repeat that is sent so late that only the end can follow.
 TEST(LeavingEntry, RepeatThatTheEndWouldCutIsntSent)
 {
-  EntryWorld world(TwoInstances());
+  EntryTestFleet world(TwoInstances());
   for (auto& server : world.mPlain) {
     server->mWork = Seconds(4);
-    server->mManners = Manners::RunsAndCuts;
+    server->mBehaviour = ServerBehaviour::RunsThenCloses;
   }
   LetRequestsLast(world);
   world.AwaitReady();
-  CallerPtr call = world.Send(0, "/safe/x", "r1", kLongPlain);
+  TestCallPtr call = world.Send(0, "/safe/x", "r1", kLongPlain);
   world.For(Millis(200));
   world.mInstances[0]->Leave();
   EXPECT_TRUE(AwaitGone(world));
@@ -219,13 +219,13 @@
 // ends, and who gets a closed connection for an answer.
 TEST(LeavingEntry, WhatIsStillAtAServerAtTheEndIsAnswered)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   for (auto& server : world.mPlain) {
     server->mWork = Seconds(20);
   }
   LetRequestsLast(world);
   world.AwaitReady();
-  CallerPtr call = world.Send(0, "/order/x", "r1", kLongPlain);
+  TestCallPtr call = world.Send(0, "/order/x", "r1", kLongPlain);
   world.For(Millis(200));
   world.mInstances[0]->Leave();
   EXPECT_TRUE(AwaitGone(world));
@@ -238,12 +238,12 @@
 // closed, and is reset with its request.
 TEST(LeavingEntry, LastOneToConnectIsAnswered)
 {
-  EntryWorld world(TwoInstances());
+  EntryTestFleet world(TwoInstances());
   world.AwaitReady();
   world.mInstances[0]->Leave();
   world.For(Millis(2440));
   // The caller connects and sends while the instance doesn't run.
-  CallerPtr call = world.Send(0, "/order/x", "r1");
+  TestCallPtr call = world.Send(0, "/order/x", "r1");
   TimePoint until = world.mClock.Now() + Millis(200);
   while (world.mClock.Now() < until) {
     world.mReactor.Turn(Millis(10));
@@ -256,11 +256,11 @@
 // requests and the one under way.
 TEST(LeavingEntry, EndOfABusyConnectionIsLogged)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mEngines[0]->mEventGap = Seconds(3);
   LetRequestsLast(world);
   world.AwaitReady();
-  CallerPtr call = world.Send(0, "/stream/stream", "r1", kLong);
+  TestCallPtr call = world.Send(0, "/stream/stream", "r1", kLong);
   ASSERT_TRUE(world.Until([&] { return call->mStatus == 200; }, Seconds(2)));
   world.mInstances[0]->Leave();
   EXPECT_TRUE(AwaitGone(world));
@@ -274,7 +274,7 @@
 // is connected: its mates leave its part of the tenants' tokens unused.
 TEST(LeavingEntry, GoodbyesAreSentThoughNobodyIsConnected)
 {
-  EntryWorld world(TwoInstances());
+  EntryTestFleet world(TwoInstances());
   world.mConfig["tenants"][0]["ratePerS"] = 20;
   world.mConfig["tenants"][0]["burst"] = 40;
   world.Configure();
@@ -297,21 +297,21 @@
 // and begins as if it had come in time.
 TEST(LeavingEntry, RequestReadLateAfterAStandstillIsRefused)
 {
-  EntryWorld world(TwoInstances());
+  EntryTestFleet world(TwoInstances());
   for (auto& server : world.mPlain) {
     server->mWork = Seconds(5);
   }
   LetRequestsLast(world);
   world.AwaitReady();
-  CallerPtr kept = world.SendRaw(0, "");
+  TestCallPtr kept = world.SendRaw(0, "");
   world.For(Millis(100));
   world.mInstances[0]->Leave();
   world.For(Millis(2000));
   kept->mChannel->Write(world.RequestText("/order/x", "r1", kLongPlain));
-  CallerPtr late = world.Send(0, "/order/x", "r2", kLongPlain);
+  TestCallPtr late = world.Send(0, "/order/x", "r2", kLongPlain);
   StandStill(world, Millis(2700));
   EXPECT_TRUE(AwaitGone(world));
-  for (const CallerPtr& call : { kept, late }) {
+  for (const TestCallPtr& call : { kept, late }) {
     EXPECT_EQ(503, call->mStatus);
     EXPECT_TRUE(call->mWhole);
   }
@@ -322,13 +322,13 @@
 // the last answers.
 TEST(LeavingEntry, StandstillOverTheEndStillGivesLastAnswers)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   for (auto& server : world.mPlain) {
     server->mWork = Seconds(20);
   }
   LetRequestsLast(world);
   world.AwaitReady();
-  CallerPtr call = world.Send(0, "/order/x", "r1", kLongPlain);
+  TestCallPtr call = world.Send(0, "/order/x", "r1", kLongPlain);
   world.For(Millis(200));
   world.mInstances[0]->Leave();
   world.For(Millis(7300));
@@ -342,9 +342,9 @@
 // Guards against a SIGTERM during the start that leaves callers unanswered.
 TEST(LeavingEntry, ToldToStopAsItStartsItAnswersAndGoes)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mInstances[0]->Leave();
-  CallerPtr call = world.Call(0, "/order/x", "r1");
+  TestCallPtr call = world.Call(0, "/order/x", "r1");
   EXPECT_TRUE(call->mWhole);
   EXPECT_TRUE(AwaitGone(world));
 }
@@ -353,12 +353,12 @@
 // a closed connection for an answer: it can't tell that nothing ran.
 TEST(LeavingEntry, RequestThatIsntWholeAtTheEndIsRefused)
 {
-  EntryWorld world(TwoInstances());
+  EntryTestFleet world(TwoInstances());
   world.mConfig["limits"]["idleTimeoutMs"] = 20000;
   world.Configure();
   world.AwaitReady();
   std::string text = world.RequestText("/order/x", "r1", kLongPlain);
-  CallerPtr call = world.SendRaw(0, text.substr(0, text.size() - 1));
+  TestCallPtr call = world.SendRaw(0, text.substr(0, text.size() - 1));
   world.For(Millis(200));
   world.mInstances[0]->Leave();
   EXPECT_TRUE(AwaitGone(world));
@@ -371,7 +371,7 @@
 // gives them away, and is refused for the tenant's rate.
 TEST(LeavingEntry, WaitingForTokensThatAreGivenAwayIsntAboutTheRate)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mConfig["tenants"][0]["ratePerS"] = 20;
   world.mConfig["tenants"][0]["burst"] = 40;
   for (Json::Value& route : world.mConfig["routes"]) {
@@ -382,14 +382,14 @@
   world.For(Seconds(3)); // the bucket fills
   world.mInstances[0]->Leave();
   world.For(Millis(2250));
-  std::vector<CallerPtr> calls;
+  std::vector<TestCallPtr> calls;
   for (int i = 0; i < 5; ++i) {
     calls.push_back(
       world.Send(0, "/order/x", "r" + std::to_string(i), kLongPlain));
   }
   EXPECT_TRUE(AwaitGone(world));
   int refused = 0;
-  for (const CallerPtr& call : calls) {
+  for (const TestCallPtr& call : calls) {
     EXPECT_TRUE(call->mStatus == 200 || call->mStatus == 503) << call->mStatus;
     refused += call->mStatus == 200 ? 0 : 1;
   }
@@ -400,22 +400,22 @@
 // away though a place comes free in time.
 TEST(LeavingEntry, WaitingRequestThatFitsIsServed)
 {
-  EntryPlan plan = TwoInstances();
+  EntryFleetOptions plan = TwoInstances();
   plan.mPlain = 1;
-  EntryWorld world(plan);
+  EntryTestFleet world(plan);
   world.mConfig["services"][0]["maxConns"] = 1;
   world.mConfig["routes"][1]["timeoutMs"] = 5000;
   world.Configure();
   world.mPlain[0]->mWork = Millis(100);
   world.AwaitReady();
   world.mInstances[0]->Leave();
-  std::vector<CallerPtr> calls;
+  std::vector<TestCallPtr> calls;
   for (int i = 0; i < 12; ++i) {
     calls.push_back(world.Send(
       0, "/order/x", "r" + std::to_string(i), { { wire::kDeadline, "5000" } }));
   }
   EXPECT_TRUE(AwaitGone(world));
-  for (const CallerPtr& call : calls) {
+  for (const TestCallPtr& call : calls) {
     EXPECT_EQ(200, call->mStatus);
   }
 }
@@ -424,13 +424,13 @@
 // because the granted time was shortened while it left.
 TEST(LeavingEntry, GraceThatIsShortenedHoldsForTheLeaveUnderWay)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   for (auto& server : world.mPlain) {
     server->mWork = Seconds(20);
   }
   LetRequestsLast(world);
   world.AwaitReady();
-  CallerPtr call = world.Send(0, "/order/x", "r1", kLongPlain);
+  TestCallPtr call = world.Send(0, "/order/x", "r1", kLongPlain);
   world.For(Millis(200));
   world.mInstances[0]->Leave();
   world.For(Seconds(1));
--- a/tests/platform/OpenConnectionsTest.cpp
+++ b/tests/platform/OpenConnectionsTest.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "platform/WireNames.h"
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 namespace caraway {
 
@@ -15,8 +15,8 @@
                                        { wire::kDeadline, "25000" } };
 
 // A stream of two and a half seconds is under way.
-CallerPtr
-BeginStream(EntryWorld& aWorld)
+TestCallPtr
+BeginStream(EntryTestFleet& aWorld)
 {
   for (Json::Value& route : aWorld.mConfig["routes"]) {
     route["timeoutMs"] = 25000;
@@ -24,7 +24,7 @@
   aWorld.Configure();
   aWorld.mEngines[0]->mEventGap = Millis(500);
   aWorld.AwaitReady();
-  CallerPtr call = aWorld.Send(0, "/stream/stream", "r1", kLong);
+  TestCallPtr call = aWorld.Send(0, "/stream/stream", "r1", kLong);
   EXPECT_TRUE(aWorld.Until([&] { return call->mStatus == 200; }, Seconds(2)));
   return call;
 }
@@ -35,12 +35,12 @@
 // within the limit that held when it was left idle.
 TEST(OpenConnections, IdleLimitThatFallsLeavesThePauseUnderWayAlone)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mConfig["limits"]["idleTimeoutMs"] = 10000;
   world.Configure();
   world.AwaitReady();
   world.For(Seconds(1));
-  CallerPtr call = world.Send(0, "/order/x", "r1");
+  TestCallPtr call = world.Send(0, "/order/x", "r1");
   ASSERT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(2)));
   world.For(Seconds(2));
   world.mConfig["limits"]["idleTimeoutMs"] = 1000;
@@ -59,8 +59,8 @@
 // answer nor refusal, because a limit fell below what lies behind the stream.
 TEST(OpenConnections, SizeLimitThatFallsCutsNothing)
 {
-  EntryWorld world;
-  CallerPtr call = BeginStream(world);
+  EntryTestFleet world;
+  TestCallPtr call = BeginStream(world);
   world.mConfig["limits"]["maxHeaderBytes"] = 1000;
   world.mConfig["limits"]["maxBodyBytes"] = 2000;
   world.Configure();
@@ -78,13 +78,13 @@
 // came.
 TEST(OpenConnections, TimeLimitThatFallsSparesTheBodyUnderWay)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mConfig["limits"]["idleTimeoutMs"] = 10000;
   world.Configure();
   world.AwaitReady();
   world.For(Seconds(1));
   std::string text = world.RequestText("/order/x", "r1");
-  CallerPtr call = world.SendRaw(0, text.substr(0, text.size() - 1));
+  TestCallPtr call = world.SendRaw(0, text.substr(0, text.size() - 1));
   world.For(Millis(500));
   world.mConfig["limits"]["idleTimeoutMs"] = 1000;
   world.Configure();
@@ -99,10 +99,10 @@
 // loses the stream for it.
 TEST(OpenConnections, CallerThatSendsAheadKeepsItsStream)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mConfig["limits"]["maxHeaderBytes"] = 2000;
   world.mConfig["limits"]["maxBodyBytes"] = 2000;
-  CallerPtr call = BeginStream(world);
+  TestCallPtr call = BeginStream(world);
   std::string body(1500, 'x');
   std::string ahead;
   for (int i = 0; i < 6; ++i) {
@@ -122,10 +122,10 @@
 // noticed: its server would work on for nobody.
 TEST(OpenConnections, CallerThatSendsAheadAndGoesIsNoticed)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mConfig["limits"]["maxHeaderBytes"] = 2000;
   world.mConfig["limits"]["maxBodyBytes"] = 2000;
-  CallerPtr call = BeginStream(world);
+  TestCallPtr call = BeginStream(world);
   call->mChannel->Write(std::string(100000, 'x'));
   world.For(Millis(300));
   call->mChannel->Close();
@@ -137,7 +137,7 @@
 // server says nothing: the server would work on for nobody.
 TEST(OpenConnections, CallerThatSendsAheadAndGoesIsNoticedInSilence)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mConfig["limits"]["maxHeaderBytes"] = 2000;
   world.mConfig["limits"]["maxBodyBytes"] = 2000;
   for (Json::Value& route : world.mConfig["routes"]) {
@@ -148,7 +148,7 @@
     server->mWork = Seconds(5);
   }
   world.AwaitReady();
-  CallerPtr call =
+  TestCallPtr call =
     world.Send(0, "/order/x", "r1", { { wire::kDeadline, "25000" } });
   ASSERT_TRUE(world.Until(
     [&] {
@@ -167,13 +167,13 @@
 // and loses some of them, or gets them answered out of order.
 TEST(OpenConnections, RequestsSentAtOnceAreAnsweredInOrder)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   std::string text;
   for (int i = 0; i < 50; ++i) {
     text += world.RequestText("/order/x", "r" + std::to_string(i));
   }
-  CallerPtr call = world.SendRaw(0, text);
+  TestCallPtr call = world.SendRaw(0, text);
   world.Until([&] { return world.RunsOf("r49") > 0; }, Seconds(5));
   world.For(Millis(200));
   size_t at = 0;
@@ -237,12 +237,12 @@
 // that end without an answer as a configuration takes away what they go by.
 TEST_P(TakenAwayUnderWay, AllAreAnswered)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mEngines[0]->mLoadTime = Seconds(1);
-  CallerPtr stream = BeginStream(world);
+  TestCallPtr stream = BeginStream(world);
   std::vector<HttpField> cold = kLong;
   cold[0].mValue = "m5";
-  CallerPtr waits = world.Send(0, "/resume/stream", "r2", cold);
+  TestCallPtr waits = world.Send(0, "/resume/stream", "r2", cold);
   stream->mChannel->Write(world.RequestText("/order/x", "r3"));
   world.For(Millis(200));
   GetParam().mChange(world.mConfig);
--- a/tests/platform/OrdersTest.cpp
+++ b/tests/platform/OrdersTest.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "platform/WireNames.h"
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 namespace caraway {
 
@@ -16,8 +16,10 @@
   return { { wire::kModel, aName }, { wire::kTokens, "100,50" } };
 }
 
-CallerPtr
-Stream(EntryWorld& aWorld, const std::string& aModel, const std::string& aId)
+TestCallPtr
+Stream(EntryTestFleet& aWorld,
+       const std::string& aModel,
+       const std::string& aId)
 {
   return aWorld.Call(0, "/resume/stream", aId, Model(aModel));
 }
@@ -26,11 +28,11 @@
 
 TEST(Orders, MissingModelIsLoadedAndServed)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.mEngines[0]->mOnDisk = { "m1" };
   world.List(*world.mEngines[0], "engine", "a");
   world.AwaitReady();
-  CallerPtr call = Stream(world, "m1", "r1");
+  TestCallPtr call = Stream(world, "m1", "r1");
   EXPECT_EQ(200, call->mStatus);
   EXPECT_TRUE(call->mWhole);
   EXPECT_EQ(1, world.mEngines[0]->mOrdersSeen);
@@ -41,20 +43,20 @@
 // where a caller gives up after two or three seconds, reports come too late.
 TEST(Orders, LoadFromDiskIsUsedBeforeItIsReported)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   StandInServer& engine = *world.mEngines[0];
   engine.mOnDisk = { "m1" };
   engine.mReportLag = Seconds(1);
   world.List(engine, "engine", "a");
   world.AwaitReady();
-  CallerPtr call = Stream(world, "m1", "r1");
+  TestCallPtr call = Stream(world, "m1", "r1");
   EXPECT_EQ(200, call->mStatus);
   EXPECT_LT(call->mHeadAt - call->mAsked, Millis(600));
 }
 
 TEST(Orders, WhatNobodyAsksForMakesWay)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   StandInServer& engine = *world.mEngines[0];
   engine.mModels = { { "m0", {} }, { "m1", {} }, { "m2", {} } };
   world.List(engine, "engine", "a");
@@ -63,7 +65,7 @@
   EXPECT_EQ(200, Stream(world, "m3", "r2")->mStatus);
   EXPECT_TRUE(engine.mModels.count("m0"));
   EXPECT_EQ(3u, engine.mModels.size());
-  EXPECT_EQ(0, engine.mOverfull);
+  EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
 // A server carries an unload out in some 50 ms and refuses orders meanwhile.
@@ -71,7 +73,7 @@
 // orders have their price, and there are a dozen such places a second.
 TEST(Orders, PlaceTakesTwoOrders)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   StandInServer& engine = *world.mEngines[0];
   engine.mModels = { { "m0", {} }, { "m1", {} }, { "m2", {} } };
   engine.mUnloadTime = Millis(45);
@@ -84,16 +86,16 @@
 // Many callers ask for one cold model at the same moment: one load.
 TEST(Orders, BurstForOneModelLoadsItOnce)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
-  std::vector<CallerPtr> calls;
+  std::vector<TestCallPtr> calls;
   for (int i = 0; i < 10; ++i) {
     calls.push_back(
       world.Send(0, "/resume/stream", "r" + std::to_string(i), Model("m1")));
   }
   EXPECT_TRUE(world.Until(
     [&] {
-      for (const CallerPtr& call : calls) {
+      for (const TestCallPtr& call : calls) {
         if (!call->mWhole) {
           return false;
         }
@@ -106,16 +108,16 @@
 
 TEST(Orders, AdapterIsBroughtAndAnotherMakesWay)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   StandInServer& engine = *world.mEngines[0];
-  engine.mAdapterPlaces = 8;
+  engine.mAdapterCapacity = 8;
   world.AwaitReady();
   for (int i = 0; i < 12; ++i) {
-    CallerPtr call =
+    TestCallPtr call =
       Stream(world, "m0/a" + std::to_string(i), "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
   }
-  EXPECT_EQ(0, engine.mOverfull);
+  EXPECT_EQ(0, engine.mOverCapacityLoads);
   EXPECT_LE(engine.mModels["m0"].size(), 8u);
 }
 
@@ -124,12 +126,12 @@
 // its place isn't free.
 TEST(Orders, PlaceOfAnAdapterInUseIsNotFree)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   StandInServer& engine = *world.mEngines[0];
   engine.mEvents = 40;
   engine.mEventGap = Millis(50);
   world.AwaitReady();
-  std::vector<CallerPtr> calls;
+  std::vector<TestCallPtr> calls;
   for (int i = 0; i < 10; ++i) {
     calls.push_back(world.Send(0,
                                "/resume/stream",
@@ -138,7 +140,7 @@
     world.For(Millis(100));
   }
   world.Until([&] { return calls.back()->mWhole; }, Seconds(6));
-  EXPECT_EQ(0, engine.mOverfull);
+  EXPECT_EQ(0, engine.mOverCapacityLoads);
   EXPECT_GE(engine.mOrdersSeen, 9);
 }
 
@@ -146,13 +148,13 @@
 // sent again under the same count, so that it can't take effect twice.
 TEST(Orders, OrderWithoutAnswerTakesEffectOnce)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   StandInServer& engine = *world.mEngines[0];
   world.AwaitReady();
-  engine.mSwallowsOrders = true;
-  CallerPtr call = world.Send(0, "/resume/stream", "r1", Model("m1"));
+  engine.mDropsOrderAnswers = true;
+  TestCallPtr call = world.Send(0, "/resume/stream", "r1", Model("m1"));
   world.Until([&] { return engine.mOrdersSeen >= 2; }, Seconds(2));
-  engine.mSwallowsOrders = false;
+  engine.mDropsOrderAnswers = false;
   EXPECT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(4)));
   EXPECT_EQ(1, engine.mOrders);
 }
@@ -162,7 +164,7 @@
 // time the server takes orders again the first load has filled the room.
 TEST(Orders, LoadOfAFormerLifeFillsTheRoomFirst)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   StandInServer& engine = *world.mEngines[0];
   engine.mModels = { { "m0", {} }, { "m1", {} } };
   engine.mLoadTime = Millis(2500);
@@ -183,18 +185,18 @@
   world.List(engine, "engine", "a");
   engine.mModels = before;
   world.Until([&] { return !engine.mBusy; }, Seconds(4));
-  CallerPtr call = Stream(world, "m3", "r3");
+  TestCallPtr call = Stream(world, "m3", "r3");
   world.For(Seconds(1));
-  EXPECT_EQ(0, engine.mOverfull);
+  EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
 // Guards against a count of orders that is believed together with content from
 // before the last of them ended: the next load would find no room.
 TEST(Orders, CountToldDuringALoadIsNoAccountForASuccessor)
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mInstances = 2;
-  EntryWorld world(plan);
+  EntryTestFleet world(plan);
   StandInServer& engine = *world.mEngines[0];
   engine.mModels = { { "m0", {} }, { "m1", {} } };
   engine.mLoadTime = Millis(6000);
@@ -209,7 +211,7 @@
   ASSERT_TRUE(world.Until(
     [&] { return world.mInstances[holder]->HoldsLease(); }, Seconds(2)));
   world.AwaitReady();
-  CallerPtr gone = world.Send(holder, "/resume/stream", "r2", Model("m3"));
+  TestCallPtr gone = world.Send(holder, "/resume/stream", "r2", Model("m3"));
   world.For(Millis(300));
   gone->mChannel->Close();
   world.For(Millis(300));
@@ -219,14 +221,14 @@
   ASSERT_TRUE(world.Until([&] { return !engine.mBusy; }, Seconds(8)));
   world.Send(1 - holder, "/resume/stream", "r3", Model("m3"));
   world.For(Millis(1500));
-  EXPECT_EQ(0, engine.mOverfull);
+  EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
 // An entry from before an adapter was loaded comes after it. The account of
 // what the server holds must not lose the adapter, or a ninth is ordered.
 TEST(Orders, LateEntryDoesNotUndoAnOrder)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   StandInServer& engine = *world.mEngines[0];
   world.AwaitReady();
   for (int i = 0; i < 8; ++i) {
@@ -242,14 +244,14 @@
   world.For(Millis(1200));
   Stream(world, "m0/a9", "r9");
   world.For(Millis(300));
-  EXPECT_EQ(0, engine.mOverfull);
+  EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
 // A server finds that it doesn't hold an adapter that it was believed to
 // hold. Requests keep off for a moment; the account stays with who orders.
 TEST(Orders, RefusedRequestDoesNotChangeTheAccount)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   world.mEngines[0]->mExpectedId = "somebody-else"; // 421 to all
   Stream(world, "m0", "r1");
@@ -263,9 +265,9 @@
 // other takes over under a higher token, after the silence.
 TEST(Orders, OneHolderAtATimeUnderRisingTokens)
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mInstances = 2;
-  EntryWorld world(plan);
+  EntryTestFleet world(plan);
   StandInServer& engine = *world.mEngines[0];
   world.AwaitReady();
   for (size_t i = 0; i < 2; ++i) {
@@ -281,7 +283,7 @@
   ASSERT_TRUE(
     world.Until([&] { return world.mInstances[gone]->Gone(); }, Seconds(9)));
   world.mInstances[gone].reset();
-  CallerPtr call = world.Call(1 - gone, "/resume/stream", "r9", Model("m4"));
+  TestCallPtr call = world.Call(1 - gone, "/resume/stream", "r9", Model("m4"));
   EXPECT_EQ(200, call->mStatus);
   EXPECT_EQ(2u, engine.mHolders.size());
   for (size_t i = 1; i < engine.mTokens.size(); ++i) {
@@ -294,7 +296,7 @@
 // order under the heartbeats' count would be refused for ever.
 TEST(Orders, EntryCountsHeartbeatsNotOrders)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   StandInServer& engine = *world.mEngines[0];
   engine.mOrders = 5;
   world.AwaitReady();
--- a/tests/platform/GoingOneByOneTest.cpp
+++ b/tests/platform/RollingShutdownTest.cpp
@@ -4,23 +4,23 @@
 #include <gtest/gtest.h>
 
 #include "platform/WireNames.h"
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 namespace caraway {
 
 namespace {
 
-EntryPlan
+EntryFleetOptions
 Instances(int aCount)
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mInstances = aCount;
   return plan;
 }
 
 // Withdraws the first tenant's key, and lets the first server drain.
 void
-Withdraw(EntryWorld& aWorld)
+Withdraw(EntryTestFleet& aWorld)
 {
   aWorld.mConfig["tenants"][0]["apiKeys"] = Json::Value(Json::arrayValue);
   aWorld.Configure();
@@ -28,14 +28,14 @@
 }
 
 bool
-KnowsConfig(EntryWorld& aWorld, size_t aInstance)
+KnowsConfig(EntryTestFleet& aWorld, size_t aInstance)
 {
   const auto& config = aWorld.mInstances[aInstance]->State().mConfig;
   return config && config->mVersion == aWorld.mConfig["version"].asInt64();
 }
 
 bool
-KnowsDraining(EntryWorld& aWorld, size_t aInstance)
+KnowsDraining(EntryTestFleet& aWorld, size_t aInstance)
 {
   const Backend* server =
     aWorld.mInstances[aInstance]->State().mServers.Find(aWorld.mPlain[0]->Id());
@@ -44,7 +44,7 @@
 
 // The one that reads the store for the others.
 size_t
-Reader(EntryWorld& aWorld)
+Reader(EntryTestFleet& aWorld)
 {
   aWorld.For(Millis(2500));
   size_t reader = 0;
@@ -57,7 +57,7 @@
 }
 
 bool
-AllKnow(EntryWorld& aWorld, size_t aBut)
+AllKnow(EntryTestFleet& aWorld, size_t aBut)
 {
   for (size_t i = 0; i < aWorld.mInstances.size(); ++i) {
     if (i != aBut && !(KnowsConfig(aWorld, i) && KnowsDraining(aWorld, i))) {
@@ -69,7 +69,7 @@
 
 // A change that all take over: what they know is as fresh as can be.
 void
-Freshen(EntryWorld& aWorld)
+Freshen(EntryTestFleet& aWorld)
 {
   aWorld.Configure();
   std::string id = aWorld.mPlain[1]->Id();
@@ -89,7 +89,7 @@
 
 // Calls to others that failed, in the logs of those that are there.
 int
-FailedCalls(EntryWorld& aWorld, size_t aFirst)
+FailedCalls(EntryTestFleet& aWorld, size_t aFirst)
 {
   int failed = 0;
   for (size_t i = aFirst; i < aWorld.mInstances.size(); ++i) {
@@ -102,9 +102,9 @@
 
 // Guards against followers that wait for news of a reader that has said that
 // it leaves.
-TEST(GoingOneByOne, LeavingReaderIsFollowedNoMore)
+TEST(RollingShutdown, LeavingReaderIsFollowedNoMore)
 {
-  EntryWorld world(Instances(3));
+  EntryTestFleet world(Instances(3));
   world.AwaitReady();
   size_t reader = Reader(world);
   Freshen(world);
@@ -117,9 +117,9 @@
 
 // Guards against a configuration that counts as fresh because the teller's list
 // of servers is.
-TEST(GoingOneByOne, ConfigurationHasAnAgeOfItsOwn)
+TEST(RollingShutdown, ConfigurationHasAnAgeOfItsOwn)
 {
-  EntryWorld world(Instances(3));
+  EntryTestFleet world(Instances(3));
   world.AwaitReady();
   size_t reader = Reader(world);
   Freshen(world);
@@ -135,9 +135,9 @@
 
 // Guards against news that lay unread and count as young as when they were
 // sent.
-TEST(GoingOneByOne, NewsAgeWhileTheyLieUnread)
+TEST(RollingShutdown, NewsAgeWhileTheyLieUnread)
 {
-  EntryWorld world(Instances(3));
+  EntryTestFleet world(Instances(3));
   world.AwaitReady();
   size_t reader = Reader(world);
   size_t late = reader == 2 ? 1 : 2;
@@ -154,11 +154,11 @@
 
 // Guards against calls to those that left, and against waiting for the store's
 // list to forget them.
-TEST(GoingOneByOne, ThoseThatLeftAreForgottenAndNotCalled)
+TEST(RollingShutdown, ThoseThatLeftAreForgottenAndNotCalled)
 {
-  EntryPlan plan = Instances(3);
+  EntryFleetOptions plan = Instances(3);
   plan.mZones = { "a", "b" };
-  EntryWorld world(plan);
+  EntryTestFleet world(plan);
   world.mConfig["tenants"][0]["ratePerS"] = 6000;
   world.mConfig["tenants"][0]["burst"] = 6000;
   world.Configure();
@@ -186,9 +186,9 @@
 
 // Guards against a server that is gone and comes back for a moment with each
 // news that still tell of its last change.
-TEST(GoingOneByOne, ServerThatIsGoneStaysGone)
+TEST(RollingShutdown, ServerThatIsGoneStaysGone)
 {
-  EntryWorld world(Instances(3));
+  EntryTestFleet world(Instances(3));
   world.AwaitReady();
   Reader(world);
   world.List(*world.mPlain[0], "plain", "a", "draining");
@@ -202,9 +202,9 @@
 }
 
 // Guards against one instance that leads its zone and reads for it too.
-TEST(GoingOneByOne, LeaderLetsAnotherRead)
+TEST(RollingShutdown, LeaderLetsAnotherRead)
 {
-  EntryWorld world(Instances(4));
+  EntryTestFleet world(Instances(4));
   world.AwaitReady();
   size_t reader = Reader(world);
   EXPECT_EQ(0, world.LogLines(reader, "lease_taken"));
@@ -212,9 +212,9 @@
 
 // Guards against a change that falls between many that leave: each that takes
 // callers has it within the bound.
-TEST(GoingOneByOne, ChangesAreInForceWhileMostLeave)
+TEST(RollingShutdown, ChangesAreInForceWhileMostLeave)
 {
-  EntryWorld world(Instances(8));
+  EntryTestFleet world(Instances(8));
   world.AwaitReady();
   world.For(Millis(1500));
   for (size_t i = 0; i < 6; ++i) {
@@ -233,9 +233,9 @@
 
 // Guards against an instance that starts again under its name and stays
 // forgotten.
-TEST(GoingOneByOne, NextLifeIsKnownAgain)
+TEST(RollingShutdown, NextLifeIsKnownAgain)
 {
-  EntryWorld world(Instances(3));
+  EntryTestFleet world(Instances(3));
   world.AwaitReady();
   world.mInstances[1]->Leave();
   ASSERT_TRUE(
--- a/tests/platform/StreamsTest.cpp
+++ b/tests/platform/StreamsTest.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "platform/WireNames.h"
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 namespace caraway {
 
@@ -24,10 +24,10 @@
   return text;
 }
 
-EntryPlan
+EntryFleetOptions
 TwoEngines()
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mEngines = 2;
   return plan;
 }
@@ -36,10 +36,10 @@
 
 TEST(Streams, EventsComeAsTheyAreMade)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   world.mEngines[0]->mEventGap = Millis(150);
-  CallerPtr call = world.Send(0, "/stream/stream", "r1", kModel);
+  TestCallPtr call = world.Send(0, "/stream/stream", "r1", kModel);
   EXPECT_TRUE(
     world.Until([&] { return call->mBody == Events(1, 1); }, Millis(300)));
   EXPECT_FALSE(call->mWhole);
@@ -51,12 +51,12 @@
 // ends without its end, so that it can't look complete.
 TEST(Streams, BrokenStreamDoesNotLookComplete)
 {
-  EntryWorld world(TwoEngines());
+  EntryTestFleet world(TwoEngines());
   world.AwaitReady();
   for (auto& engine : world.mEngines) {
-    engine->mManners = Manners::StopsMidway;
+    engine->mBehaviour = ServerBehaviour::StopsMidway;
   }
-  CallerPtr call = world.Call(0, "/stream/stream", "r1", kModel);
+  TestCallPtr call = world.Call(0, "/stream/stream", "r1", kModel);
   EXPECT_TRUE(call->mClosed);
   EXPECT_FALSE(call->mWhole);
   EXPECT_EQ(1, world.RunsOf("r1"));
@@ -67,11 +67,11 @@
 TEST(Streams, ResumedStreamIsJoinedWithoutASeam)
 {
   for (int i = 0; i < 4; ++i) {
-    EntryWorld world(TwoEngines());
+    EntryTestFleet world(TwoEngines());
     world.AwaitReady();
-    world.mEngines[0]->mManners = Manners::StopsMidway;
+    world.mEngines[0]->mBehaviour = ServerBehaviour::StopsMidway;
     std::string id = "r" + std::to_string(i);
-    CallerPtr call = world.Call(0, "/resume/stream", id, kModel);
+    TestCallPtr call = world.Call(0, "/resume/stream", id, kModel);
     EXPECT_TRUE(call->mWhole);
     EXPECT_EQ(Events(1, 5), call->mBody);
     if (!world.mEngines[0]->mRuns.empty()) {
@@ -84,10 +84,10 @@
 // The caller of a stream leaves: the server is told within half a second.
 TEST(Streams, LeavingCallerStopsTheServer)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   world.mEngines[0]->mEvents = 1000;
-  CallerPtr call = world.Send(0, "/stream/stream", "r1", kModel);
+  TestCallPtr call = world.Send(0, "/stream/stream", "r1", kModel);
   ASSERT_TRUE(world.Until([&] { return call->mStatus == 200; }, Seconds(1)));
   call->mChannel->Close();
   EXPECT_TRUE(
@@ -96,10 +96,10 @@
 
 TEST(Streams, CallerThatLeavesBeforeTheFirstEventStopsTheServer)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   world.AwaitReady();
   world.mEngines[0]->mWork = Seconds(5);
-  CallerPtr call = world.Send(0, "/stream/stream", "r1", kModel);
+  TestCallPtr call = world.Send(0, "/stream/stream", "r1", kModel);
   ASSERT_TRUE(
     world.Until([&] { return !world.mEngines[0]->mRuns.empty(); }, Seconds(1)));
   call->mChannel->Close();
--- a/tests/platform/TokensTest.cpp
+++ b/tests/platform/TokensTest.cpp
@@ -3,16 +3,16 @@
 #include <gtest/gtest.h>
 
 #include "platform/WireNames.h"
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 namespace caraway {
 
 namespace {
 
-EntryPlan
+EntryFleetOptions
 ThreeInstances()
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mInstances = 3;
   return plan;
 }
@@ -25,7 +25,7 @@
 
 // The first tenant's limit, in force at all instances and full.
 void
-Limit(EntryWorld& aWorld, int aTokens)
+Limit(EntryTestFleet& aWorld, int aTokens)
 {
   aWorld.mConfig["tenants"][0]["ratePerS"] = aTokens;
   aWorld.mConfig["tenants"][0]["burst"] = aTokens;
@@ -40,10 +40,10 @@
 // stays at rate and burst, and refusals say when to come back.
 TEST(Tokens, FloodStaysAtTheLimit)
 {
-  EntryWorld world(ThreeInstances());
+  EntryTestFleet world(ThreeInstances());
   Limit(world, 20000);
   TimePoint begin = world.mClock.Now();
-  std::vector<CallerPtr> calls;
+  std::vector<TestCallPtr> calls;
   for (int i = 0; i < 300; ++i) {
     calls.push_back(world.Send(static_cast<size_t>(i % 3),
                                "/order/x",
@@ -55,7 +55,7 @@
   double seconds =
     std::chrono::duration<double>(world.mClock.Now() - begin).count();
   int served = 0;
-  for (const CallerPtr& call : calls) {
+  for (const TestCallPtr& call : calls) {
     served += call->mStatus == 200 ? 1 : 0;
     if (call->mStatus != 200) {
       EXPECT_EQ(429, call->mStatus);
@@ -71,7 +71,7 @@
 // an even part.
 TEST(Tokens, OneInstanceMayUseTheCommonPart)
 {
-  EntryWorld world(ThreeInstances());
+  EntryTestFleet world(ThreeInstances());
   Limit(world, 30000);
   int served = 0;
   for (int i = 0; i < 18; ++i) {
@@ -87,10 +87,10 @@
 // the whole rate, for seconds. The others' even parts aren't lost to it.
 TEST(Tokens, RateOfIdleInstancesIsUsed)
 {
-  EntryWorld world(ThreeInstances());
+  EntryTestFleet world(ThreeInstances());
   Limit(world, 30000);
   constexpr int kAsked = 170;
-  std::vector<CallerPtr> calls;
+  std::vector<TestCallPtr> calls;
   for (int i = 0; i < kAsked; ++i) {
     calls.push_back(
       world.Send(0, "/order/x", "r" + std::to_string(i), Cost(1000)));
@@ -98,7 +98,7 @@
   }
   world.For(Millis(500));
   int served = 0;
-  for (const CallerPtr& call : calls) {
+  for (const TestCallPtr& call : calls) {
     served += call->mStatus == 200 ? 1 : 0;
   }
   // Two thirds of rate and burst would be 140.
@@ -111,9 +111,9 @@
 // instance's own part, so that it was lent by the keeper.
 TEST(Tokens, WhatDidNotRunCostsNothing)
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mInstances = 2;
-  EntryWorld world(plan);
+  EntryTestFleet world(plan);
   world.mEngines[0]->mModels = { { "m1", {} } };
   world.List(*world.mEngines[0], "engine", "a");
   world.mConfig["tenants"][0]["ratePerS"] = 6000;
@@ -122,11 +122,11 @@
   world.AwaitReady();
   world.For(Millis(1500));
   for (auto& server : world.mPlain) {
-    server->mManners = Manners::Refuses;
+    server->mBehaviour = ServerBehaviour::Refuses;
   }
-  CallerPtr refused = world.Call(0, "/order/x", "r1", Cost(5500));
+  TestCallPtr refused = world.Call(0, "/order/x", "r1", Cost(5500));
   EXPECT_EQ(503, refused->mStatus);
-  CallerPtr next =
+  TestCallPtr next =
     world.Call(1,
                "/stream/x",
                "r2",
@@ -139,10 +139,10 @@
 // whole.
 TEST(Tokens, LostKeeperCostsItsZonesPartOnly)
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mZones = { "a", "b" };
   plan.mInstances = 2;
-  EntryWorld world(plan);
+  EntryTestFleet world(plan);
   Limit(world, 6000);
   size_t keeper = world.LogLines(0, "lease_taken") > 0 ? 0 : 1;
   world.mInstances[keeper].reset(); // killed: its lease lasts for seconds
@@ -160,7 +160,7 @@
 // was spent; its tenant pays with the seconds that follow.
 TEST(Tokens, RequestAboveTheBurstPassesOnce)
 {
-  EntryWorld world;
+  EntryTestFleet world;
   Limit(world, 1000);
   EXPECT_EQ(200, world.Call(0, "/order/x", "r1", Cost(3000))->mStatus);
   EXPECT_EQ(429, world.Call(0, "/order/x", "r2", Cost(500))->mStatus);
--- a/tests/property/EmptyZoneProperty.cpp
+++ b/tests/property/EmptyZoneProperty.cpp
@@ -38,7 +38,7 @@
     : mName(std::move(aName))
     , mInside(aInside)
     , mLease(mName, LeaseTimes())
-    , mAdoption(aNow)
+    , mTakeover(aNow)
   {
     mLease.SetWanted(aInside, aNow);
   }
@@ -46,7 +46,7 @@
   std::string mName;
   bool mInside;
   LeaseStep mLease;
-  ZoneTakeover mAdoption;
+  ZoneTakeover mTakeover;
   bool mAlive = true;
   bool mLeaving = false;
   bool mListed = false; // its entry was written
@@ -57,8 +57,8 @@
   TimePoint mEndsAt{};
   // When it last heard each, and whether that one claimed the lease.
   std::map<std::string, std::pair<TimePoint, bool>> mHeard;
-  std::string mClaimer;
-  TimePoint mLookAgainAt{};
+  std::string mLastClaimant;
+  TimePoint mRecheckAt{};
 };
 
 // A zone, its lease, outsiders, and whatever befalls them.
@@ -214,7 +214,7 @@
     if (!aOne.mInside) {
       Adopt(aOne);
     }
-    HearOfHolder(aOne);
+    ObserveHolder(aOne);
     Serve(aOne);
   }
 
@@ -225,9 +225,9 @@
           mNow >= to->mFrozenUntil && (mFaultsStopped || !Chance(5))) {
         to->mHeard[aFrom.mName] = { mNow, aFrom.mLease.Holds(mNow) };
         if (aFrom.mInside && aFrom.mLeaving) {
-          to->mAdoption.OnLeaving();
+          to->mTakeover.OnLeaving();
         } else if (aFrom.mInside) {
-          to->mAdoption.OnInstanceHeard(mNow);
+          to->mTakeover.OnInstanceHeard(mNow);
         }
       }
     }
@@ -242,7 +242,7 @@
 
   void Adopt(Instance& aOne)
   {
-    ZoneTakeover& adoption = aOne.mAdoption;
+    ZoneTakeover& adoption = aOne.mTakeover;
     adoption.OnLedHere(aOne.mLease.Holds(mNow));
     int rank = 0;
     for (const auto& [name, heard] : aOne.mHeard) {
@@ -269,7 +269,7 @@
   }
 
   // As LeaseLoop does it.
-  void HearOfHolder(Instance& aOne)
+  void ObserveHolder(Instance& aOne)
   {
     if (aOne.mLease.Released()) {
       return;
@@ -282,13 +282,13 @@
     }
     if (!claimer.empty()) {
       aOne.mLease.OnClaim(claimer, mNow);
-      aOne.mClaimer = claimer;
-    } else if (Hears(aOne, aOne.mClaimer)) {
+      aOne.mLastClaimant = claimer;
+    } else if (Hears(aOne, aOne.mLastClaimant)) {
       aOne.mLease.OnHolderReleased(mNow);
-      aOne.mClaimer.clear();
-    } else if (mNow >= aOne.mLookAgainAt &&
+      aOne.mLastClaimant.clear();
+    } else if (mNow >= aOne.mRecheckAt &&
                Hears(aOne, aOne.mLease.SeenHolder())) {
-      aOne.mLookAgainAt = mNow + Millis(500);
+      aOne.mRecheckAt = mNow + Millis(500);
       aOne.mLease.LookAgain(mNow);
     }
   }
@@ -300,7 +300,7 @@
     if (action == LeaseAction::Read && lost) {
       aOne.mLease.OnFailed(mNow);
     } else if (action == LeaseAction::Read) {
-      aOne.mLookAgainAt = mNow + Millis(500);
+      aOne.mRecheckAt = mNow + Millis(500);
       aOne.mLease.OnRead(mRecord, mNow);
     } else if (action == LeaseAction::Write) {
       LeaseRecord wanted = aOne.mLease.WantedRecord();
--- a/tests/property/ServerInventoryProperty.cpp
+++ b/tests/property/ServerInventoryProperty.cpp
@@ -70,7 +70,7 @@
       Act();
       Snapshot();
     }
-    return mOverfull;
+    return mOverCapacityLoads;
   }
 
 private:
@@ -140,7 +140,7 @@
       size_t models = mHeld.size();
       bool full = aOrder.mAdapter.empty() ? models >= kModelCapacity
                                           : Adapters(mHeld) >= kAdapterCapacity;
-      mOverfull += full ? 1 : 0;
+      mOverCapacityLoads += full ? 1 : 0;
       if (!aOrder.mAdapter.empty()) {
         mHeld[aOrder.mModel].insert(aOrder.mAdapter);
         return { true, true };
@@ -277,7 +277,7 @@
   std::deque<Late> mLate;
   std::deque<ServerReport> mReports;
   ServerInventory mAccount;
-  int mOverfull = 0;
+  int mOverCapacityLoads = 0;
 };
 
 int
--- a/tests/property/ZoneTokensProperty.cpp
+++ b/tests/property/ZoneTokensProperty.cpp
@@ -42,7 +42,7 @@
   bool mCutFromStore = false;
   int mSide = 0; // nodes of different sides don't hear each other
   int mRevision = 0;
-  bool mToldCounted = false;
+  bool mRecordedCounted = false;
   TimePoint mListNext{};
   TimePoint mTryNext{};
   std::map<std::string, int> mSeen; // revisions, as listed
@@ -216,7 +216,7 @@
       bool counted = found != mEntries.end() && found->second.mCounted;
       aNode.mRevision = ++mRevision;
       mEntries[aNode.mName] = { aNode.mRevision, counted, false };
-      aNode.mToldCounted = counted;
+      aNode.mRecordedCounted = counted;
       aNode.mListNext = mNow;
       zone.OnJoined(counted, mNow);
     }
@@ -226,10 +226,10 @@
     auto own = mEntries.find(aNode.mName);
     bool mine =
       own != mEntries.end() && own->second.mRevision == aNode.mRevision;
-    if (!aNode.mToldCounted && zone.MaySpend(mNow) && mine) {
+    if (!aNode.mRecordedCounted && zone.MaySpend(mNow) && mine) {
       aNode.mRevision = ++mRevision;
       own->second = { aNode.mRevision, true, false };
-      aNode.mToldCounted = true;
+      aNode.mRecordedCounted = true;
     }
     if (mNow >= aNode.mTryNext) {
       Forget(aNode);
--- a/tests/soak/SoakCaller.cpp
+++ b/tests/soak/SoakCaller.cpp
@@ -53,7 +53,7 @@
 {
   mInstance = aInstance;
   mOnConn = 0;
-  EntryWorld& world = mSite.World();
+  EntryTestFleet& world = mSite.World();
   mChannel = Channel::Connect(
     world.mReactor, world.CallerAddress(aInstance), Seconds(1));
   std::weak_ptr<SoakCaller> weak = weak_from_this();
--- a/tests/soak/SoakCaller.h
+++ b/tests/soak/SoakCaller.h
@@ -10,7 +10,7 @@
 #include "net/BodyReader.h"
 #include "net/Channel.h"
 #include "soak/SoakCall.h"
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 namespace caraway {
 
@@ -21,7 +21,7 @@
   virtual ~SoakSite() = default;
   // An instance that the balancer takes for ready; none = no such instance.
   virtual std::optional<size_t> Pick() = 0;
-  virtual EntryWorld& World() = 0;
+  virtual EntryTestFleet& World() = 0;
   virtual std::mt19937& Random() = 0;
   virtual SoakCall& NewCall() = 0; // stays where it is
   virtual bool Ending() const = 0;
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -25,10 +25,10 @@
 
 constexpr Millis kCalm{ 4000 };
 
-EntryPlan
+EntryFleetOptions
 WorldPlan(const SoakPlan& aPlan)
 {
-  EntryPlan plan;
+  EntryFleetOptions plan;
   plan.mZones = { "a", "b" };
   plan.mInstances = aPlan.mInstances;
   plan.mOwn = false;
@@ -39,7 +39,7 @@
 
 SoakRun::SoakRun(SoakPlan aPlan)
   : mPlan(std::move(aPlan))
-  , mWorld(std::make_unique<EntryWorld>(WorldPlan(mPlan)))
+  , mWorld(std::make_unique<EntryTestFleet>(WorldPlan(mPlan)))
   , mRandom(mPlan.mSeed)
   , mPool(mWorld->mReactor)
 {
@@ -321,15 +321,16 @@
 void
 SoakRun::TroubleServers(Millis aFor)
 {
-  constexpr Manners kManners[] = {
-    Manners::RunsAndCuts, Manners::StopsMidway, Manners::Fails, Manners::Refuses
-  };
+  constexpr ServerBehaviour kManners[] = { ServerBehaviour::RunsThenCloses,
+                                           ServerBehaviour::StopsMidway,
+                                           ServerBehaviour::Fails,
+                                           ServerBehaviour::Refuses };
   Note(TroubleKind::Servers, 0, aFor);
   auto& servers = Draw(0, 1) ? mWorld->mEngines : mWorld->mPlain;
   StandInServer* server = servers[static_cast<size_t>(Draw(0, 1))].get();
-  server->mManners = kManners[static_cast<size_t>(Draw(0, 3))];
-  mWorld->mReactor.After(aFor,
-                         [server] { server->mManners = Manners::Proper; });
+  server->mBehaviour = kManners[static_cast<size_t>(Draw(0, 3))];
+  mWorld->mReactor.After(
+    aFor, [server] { server->mBehaviour = ServerBehaviour::Proper; });
 }
 
 void
--- a/tests/soak/SoakRun.h
+++ b/tests/soak/SoakRun.h
@@ -30,7 +30,7 @@
   std::string Summary() const;
 
   std::optional<size_t> Pick() override;
-  EntryWorld& World() override { return *mWorld; }
+  EntryTestFleet& World() override { return *mWorld; }
   std::mt19937& Random() override { return mRandom; }
   SoakCall& NewCall() override;
   bool Ending() const override { return mEnding; }
@@ -64,7 +64,7 @@
   TimePoint Now() const { return mWorld->mClock.Now(); }
 
   SoakPlan mPlan;
-  std::unique_ptr<EntryWorld> mWorld;
+  std::unique_ptr<EntryTestFleet> mWorld;
   std::mt19937 mRandom;
   ChannelPool mPool;
   std::vector<Instance> mInstances;
--- a/tests/support/EntryWorld.cpp
+++ b/tests/support/EntryTestFleet.cpp
@@ -1,4 +1,4 @@
-#include "support/EntryWorld.h"
+#include "support/EntryTestFleet.h"
 
 #include <Poco/Net/DatagramSocket.h>
 #include <Poco/Net/ServerSocket.h>
@@ -18,7 +18,7 @@
 // Ports are handed out in twos from a range that this process has locked by
 // binding its first one: suites that run side by side don't meet.
 int
-EntryWorld::FreePort()
+EntryTestFleet::FreePort()
 {
   constexpr int kFirst = 20000; // below those of outgoing connections
   constexpr int kRange = 250;
@@ -40,7 +40,7 @@
   return sBase + sNext;
 }
 
-EntryWorld::EntryWorld(EntryPlan aPlan)
+EntryTestFleet::EntryTestFleet(EntryFleetOptions aPlan)
   : mReactor(mClock)
   , mPlan(std::move(aPlan))
   , mStore(std::make_unique<StandInStore>(mReactor))
@@ -74,25 +74,25 @@
   }
 }
 
-EntryWorld::~EntryWorld()
+EntryTestFleet::~EntryTestFleet()
 {
   mReactor.Drop();
 }
 
 std::string
-EntryWorld::CallerAddress(size_t aIndex) const
+EntryTestFleet::CallerAddress(size_t aIndex) const
 {
   return "127.0.0.1:" + std::to_string(mPorts.at(aIndex).mCallers);
 }
 
 std::string
-EntryWorld::ReadinessAddress(size_t aIndex) const
+EntryTestFleet::ReadinessAddress(size_t aIndex) const
 {
   return "127.0.0.1:" + std::to_string(mPorts.at(aIndex).mReadiness);
 }
 
 std::string
-EntryWorld::SettingsText(size_t aIndex) const
+EntryTestFleet::SettingsText(size_t aIndex) const
 {
   const Ports& ports = mPorts.at(aIndex);
   auto address = [](int aPort) {
@@ -114,7 +114,7 @@
 }
 
 std::unique_ptr<EntryDaemon>
-EntryWorld::MakeInstance(size_t aIndex)
+EntryTestFleet::MakeInstance(size_t aIndex)
 {
   auto reading = wire::ReadSettings(SettingsText(aIndex));
   EXPECT_TRUE(reading.mTroubles.empty());
@@ -122,7 +122,7 @@
 }
 
 void
-EntryWorld::FirstConfig()
+EntryTestFleet::FirstConfig()
 {
   auto route = [](const char* aName, const char* aKind, const char* aService) {
     Json::Value json;
@@ -177,24 +177,24 @@
 }
 
 void
-EntryWorld::Configure()
+EntryTestFleet::Configure()
 {
   mConfig["version"] = mConfig["version"].asInt() + 3;
   mStore->Put(wire::kConfigKind, wire::kConfigName, mConfig);
 }
 
 void
-EntryWorld::List(StandInServer& aServer,
-                 const std::string& aService,
-                 const std::string& aZone,
-                 const std::string& aState)
+EntryTestFleet::List(StandInServer& aServer,
+                     const std::string& aService,
+                     const std::string& aZone,
+                     const std::string& aState)
 {
   mStore->Put(
     wire::kServersKind, aServer.Id(), aServer.Entry(aService, aZone, aState));
 }
 
 bool
-EntryWorld::Until(const std::function<bool()>& aDone, Millis aWithin)
+EntryTestFleet::Until(const std::function<bool()>& aDone, Millis aWithin)
 {
   TimePoint end = mClock.Now() + aWithin;
   while (!aDone()) {
@@ -213,13 +213,13 @@
 }
 
 void
-EntryWorld::For(Millis aTime)
+EntryTestFleet::For(Millis aTime)
 {
   Until([] { return false; }, aTime);
 }
 
 void
-EntryWorld::AwaitReady()
+EntryTestFleet::AwaitReady()
 {
   int all = static_cast<int>(mInstances.size());
   ASSERT_TRUE(Until(
@@ -238,15 +238,15 @@
   For(Millis(700));
 }
 
-CallerPtr
-EntryWorld::SendRaw(size_t aInstance, const std::string& aBytes)
+TestCallPtr
+EntryTestFleet::SendRaw(size_t aInstance, const std::string& aBytes)
 {
-  auto view = std::make_shared<CallerView>();
+  auto view = std::make_shared<TestCall>();
   view->mAsked = mClock.Now();
   view->mChannel =
     Channel::Connect(mReactor, CallerAddress(aInstance), Seconds(1));
   Channel::Events events;
-  std::weak_ptr<CallerView> weak = view;
+  std::weak_ptr<TestCall> weak = view;
   events.mData = [this, weak] {
     if (auto caller = weak.lock()) {
       caller->mBytes += caller->mChannel->Input();
@@ -265,7 +265,7 @@
 }
 
 void
-EntryWorld::ReadAnswer(CallerView& aView)
+EntryTestFleet::ReadAnswer(TestCall& aView)
 {
   size_t used = 0;
   if (aView.mStatus == 0) {
@@ -290,10 +290,10 @@
 }
 
 std::string
-EntryWorld::RequestText(const std::string& aPath,
-                        const std::string& aId,
-                        const std::vector<HttpField>& aFields,
-                        const std::string& aBody) const
+EntryTestFleet::RequestText(const std::string& aPath,
+                            const std::string& aId,
+                            const std::vector<HttpField>& aFields,
+                            const std::string& aBody) const
 {
   std::vector<HttpField> fields = {
     { "Host", "host" },
@@ -315,30 +315,30 @@
   return WriteHead("POST " + aPath + " HTTP/1.1", fields) + aBody;
 }
 
-CallerPtr
-EntryWorld::Send(size_t aInstance,
-                 const std::string& aPath,
-                 const std::string& aId,
-                 const std::vector<HttpField>& aFields,
-                 const std::string& aBody)
+TestCallPtr
+EntryTestFleet::Send(size_t aInstance,
+                     const std::string& aPath,
+                     const std::string& aId,
+                     const std::vector<HttpField>& aFields,
+                     const std::string& aBody)
 {
   return SendRaw(aInstance, RequestText(aPath, aId, aFields, aBody));
 }
 
-CallerPtr
-EntryWorld::Call(size_t aInstance,
-                 const std::string& aPath,
-                 const std::string& aId,
-                 const std::vector<HttpField>& aFields,
-                 const std::string& aBody)
+TestCallPtr
+EntryTestFleet::Call(size_t aInstance,
+                     const std::string& aPath,
+                     const std::string& aId,
+                     const std::vector<HttpField>& aFields,
+                     const std::string& aBody)
 {
-  CallerPtr view = Send(aInstance, aPath, aId, aFields, aBody);
+  TestCallPtr view = Send(aInstance, aPath, aId, aFields, aBody);
   Until([&view] { return view->mWhole || view->mClosed; }, Seconds(10));
   return view;
 }
 
 int
-EntryWorld::RunsOf(const std::string& aId) const
+EntryTestFleet::RunsOf(const std::string& aId) const
 {
   int runs = 0;
   for (const auto* servers : { &mEngines, &mPlain }) {
@@ -352,7 +352,7 @@
 }
 
 int
-EntryWorld::LogLines(size_t aInstance, const std::string& aText)
+EntryTestFleet::LogLines(size_t aInstance, const std::string& aText)
 {
   const std::string& log = mInstances.at(aInstance)->State().mLog.Gathered();
   int count = 0;
--- a/tests/support/EntryWorld.h
+++ b/tests/support/EntryTestFleet.h
@@ -1,7 +1,7 @@
-// EntryWorld.h: entry daemons, a store, servers and callers in one process,
+// EntryTestFleet.h: entry daemons, a store, servers and callers in one process,
 // on loopback, turned by one thread.
-#ifndef caraway_tests_EntryWorld_h
-#define caraway_tests_EntryWorld_h
+#ifndef caraway_tests_EntryTestFleet_h
+#define caraway_tests_EntryTestFleet_h
 
 #include <functional>
 #include <json/json.h>
@@ -18,7 +18,7 @@
 namespace caraway {
 
 // One call of a caller, as far as it got.
-struct CallerView
+struct TestCall
 {
   std::shared_ptr<Channel> mChannel;
   std::string mBytes; // all that came, not yet read as answers
@@ -38,9 +38,9 @@
     return value ? *value : "";
   }
 };
-using CallerPtr = std::shared_ptr<CallerView>;
+using TestCallPtr = std::shared_ptr<TestCall>;
 
-struct EntryPlan
+struct EntryFleetOptions
 {
   std::vector<std::string> mZones = { "a" };
   int mInstances = 1; // in each zone
@@ -49,11 +49,11 @@
   bool mOwn = true;   // instances in this process; false = run by others
 };
 
-class EntryWorld
+class EntryTestFleet
 {
 public:
-  explicit EntryWorld(EntryPlan aPlan = EntryPlan());
-  ~EntryWorld();
+  explicit EntryTestFleet(EntryFleetOptions aPlan = EntryFleetOptions());
+  ~EntryTestFleet();
 
   // Turns everything until aDone or aWithin; true when aDone.
   bool Until(const std::function<bool()>& aDone, Millis aWithin);
@@ -77,23 +77,23 @@
             const std::string& aState = "ready");
 
   // Sends raw bytes on a new connection.
-  CallerPtr SendRaw(size_t aInstance, const std::string& aBytes);
+  TestCallPtr SendRaw(size_t aInstance, const std::string& aBytes);
   // A proper request to aPath; aFields in addition to the usual ones.
   std::string RequestText(const std::string& aPath,
                           const std::string& aId,
                           const std::vector<HttpField>& aFields = {},
                           const std::string& aBody = "body") const;
-  CallerPtr Send(size_t aInstance,
-                 const std::string& aPath,
-                 const std::string& aId,
-                 const std::vector<HttpField>& aFields = {},
-                 const std::string& aBody = "body");
+  TestCallPtr Send(size_t aInstance,
+                   const std::string& aPath,
+                   const std::string& aId,
+                   const std::vector<HttpField>& aFields = {},
+                   const std::string& aBody = "body");
   // The same, until its answer or the end of its connection.
-  CallerPtr Call(size_t aInstance,
-                 const std::string& aPath,
-                 const std::string& aId,
-                 const std::vector<HttpField>& aFields = {},
-                 const std::string& aBody = "body");
+  TestCallPtr Call(size_t aInstance,
+                   const std::string& aPath,
+                   const std::string& aId,
+                   const std::vector<HttpField>& aFields = {},
+                   const std::string& aBody = "body");
 
   int RunsOf(const std::string& aId) const;
   // Lines of an instance's log that contain aText.
@@ -101,7 +101,7 @@
 
   BootClock mClock;
   Reactor mReactor; // of the stand-ins and callers
-  EntryPlan mPlan;
+  EntryFleetOptions mPlan;
   std::unique_ptr<StandInStore> mStore;
   std::vector<std::unique_ptr<StandInServer>> mEngines;
   std::vector<std::unique_ptr<StandInServer>> mPlain;
@@ -122,7 +122,7 @@
   };
   void FirstConfig();
   static int FreePort();
-  void ReadAnswer(CallerView& aView);
+  void ReadAnswer(TestCall& aView);
 
   std::vector<Ports> mPorts;
 };
--- a/tests/support/StandInServer.cpp
+++ b/tests/support/StandInServer.cpp
@@ -187,7 +187,7 @@
     Reply(aVisitor, 421, { { wire::kInstance, mExpectedId } }, "");
     return;
   }
-  if (mManners == Manners::Refuses) {
+  if (mBehaviour == ServerBehaviour::Refuses) {
     Reply(aVisitor, 503, { { wire::kNotRun, "1" } }, "");
     return;
   }
@@ -223,8 +223,9 @@
   std::string answer = "answer to " + id + " of " + aBody;
   Channel& channel = *aVisitor->mChannel;
   if (aHead.mTarget.find("/stream") != std::string::npos &&
-      (mManners == Manners::Proper || mManners == Manners::StopsMidway ||
-       mManners == Manners::Refuses)) { // what it had taken before
+      (mBehaviour == ServerBehaviour::Proper ||
+       mBehaviour == ServerBehaviour::StopsMidway ||
+       mBehaviour == ServerBehaviour::Refuses)) { // what it had taken before
     own.push_back({ "Content-Type", "text/event-stream" });
     own.push_back({ "Transfer-Encoding", "chunked" });
     channel.Write(WriteHead("HTTP/1.1 200 OK", own));
@@ -234,48 +235,48 @@
     Stream(aVisitor, model, last.empty() ? 1 : std::stoi(last) + 1);
     return;
   }
-  switch (mManners) {
-    case Manners::Proper:
-    case Manners::StopsMidway:
-    case Manners::Refuses:
+  switch (mBehaviour) {
+    case ServerBehaviour::Proper:
+    case ServerBehaviour::StopsMidway:
+    case ServerBehaviour::Refuses:
       Reply(aVisitor, 200, own, answer);
       break;
-    case Manners::RunsAndCuts:
+    case ServerBehaviour::RunsThenCloses:
       aVisitor->mWorking = false;
       channel.Close();
       break;
-    case Manners::Truncates:
+    case ServerBehaviour::Truncates:
       own.push_back({ "Content-Length", std::to_string(answer.size()) });
       channel.Write(WriteHead("HTTP/1.1 200 OK", own) + answer.substr(0, 5));
       aVisitor->mWorking = false;
       channel.Finish();
       break;
-    case Manners::Unsealed:
+    case ServerBehaviour::Unsealed:
       Reply(aVisitor, 200, { own.front() }, answer);
       break;
-    case Manners::Encoded:
+    case ServerBehaviour::Encoded:
       own.push_back({ "Content-Encoding", "gzip" });
       Reply(aVisitor, 200, own, answer);
       break;
-    case Manners::LateAnswer:
+    case ServerBehaviour::LateAnswer:
       Reply(aVisitor,
             200,
             { { wire::kRequestId, "somebody-else" }, { wire::kSeal, "s" } },
             "not yours");
       Reply(aVisitor, 200, own, answer);
       break;
-    case Manners::ExtraAnswer:
+    case ServerBehaviour::ExtraAnswer:
       Reply(aVisitor, 200, own, answer);
       Reply(aVisitor, 200, own, "once more");
       break;
-    case Manners::Garbage:
+    case ServerBehaviour::Garbage:
       aVisitor->mWorking = false;
       channel.Write("\x01\x02 nothing that anybody asked for\r\n\r\n");
       break;
-    case Manners::Fails:
+    case ServerBehaviour::Fails:
       Reply(aVisitor, 500, own, "failed");
       break;
-    case Manners::Hangs:
+    case ServerBehaviour::Hangs:
       break;
   }
 }
@@ -296,7 +297,7 @@
     EndUse(aModel);
     return;
   }
-  if (mManners == Manners::StopsMidway && aNext == 3) {
+  if (mBehaviour == ServerBehaviour::StopsMidway && aNext == 3) {
     channel.Write(Chunk(EventText(aNext).substr(0, 8)));
     aVisitor->mWorking = false;
     channel.Finish();
@@ -330,7 +331,7 @@
   mHolders.insert(aOrder["holder"].asString());
   mTokens.push_back(aOrder["fenceToken"].asInt64());
   mOrderedBy.emplace_back(mTokens.back(), aOrder["holder"].asString());
-  if (mSwallowsOrders) {
+  if (mDropsOrderAnswers) {
     mReactor.After(mOrderDelay, [this, aOrder] { CarryOut(aOrder); });
     aVisitor->mChannel->Close();
     return;
@@ -367,8 +368,8 @@
     adapters += held.size();
   }
   bool full = adapter.empty() ? static_cast<int>(mModels.size()) >= mPlaces
-                              : static_cast<int>(adapters) >= mAdapterPlaces;
-  mOverfull += full ? 1 : 0;
+                              : static_cast<int>(adapters) >= mAdapterCapacity;
+  mOverCapacityLoads += full ? 1 : 0;
   if (!adapter.empty()) {
     mModels[model].insert(adapter);
     return 202;
@@ -377,8 +378,8 @@
   mReactor.After(mLoadTime, [this, model] {
     mBusy = false;
     mModels[model];
-    mUntold.insert(model);
-    mReactor.After(mReportLag, [this, model] { mUntold.erase(model); });
+    mNotYetReported.insert(model);
+    mReactor.After(mReportLag, [this, model] { mNotYetReported.erase(model); });
   });
   return 202;
 }
@@ -388,12 +389,12 @@
 {
   Json::Value report;
   report["stage"] = "both";
-  report["busy"] = mBusy || !mUntold.empty();
+  report["busy"] = mBusy || !mNotYetReported.empty();
   report["sequence"] = Json::Int64(mOrders);
   report["models"] = Json::Value(Json::arrayValue);
   Json::Value entry = Entry("", "");
   for (const Json::Value& model : entry["models"]) {
-    if (!mUntold.count(model["name"].asString())) {
+    if (!mNotYetReported.count(model["name"].asString())) {
       report["models"].append(model);
     }
   }
--- a/tests/support/StandInServer.h
+++ b/tests/support/StandInServer.h
@@ -20,20 +20,20 @@
 namespace caraway {
 
 // How it treats the requests that come.
-enum class Manners
+enum class ServerBehaviour
 {
   Proper,
-  Refuses,     // proves that it did not run them
-  RunsAndCuts, // runs, then closes without an answer
-  Truncates,   // closes in the middle of the body
-  Unsealed,    // a success that isn't marked as its own
-  Encoded,     // a success in a coding that nobody asked for
-  LateAnswer,  // another request's answer first, then the right one
-  ExtraAnswer, // a second answer behind the right one
-  Garbage,     // bytes that are no answer
-  Fails,       // 500 of its own
-  Hangs,       // never answers
-  StopsMidway, // a stream stops in the middle of its third event
+  Refuses,        // proves that it did not run them
+  RunsThenCloses, // runs, then closes without an answer
+  Truncates,      // closes in the middle of the body
+  Unsealed,       // a success that isn't marked as its own
+  Encoded,        // a success in a coding that nobody asked for
+  LateAnswer,     // another request's answer first, then the right one
+  ExtraAnswer,    // a second answer behind the right one
+  Garbage,        // bytes that are no answer
+  Fails,          // 500 of its own
+  Hangs,          // never answers
+  StopsMidway,    // a stream stops in the middle of its third event
 };
 
 struct ServerRun
@@ -65,30 +65,31 @@
   int mArrivals = 0; // of requests, refused ones too
   int mLeft = 0;     // connections closed while it worked
   int mOrdersSeen = 0;
-  int mOverfull = 0; // loads ordered beyond its memory or adapter places
+  int mOverCapacityLoads =
+    0; // loads ordered beyond its memory or adapter places
   std::set<std::string> mHolders;
   std::vector<int64_t> mTokens; // fencing tokens, as they came
   std::vector<std::pair<int64_t, std::string>> mOrderedBy; // token, holder
 
   std::multiset<std::string> mInUse;     // MODEL/ADAPTER of streams under way
   std::set<std::string> mPendingUnloads; // unloaded when their streams end
-  std::set<std::string> mUntold;         // loaded, and not yet in its reports
+  std::set<std::string> mNotYetReported; // loaded, and not yet in its reports
 
-  Manners mManners = Manners::Proper;
+  ServerBehaviour mBehaviour = ServerBehaviour::Proper;
   std::string mExpectedId; // answers 421 to who expects another
   HeldModels mModels;
   std::set<std::string> mOnDisk;
   int64_t mOrders = 0;
   bool mBusy = false;
   int mPlaces = 3; // models that fit
-  int mAdapterPlaces = 8;
+  int mAdapterCapacity = 8;
   Millis mWork{ 5 }; // before an answer
   Millis mLoadTime{ 100 };
-  Millis mUnloadTime{ 0 };      // no other order is accepted meanwhile
-  Millis mReportLag{ 0 };       // a load that ended shows so much later
-  Millis mOrderDelay{ 0 };      // orders are answered and begun so much later
-  bool mSwallowsOrders = false; // carries them out, answers none
-  int mEvents = 5;              // of a stream
+  Millis mUnloadTime{ 0 }; // no other order is accepted meanwhile
+  Millis mReportLag{ 0 };  // a load that ended shows so much later
+  Millis mOrderDelay{ 0 }; // orders are answered and begun so much later
+  bool mDropsOrderAnswers = false; // carries them out, answers none
+  int mEvents = 5;                 // of a stream
   Millis mEventGap{ 10 };
 
 private:
--- a/tests/unit/SettingsWatchTest.cpp
+++ b/tests/unit/SettingsWatchTest.cpp
@@ -72,7 +72,7 @@
   SettingsWatch watch(state, path, ReadGrace);
   watch.Start();
   Write(path, "4 ");
-  watch.LookNow();
+  watch.ReloadIfChanged();
   EXPECT_EQ(Seconds(4), state.mSettings.mGrace);
 }
 
--- a/tests/unit/WireMessagesTest.cpp
+++ b/tests/unit/WireMessagesTest.cpp
@@ -73,7 +73,7 @@
   EXPECT_EQ("10.1.0.25:7600", reading.mSettings.mPeers);
   EXPECT_EQ("10.1.0.25:7601", reading.mSettings.mMetrics);
   EXPECT_EQ(Millis(8000), reading.mSettings.mGrace);
-  EXPECT_EQ(Millis(10000), reading.mSettings.mRepeatWindow);
+  EXPECT_EQ(Millis(10000), reading.mSettings.mRetryWindow);
   EXPECT_EQ(2u, reading.mSettings.mZones.size());
 }
 
