--- a/src/entry/ConfigFeed.cpp
+++ b/src/entry/ConfigFeed.cpp
@@ -20,18 +20,18 @@
 
 // A change must be in force two seconds after a connection that died in
 // silence counts as mended, three after it died.
-constexpr Millis kConfigWatch{ 2000 };
+constexpr Millis kConfigWatchTime{ 2000 };
 
 // Those who follow this instance's list rely on news for little more; in a
 // lull it is the watch's end that shows that nothing is new.
-constexpr Millis kServersWatch{ 1000 };
+constexpr Millis kServersWatchTime{ 1000 };
 
 // Others have seen a change for so long, and this instance's watch, which
 // gathers for less than a second, is silent: it has died.
-constexpr Millis kWatchDead{ 1200 };
+constexpr Millis kDeadWatchTimeout{ 1200 };
 
 // Other instances' news tell of a change for less.
-constexpr Millis kToldAgain{ 10000 };
+constexpr Millis kRemovalRetention{ 10000 };
 
 // News so young shows that the feed of the store works.
 constexpr Millis kFresh{ 2800 };
@@ -48,7 +48,7 @@
                    aState.mLog,
                    aStore,
                    wire::kConfigKind,
-                   kConfigWatch,
+                   kConfigWatchTime,
                    { [this](const std::vector<StoreChange>& aAll) {
                       for (const StoreChange& change : aAll) {
                         OnConfig(change.mObject);
@@ -59,17 +59,17 @@
                          OnConfig(aChange.mObject);
                        }
                      },
-                     [this] { mOnNews(); } })
+                     [this] { mOnUpdate(); } })
   , mServerObjects(aState.mReactor,
                    aState.mLog,
                    aStore,
                    wire::kServersKind,
-                   kServersWatch,
+                   kServersWatchTime,
                    { [this](const std::vector<StoreChange>& aAll) {
                       OnServers(aAll, std::numeric_limits<int64_t>::max());
                     },
                      [this](const StoreChange& aChange) { OnServer(aChange); },
-                     [this] { mOnNews(); } })
+                     [this] { mOnUpdate(); } })
 {
 }
 
@@ -99,26 +99,26 @@
 ConfigFeed::Fresh() const
 {
   TimePoint now = mState.Now();
-  return mState.mServersKnown && now - ListNews() < kFresh &&
-         now - ConfigNews() < kFresh;
+  return mState.mServersKnown && now - ListConfirmedAt() < kFresh &&
+         now - ConfigConfirmedAt() < kFresh;
 }
 
 int64_t
-ConfigFeed::ServersWhole() const
+ConfigFeed::ServersCompleteTo() const
 {
-  return std::max(mServerObjects.AsOf(), mToldWhole);
+  return std::max(mServerObjects.AsOf(), mPeerCompleteTo);
 }
 
 TimePoint
-ConfigFeed::ListNews() const
+ConfigFeed::ListConfirmedAt() const
 {
-  return std::max(mServerObjects.LastNews(), mToldNews);
+  return std::max(mServerObjects.ConfirmedAt(), mPeerConfirmedAt);
 }
 
 TimePoint
-ConfigFeed::ConfigNews() const
+ConfigFeed::ConfigConfirmedAt() const
 {
-  return std::max(mConfigObjects.LastNews(), mToldConfigNews);
+  return std::max(mConfigObjects.ConfirmedAt(), mPeerConfigConfirmedAt);
 }
 
 // ---- Configuration
@@ -127,7 +127,7 @@
 ConfigFeed::OnConfig(const StoreObject& aObject)
 {
   if (aObject.mName == wire::kConfigName) {
-    TakeConfigText(JsonWrite(aObject.mSpec), "store");
+    ApplyConfigText(JsonWrite(aObject.mSpec), "store");
   }
 }
 
@@ -147,7 +147,7 @@
 }
 
 void
-ConfigFeed::TakeConfigText(const std::string& aText, const std::string& aFrom)
+ConfigFeed::ApplyConfigText(const std::string& aText, const std::string& aFrom)
 {
   int leftOut = 0;
   auto config = wire::ReadConfig(JsonParseOrEmpty(aText), leftOut);
@@ -170,14 +170,14 @@
     .Text("from", aFrom);
   mConfigText = aText;
   mState.mConfig = std::make_shared<const ServingConfig>(std::move(*config));
-  mOnNews();
+  mOnUpdate();
   mChanged();
 }
 
 // ---- Servers
 
 bool
-ConfigFeed::TakeServer(const StoreObject& aObject)
+ConfigFeed::ApplyServer(const StoreObject& aObject)
 {
   Raw& raw = mServers[aObject.mName];
   if (aObject.mRevision < raw.mRevision) {
@@ -211,7 +211,7 @@
   }
   bool changed = mState.mServers.Put(*entry, mState.Now());
   if (matters) {
-    mOnTaken({ aObject, false });
+    mOnApplied({ aObject, false });
   }
   return changed;
 }
@@ -233,14 +233,14 @@
   mMissing.erase(aId);
   auto known = mServers.find(aId);
   if (known != mServers.end()) {
-    NoteGone(aId, known->second.mRevision);
+    RecordRemoval(aId, known->second.mRevision);
     mServers.erase(known);
   }
   StoreChange gone;
   gone.mObject.mName = aId;
   gone.mObject.mRevision = std::max(mServersRevision, mServerObjects.AsOf());
   gone.mRemoved = true;
-  mOnTaken(gone);
+  mOnApplied(gone);
   if (Backend* backend = mState.mServers.Find(aId)) {
     mState.mLog.Line("server_gone").Text("server", aId);
     mState.mServerPool.Drop(backend->mEntry.mAddress, aId);
@@ -250,20 +250,21 @@
 }
 
 void
-ConfigFeed::NoteGone(const std::string& aId, int64_t aRevision)
+ConfigFeed::RecordRemoval(const std::string& aId, int64_t aRevision)
 {
   TimePoint now = mState.Now();
   for (auto it = mGone.begin(); it != mGone.end();) {
-    it = now - it->second.mAt >= kToldAgain ? mGone.erase(it) : std::next(it);
+    it = now - it->second.mAt >= kRemovalRetention ? mGone.erase(it)
+                                                   : std::next(it);
   }
   mGone[aId] = { aRevision, now };
 }
 
 void
-ConfigFeed::RemoveLater(const std::string& aId)
+ConfigFeed::RemoveAfterGrace(const std::string& aId)
 {
   TimePoint now = mState.Now();
-  TimePoint back = mStore.BackSince();
+  TimePoint back = mStore.RecoveredAt();
   Backend* backend = mState.mServers.Find(aId);
   bool lapsed = back != TimePoint() && now - back < kMaxHandBackTime &&
                 backend && !backend->mEntry.mDraining;
@@ -289,7 +290,7 @@
   std::set<std::string> listed;
   for (const StoreChange& change : aAll) {
     listed.insert(change.mObject.mName);
-    TakeServer(change.mObject);
+    ApplyServer(change.mObject);
   }
   std::vector<std::string> missing;
   for (const auto& [id, raw] : mServers) {
@@ -298,7 +299,7 @@
     }
   }
   for (const std::string& id : missing) {
-    RemoveLater(id);
+    RemoveAfterGrace(id);
   }
   mState.mServersKnown = true;
   mChanged();
@@ -309,8 +310,8 @@
 {
   mServersRevision = std::max(mServersRevision, aChange.mObject.mRevision);
   if (aChange.mRemoved) {
-    RemoveLater(aChange.mObject.mName);
-  } else if (TakeServer(aChange.mObject)) {
+    RemoveAfterGrace(aChange.mObject.mName);
+  } else if (ApplyServer(aChange.mObject)) {
     mChanged();
   }
 }
@@ -320,10 +321,10 @@
 // What the other took over is taken over at once: it has waited for servers
 // that lapsed during an outage already.
 void
-ConfigFeed::TakeTold(const std::vector<StoreChange>& aChanges,
-                     int64_t aWhole,
-                     int64_t aSeen,
-                     TimePoint aUpdateAt)
+ConfigFeed::ApplyPeerUpdate(const std::vector<StoreChange>& aChanges,
+                            int64_t aWhole,
+                            int64_t aSeen,
+                            TimePoint aUpdateAt)
 {
   bool changed = false;
   for (const StoreChange& change : aChanges) {
@@ -338,29 +339,29 @@
       continue; // told again: of one that is gone, too
     }
     if (!change.mRemoved) {
-      changed = TakeServer(object) || changed;
+      changed = ApplyServer(object) || changed;
     } else if (there) {
       RemoveServer(object.mName);
     }
   }
   mServersRevision = std::max(mServersRevision, aSeen);
-  mToldWhole = std::max(mToldWhole, aWhole);
-  mToldNews = std::max(mToldNews, aUpdateAt);
+  mPeerCompleteTo = std::max(mPeerCompleteTo, aWhole);
+  mPeerConfirmedAt = std::max(mPeerConfirmedAt, aUpdateAt);
   if (changed) {
     mChanged();
   }
 }
 
 void
-ConfigFeed::TakeToldConfig(int64_t aVersion, TimePoint aUpdateAt)
+ConfigFeed::ConfirmConfigFromPeer(int64_t aVersion, TimePoint aUpdateAt)
 {
   if (mState.mConfig && mState.mConfig->mVersion >= aVersion) {
-    mToldConfigNews = std::max(mToldConfigNews, aUpdateAt);
+    mPeerConfigConfirmedAt = std::max(mPeerConfigConfirmedAt, aUpdateAt);
   }
 }
 
 Json::Value
-ConfigFeed::ServersText() const
+ConfigFeed::ServersJson() const
 {
   Json::Value all(Json::objectValue);
   for (const auto& [id, raw] : mServers) {
@@ -372,9 +373,9 @@
 }
 
 void
-ConfigFeed::TakeServersText(const Json::Value& aEntries,
-                            int64_t aRevision,
-                            const std::string& aFrom)
+ConfigFeed::ApplyServersJson(const Json::Value& aEntries,
+                             int64_t aRevision,
+                             const std::string& aFrom)
 {
   if (!aEntries.isObject() || aEntries.empty()) {
     return;
@@ -395,10 +396,10 @@
 }
 
 void
-ConfigFeed::OnPeerServers(int64_t aRevision)
+ConfigFeed::OnPeerRevision(int64_t aRevision)
 {
-  if (!mPaused && aRevision > mServersRevision && mStore.Reached() &&
-      mState.Now() - mServerObjects.LastNews() > kWatchDead) {
+  if (!mPaused && aRevision > mServersRevision && mStore.Reachable() &&
+      mState.Now() - mServerObjects.ConfirmedAt() > kDeadWatchTimeout) {
     mServerObjects.Refresh("another instance has seen more");
   }
 }
--- a/src/entry/ConnectionClose.cpp
+++ b/src/entry/ConnectionClose.cpp
@@ -3,22 +3,22 @@
 namespace caraway {
 
 const char*
-ConnEndName(ConnEndReason aReason)
+ConnectionCloseReasonName(ConnectionCloseReason aReason)
 {
   switch (aReason) {
-    case ConnEndReason::AnswerSaidSo:
+    case ConnectionCloseReason::AnswerWithClose:
       return "answer_said_so";
-    case ConnEndReason::Unreadable:
+    case ConnectionCloseReason::Unreadable:
       return "unreadable";
-    case ConnEndReason::IdleTooLong:
+    case ConnectionCloseReason::IdleTimeout:
       return "idle_too_long";
-    case ConnEndReason::Leaving:
+    case ConnectionCloseReason::Leaving:
       return "leaving";
-    case ConnEndReason::AnswerBroken:
+    case ConnectionCloseReason::AnswerAborted:
       return "answer_broken";
-    case ConnEndReason::ReaderSlow:
+    case ConnectionCloseReason::SlowReader:
       return "reader_slow";
-    case ConnEndReason::InstanceEnds:
+    case ConnectionCloseReason::InstanceExit:
       return "instance_ends";
   }
   return "";
--- a/src/entry/ConnectionClose.h
+++ b/src/entry/ConnectionClose.h
@@ -9,32 +9,32 @@
 
 namespace caraway {
 
-enum class ConnEndReason
+enum class ConnectionCloseReason
 {
-  AnswerSaidSo, // the answer before said that the connection ends
-  Unreadable,   // what came is no request, or too large or slow
-  IdleTooLong,  // over the limit of idle time
-  Leaving,      // idle at an instance that leaves
-  AnswerBroken, // the answer under way can't be completed
-  ReaderSlow,   // too much of the answer waits for its caller
-  InstanceEnds, // the process ends with it
+  AnswerWithClose, // the answer before said that the connection ends
+  Unreadable,      // what came is no request, or too large or slow
+  IdleTimeout,     // over the limit of idle time
+  Leaving,         // idle at an instance that leaves
+  AnswerAborted,   // the answer under way can't be completed
+  SlowReader,      // too much of the answer waits for its caller
+  InstanceExit,    // the process ends with it
 };
 
 // For the log.
 const char*
-ConnEndName(ConnEndReason aReason);
+ConnectionCloseReasonName(ConnectionCloseReason aReason);
 
 // What the log tells of a connection that this instance ended.
 struct ConnectionClose
 {
-  ConnEndReason mReason = ConnEndReason::AnswerSaidSo;
-  int mRequests = 0;   // read on it
-  bool mBusy = false;  // the last of them has no whole answer
-  size_t mUnread = 0;  // bytes received and dropped
-  Millis mAge{};       // since it was accepted
-  Millis mQuiet{};     // since its last answer, or since it was accepted
-  Millis mReading{};   // from the last request's first byte to its last
-  Millis mIdleLimit{}; // that it was judged by
+  ConnectionCloseReason mReason = ConnectionCloseReason::AnswerWithClose;
+  int mRequests = 0;         // read on it
+  bool mBusy = false;        // the last of them has no whole answer
+  size_t mUnread = 0;        // bytes received and dropped
+  Millis mAge{};             // since it was accepted
+  Millis mSinceLastAnswer{}; // since its last answer, or since it was accepted
+  Millis mReading{};         // from the last request's first byte to its last
+  Millis mIdleLimit{};       // that it was judged by
 };
 
 } // namespace caraway
--- a/src/entry/EntryDaemon.cpp
+++ b/src/entry/EntryDaemon.cpp
@@ -54,7 +54,7 @@
   , mFront(mState, mTokens, mOrders)
   , mReadyReplies([this](const InboundRequest& aRequest) {
     bool asked = aRequest.mHead.mTarget == wire::kReadyPath;
-    return ShortReply{ !asked ? 404 : Ready() ? 200 : 503, "", "" };
+    return ImmediateReply{ !asked ? 404 : Ready() ? 200 : 503, "", "" };
   })
   , mMetricsReplies([this](const InboundRequest&) { return MetricsReply(); })
 {
@@ -105,7 +105,7 @@
 EntryDaemon::OnStateChanged()
 {
   mOrders.OnChanged();
-  mFront.ServersChanged();
+  mFront.OnServersChanged();
 }
 
 bool
@@ -134,10 +134,10 @@
 {
   mUse.ReadHeartbeat(aPeer, aHeartbeat);
   mRelay.ReadHeartbeat(aPeer, aHeartbeat);
-  mFront.ServersChanged();
+  mFront.OnServersChanged();
 }
 
-ShortReply
+ImmediateReply
 EntryDaemon::MetricsReply() const
 {
   std::string text = mState.mMetrics.Text();
@@ -153,22 +153,22 @@
   gauge("caraway_requests_waiting", static_cast<int64_t>(mFront.Waiting()));
   gauge("caraway_sockets", static_cast<int64_t>(mState.mReactor.Sockets()));
   gauge("caraway_log_lines_left_out", mState.mLog.LeftOut());
-  gauge("caraway_list_age_ms", mState.AgeOf(mFeed.ListNews()).count());
+  gauge("caraway_list_age_ms", mState.AgeOf(mFeed.ListConfirmedAt()).count());
   gauge("caraway_list_told_by_another", mFeed.Paused() ? 1 : 0);
   gauge("caraway_lease_held", mZoneLease.Holds() ? 1 : 0);
   gauge("caraway_zones_led", static_cast<int64_t>(mOrders.LedZones()));
   gauge("caraway_loads_under_way", static_cast<int64_t>(mOrders.Loads()));
   gauge("caraway_loads_queued", static_cast<int64_t>(mOrders.Waiting()));
-  gauge("caraway_store_age_ms", mState.AgeOf(mStore.LastGood()).count());
+  gauge("caraway_store_age_ms", mState.AgeOf(mStore.LastSuccessAt()).count());
   return { 200, "text/plain", text };
 }
 
 // ---- Running and leaving
 
 void
-EntryDaemon::Turn(Millis aMost)
+EntryDaemon::RunPass(Millis aMost)
 {
-  mState.mReactor.Turn(aMost);
+  mState.mReactor.RunPass(aMost);
   mState.mLog.Flush();
 }
 
@@ -208,15 +208,15 @@
   bool closed = !mState.mLeave.ExpectsCallers(now);
   if (closed) {
     mCallers->Close();
-    mCallers->CloseIdle(ConnEndReason::Leaving, kNextRequest);
+    mCallers->CloseIdle(ConnectionCloseReason::Leaving, kNextRequest);
     LeaveZone();
   }
   if (now >= mState.mLeave.End() && !mAnsweredAll) {
     mAnsweredAll = true;
     mState.mLog.Line("last_answers")
       .Count("under_way", static_cast<int64_t>(mFront.RequestsInFlight()));
-    mFront.AnswerAll();
-    mCallers->RefuseUnread();
+    mFront.FinishAll();
+    mCallers->RejectPartialRequests();
   }
   bool done = closed && mFront.RequestsInFlight() == 0 &&
               mCallers->AllClosed() && !mMembers.RemovingEntry();
--- a/src/entry/EntryDaemon.h
+++ b/src/entry/EntryDaemon.h
@@ -7,11 +7,11 @@
 #include "entry/ConfigFeed.h"
 #include "entry/EntryState.h"
 #include "entry/FeedRelay.h"
+#include "entry/ImmediateHandler.h"
 #include "entry/ListenPort.h"
 #include "entry/Membership.h"
 #include "entry/Peers.h"
 #include "entry/RequestDispatcher.h"
-#include "entry/ShortPort.h"
 #include "entry/TenantRateLimiter.h"
 #include "entry/UsageRelay.h"
 #include "entry/ZoneSchedulers.h"
@@ -28,7 +28,7 @@
   ~EntryDaemon() { mState.mReactor.Drop(); }
 
   // One wait of at most aMost and what it brought; until Gone().
-  void Turn(Millis aMost);
+  void RunPass(Millis aMost);
   // Begins to leave: unready at once, ends when nothing is under way, within
   // the time that the platform grants.
   void Leave();
@@ -48,7 +48,7 @@
   void OnStateChanged();
   void FillHeartbeat(Json::Value& aHeartbeat);
   void ReadHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat);
-  ShortReply MetricsReply() const;
+  ImmediateReply MetricsReply() const;
 
   EntryState mState;
   StoreClient mStore;
@@ -61,8 +61,8 @@
   TenantRateLimiter mTokens;
   ZoneSchedulers mOrders;
   RequestDispatcher mFront;
-  ShortPort mReadyReplies;
-  ShortPort mMetricsReplies;
+  ImmediateHandler mReadyReplies;
+  ImmediateHandler mMetricsReplies;
   std::shared_ptr<ListenPort> mCallers;
   std::shared_ptr<ListenPort> mReadiness;
   std::shared_ptr<ListenPort> mMetricsPort;
--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -14,19 +14,19 @@
 // Callers leave a stream without a first event after the longest of these.
 constexpr Millis kPatience{ 2000 };
 
-constexpr int kPatienceTargets = 4;
+constexpr int kFirstByteTargets = 4;
 
 // Of a request's target: the part that it waits for its tenant's tokens.
-constexpr int kTokenPatience = 8;
+constexpr int kTokenWaitDivisor = 8;
 
-constexpr Millis kLeastPatience{ 50 };
+constexpr Millis kMinTokenWait{ 50 };
 
 // Requests a slot that a server may have under way. An engine admits as many
 // as it has slots; a plain service's requests are short, so that a few may
 // queue there and still be answered in time.
-constexpr double kPerSlotEngine = 1.1;
+constexpr double kEngineRequestsPerSlot = 1.1;
 
-constexpr double kPerSlotService = 3.0;
+constexpr double kServiceRequestsPerSlot = 3.0;
 
 double
 CostOf(const RequestFacts& aFacts, const TenantLimit& aTenant)
@@ -107,7 +107,7 @@
   SetTimes();
   CountDemand();
   if (!Admits() || !MayStart(mArrived)) {
-    RefuseAsLeaving();
+    RefuseShuttingDown();
     return;
   }
   const TenantLimit* tenant = mConfig->Tenant(mTenant);
@@ -123,11 +123,11 @@
 {
   Millis most =
     std::min(mFacts.mDeadline.value_or(mRoute->mTimeout), mRoute->mTimeout);
-  mGiveUpAt = mArrived + most;
-  mFirstBy = mGiveUpAt;
+  mFinalAnswerBy = mArrived + most;
+  mFirstByteBy = mFinalAnswerBy;
   if (mRoute->mKind == RouteKind::Stream) {
-    Millis patience = std::max(kPatience, mRoute->mTarget * kPatienceTargets);
-    mFirstBy = std::min(mGiveUpAt, mArrived + patience);
+    Millis patience = std::max(kPatience, mRoute->mTarget * kFirstByteTargets);
+    mFirstByteBy = std::min(mFinalAnswerBy, mArrived + patience);
   }
   std::weak_ptr<Exchange> weak = weak_from_this();
   mTimer = mState.mReactor.After(most, [weak] {
@@ -155,7 +155,8 @@
   TokenRequest request;
   request.mTenant = mTenant;
   request.mTokens = CostOf(mFacts, aTenant);
-  request.mMaxWait = std::max(mRoute->mTarget / kTokenPatience, kLeastPatience);
+  request.mMaxWait =
+    std::max(mRoute->mTarget / kTokenWaitDivisor, kMinTokenWait);
   if (mRoute->mKind == RouteKind::Stream) {
     request.mReserve = ReserveFor(mRoute->mPriority, mConfig->LeastUrgent());
   }
@@ -175,7 +176,7 @@
 {
   mConfig = mState.mConfig;
   if (!mConfig) {
-    Refuse(ErrorKind::NotReady, kComeBack, "no configuration yet");
+    Refuse(ErrorKind::NotReady, kRetryAfterDefault, "no configuration yet");
     return false;
   }
   auto facts = wire::ReadRequestFacts(mRequest.mHead);
@@ -214,7 +215,7 @@
   mGrant = aAnswer.mGrant;
   // Its tokens may have been given away while it waited for them.
   if (!mGrant && !Admits()) {
-    RefuseAsLeaving();
+    RefuseShuttingDown();
     return;
   }
   if (!mGrant) {
@@ -249,7 +250,7 @@
 }
 
 bool
-Exchange::TryAgain()
+Exchange::TryDispatch()
 {
   if (mOver || !mWaiting) {
     return true;
@@ -277,22 +278,23 @@
   if (mStreaming) {
     return mState.mLeave.MayGoOn(aStart);
   }
-  return mState.mLeave.MayStart(
-    aStart, mGiveUpAt + kLateAnswer, mState.mRunTimes.UsualTime(mRoute->mName));
+  return mState.mLeave.MayStart(aStart,
+                                mFinalAnswerBy + kLateAnswerMargin,
+                                mState.mRunTimes.UsualTime(mRoute->mName));
 }
 
 // Another instance can still serve it.
 void
-Exchange::RefuseAsLeaving()
+Exchange::RefuseShuttingDown()
 {
-  Refuse(ErrorKind::ShuttingDown, kComeBackElsewhere, "instance leaves");
+  Refuse(ErrorKind::ShuttingDown, kRetryAfterElsewhere, "instance leaves");
 }
 
 bool
 Exchange::FindServer()
 {
   if (!MayStart(mState.Now())) {
-    RefuseAsLeaving();
+    RefuseShuttingDown();
     return true;
   }
   auto service = mConfig->mServices.find(mService);
@@ -303,10 +305,10 @@
   wish.mModel = engine ? mFacts.mModel : "";
   wish.mAdapter = engine ? mFacts.mAdapter : "";
   wish.mZone = mState.mSettings.mZone;
-  wish.mExcluded = mBad;
-  wish.mMaxPerSlot = engine ? kPerSlotEngine : kPerSlotService;
-  if (static_cast<int>(mTried.size()) >= mRoute->mMaxServers) {
-    wish.mOnly = mTried;
+  wish.mExcluded = mBadServers;
+  wish.mMaxPerSlot = engine ? kEngineRequestsPerSlot : kServiceRequestsPerSlot;
+  if (static_cast<int>(mTriedServers.size()) >= mRoute->mMaxServers) {
+    wish.mOnly = mTriedServers;
   }
   ServerChoice choice =
     mState.mServers.Choose(wish, mState.Now(), mState.mRandom);
@@ -319,23 +321,23 @@
     mColdStart = true;
     mPlaces.Want(Want());
   }
-  return GiveUpIfHopeless(choice);
+  return RefuseIfUnmeetable(choice);
 }
 
 bool
-Exchange::ServersGone(const ServerChoice& aChoice) const
+Exchange::TriedServersGone(const ServerChoice& aChoice) const
 {
-  return !mWaiting && !mTried.empty() && !aChoice.mHeld &&
-         static_cast<int>(mTried.size()) >= mRoute->mMaxServers;
+  return !mWaiting && !mTriedServers.empty() && !aChoice.mHeld &&
+         static_cast<int>(mTriedServers.size()) >= mRoute->mMaxServers;
 }
 
 // Knowing that a request can't be served in time is told at once: its caller
 // can then come back when it can.
 bool
-Exchange::GiveUpIfHopeless(const ServerChoice& aChoice)
+Exchange::RefuseIfUnmeetable(const ServerChoice& aChoice)
 {
-  if (ServersGone(aChoice)) {
-    Refuse(ErrorKind::NoEndpoint, kComeBack, "its servers are gone");
+  if (TriedServersGone(aChoice)) {
+    Refuse(ErrorKind::NoEndpoint, kRetryAfterDefault, "its servers are gone");
     return true;
   }
   Millis wait{ 0 };
@@ -345,23 +347,24 @@
   TimePoint begin = mState.Now() + wait;
   // How long a place takes to come free isn't known: as long as a caller would
   // be told to stay away.
-  if (!MayStart(std::max(begin, mState.Now() + kComeBack))) {
-    RefuseAsLeaving();
+  if (!MayStart(std::max(begin, mState.Now() + kRetryAfterDefault))) {
+    RefuseShuttingDown();
     return true;
   }
-  if (begin + kServiceTime <= mFirstBy) {
+  if (begin + kServiceTime <= mFirstByteBy) {
     return false;
   }
-  RefuseAsLate(wait, aChoice.mHeld);
+  RefuseUnmeetable(wait, aChoice.mHeld);
   return true;
 }
 
 void
-Exchange::RefuseAsLate(Millis aWait, bool aHeld)
+Exchange::RefuseUnmeetable(Millis aWait, bool aHeld)
 {
   // Those who wait for the same thing come back spread over a fifth.
   std::uniform_int_distribution<int64_t> spread(0, aWait.count() / 5 + 100);
-  Millis after = std::max(aWait, kComeBack) + Millis(spread(mState.mRandom));
+  Millis after =
+    std::max(aWait, kRetryAfterDefault) + Millis(spread(mState.mRandom));
   if (aHeld) {
     Refuse(ErrorKind::NoCapacity, after, "servers full");
   } else {
--- a/src/entry/Exchange.h
+++ b/src/entry/Exchange.h
@@ -39,10 +39,10 @@
 
   void Begin();
   // Looks for a server again. True when it no longer waits.
-  bool TryAgain();
-  void OnCallerLeft();
+  bool TryDispatch();
+  void OnCallerDisconnected();
   // The process ends: a last answer, as true as one can be.
-  void OnInstanceEnds();
+  void OnInstanceExit();
 
   const std::string& Id() const { return mFacts.mId; }
   int Priority() const { return mPriority; }
@@ -60,35 +60,35 @@
   void Dispatch();
   bool FindServer();
   // It may go to no other server, and none of those it went to is left.
-  bool ServersGone(const ServerChoice& aChoice) const;
-  bool GiveUpIfHopeless(const ServerChoice& aChoice);
-  void RefuseAsLate(Millis aWait, bool aHeld);
+  bool TriedServersGone(const ServerChoice& aChoice) const;
+  bool RefuseIfUnmeetable(const ServerChoice& aChoice);
+  void RefuseUnmeetable(Millis aWait, bool aHeld);
   bool Admits() const;
   // This instance may send it to a server at aStart; false while it leaves and
   // its end would cut the request.
   bool MayStart(TimePoint aStart) const;
-  void RefuseAsLeaving();
+  void RefuseShuttingDown();
   LoadRequest Want() const;
   // One send.
   void Send(Backend& aBackend);
-  std::string ServerHead(const Backend& aBackend) const;
+  std::string ServerRequestHead(const Backend& aBackend) const;
   void OnHead(const HttpHead& aHead);
   void OnBody(std::string& aBytes);
-  void OnCallEnd(CallOutcome aEnd);
-  void OnWhole();
-  void OnProvenNotRun();
+  void OnCallDone(CallOutcome aEnd);
+  void OnCompleteAnswer();
+  void OnNotRun();
   void OnNotSent();
-  void OnBroken(CallOutcome aEnd);
-  void ForgetCall();
+  void OnAnswerLost(CallOutcome aEnd);
+  void ReleaseCall();
   // Repeats.
-  bool MayRunAgain() const;
-  bool MaySendAgain();
-  bool MayRepeat();
+  bool MayRerun() const;
+  bool SpendRetry();
+  bool MayRetry();
   void DispatchLater(Millis aDelay);
   // Answers.
   void StartStream(const HttpHead& aHead);
   void ForwardEvents();
-  void NotePause();
+  void RecordPause();
   void Refuse(ErrorKind aKind, Millis aAfter, const char* aWhy);
   void OnTimeUp();
   void End(int aStatus, const char* aWhy);
@@ -109,30 +109,30 @@
   std::string mTenant;
   int mPriority = 5;
   TimePoint mArrived;
-  TimePoint mGiveUpAt{}; // final answer by then
-  TimePoint mFirstBy{};  // the caller leaves without a first byte by then
+  TimePoint mFinalAnswerBy{}; // final answer by then
+  TimePoint mFirstByteBy{};   // the caller leaves without a first byte by then
   Reactor::TimerId mTimer{};
 
-  std::set<std::string> mTried;     // servers that may have seen it
-  std::set<std::string> mBad;       // servers that it isn't sent to again
-  std::optional<TokenGrant> mGrant; // while its tokens aren't used
+  std::set<std::string> mTriedServers; // servers that may have seen it
+  std::set<std::string> mBadServers;   // servers that it isn't sent to again
+  std::optional<TokenGrant> mGrant;    // while its tokens aren't used
   int mSends = 0;
   int mRuns = 0;            // sends that ended without proof that it didn't run
   bool mMayHaveRun = false; // a send ended without proof that it didn't
   std::shared_ptr<OutboundCall> mCall;
   std::string mServer; // of mCall
   TimePoint mSentAt{};
-  TimePoint mFirstAt{}; // first byte of an answer to the caller
-  HttpHead mAnswer;     // of mCall
+  TimePoint mFirstByteAt{}; // first byte of an answer to the caller
+  HttpHead mAnswer;         // of mCall
   AnswerFacts mAnswerFacts;
-  bool mHaveAnswer = false;
+  bool mHasAnswerHead = false;
   std::string mBody;       // of an answer that is handed over whole
   std::string mEvents;     // of a stream, not yet a whole event
   std::string mLastEvent;  // id of the last event handed over
   bool mStreaming = false; // the caller has the head of a stream
   bool mWaiting = false;
-  bool mColdStart = false; // its model or adapter had to be brought
-  TimePoint mLastPiece{};  // of a stream
+  bool mColdStart = false;  // its model or adapter had to be brought
+  TimePoint mLastChunkAt{}; // of a stream
   bool mOver = false;
 };
 
--- a/src/entry/ExchangeEnd.cpp
+++ b/src/entry/ExchangeEnd.cpp
@@ -9,11 +9,11 @@
 
 // Sends of one request: repeats cost the servers work; beyond a few they
 // help nobody.
-constexpr int kMostSends = 6;
+constexpr int kMaxSends = 6;
 
 // Between a server's proof that it did not run a request and the next send:
 // an adapter on its way takes about as long.
-constexpr Millis kAfterProof{ 15 };
+constexpr Millis kNotRunRetryDelay{ 15 };
 
 } // namespace
 
@@ -22,7 +22,7 @@
 // As often as the route names servers for: a read that fails wherever it runs
 // would otherwise spend the budget that others need.
 bool
-Exchange::MayRunAgain() const
+Exchange::MayRerun() const
 {
   bool repeatable = mRoute->mKind == RouteKind::Idempotent ||
                     (mRoute->mKind == RouteKind::Stream && mRoute->mResumable);
@@ -32,18 +32,18 @@
 // Takes from the budget of repeats. What is sent again goes to another
 // server if the route lets it.
 bool
-Exchange::MaySendAgain()
+Exchange::SpendRetry()
 {
-  if (mSends >= kMostSends || mState.Now() + kServiceTime > mGiveUpAt) {
+  if (mSends >= kMaxSends || mState.Now() + kServiceTime > mFinalAnswerBy) {
     return false;
   }
   return mState.mRepeats.Spend(mService, mState.mInstances, mState.Now());
 }
 
 bool
-Exchange::MayRepeat()
+Exchange::MayRetry()
 {
-  return MayRunAgain() && MayStart(mState.Now()) && MaySendAgain();
+  return MayRerun() && MayStart(mState.Now()) && SpendRetry();
 }
 
 void
@@ -63,26 +63,26 @@
 {
   std::string server = mServer;
   mState.mServers.Heard(server, ServerOutcome::Broken, mState.Now());
-  mTried.erase(server); // it never saw the request
-  mBad.insert(server);
-  ForgetCall();
+  mTriedServers.erase(server); // it never saw the request
+  mBadServers.insert(server);
+  ReleaseCall();
   mState.mLog.Line("request_again")
     .Text("id", mFacts.mId)
     .Text("why", "not connected")
     .Text("server", server);
-  if (mSends >= kMostSends) {
-    Refuse(ErrorKind::NoEndpoint, kComeBack, "no server connects");
+  if (mSends >= kMaxSends) {
+    Refuse(ErrorKind::NoEndpoint, kRetryAfterDefault, "no server connects");
     return;
   }
   Dispatch();
 }
 
 void
-Exchange::OnProvenNotRun()
+Exchange::OnNotRun()
 {
   std::string server = mServer;
   int status = mAnswer.mStatus;
-  ForgetCall();
+  ReleaseCall();
   mState.mLog.Line("request_again")
     .Text("id", mFacts.mId)
     .Text("why", "not run")
@@ -90,34 +90,36 @@
     .Count("status", status);
   const std::string& answered = mAnswerFacts.mServer;
   if (status == 421 && !answered.empty() && answered != server) {
-    constexpr int kLostBeats = 3; // an entry goes after so many silent ones
+    constexpr int kLostHeartbeats =
+      3; // an entry goes after so many silent ones
     mState.mServers.Elsewhere(server,
                               mState.mSettings.mServerHeartbeatInterval *
-                                kLostBeats,
+                                kLostHeartbeats,
                               mState.Now());
     mState.mLog.Line("server_elsewhere")
       .Text("server", server)
       .Text("answered", answered);
-    mBad.insert(server);
-    mTried.erase(server); // what is there now isn't a server of its route
+    mBadServers.insert(server);
+    mTriedServers.erase(
+      server); // what is there now isn't a server of its route
   } else if (status == 421 && !mFacts.mModel.empty()) {
     mState.mServers.MarkMissing(
       server, mFacts.mModel, mFacts.mAdapter, mState.Now());
   }
-  if (!MaySendAgain()) {
+  if (!SpendRetry()) {
     if (mStreaming) {
       mCaller->Abort();
       End(0, "stream refused midway");
       return;
     }
-    Refuse(ErrorKind::NoCapacity, kComeBack, "server refused");
+    Refuse(ErrorKind::NoCapacity, kRetryAfterDefault, "server refused");
     return;
   }
-  DispatchLater(kAfterProof);
+  DispatchLater(kNotRunRetryDelay);
 }
 
 void
-Exchange::OnBroken(CallOutcome aEnd)
+Exchange::OnAnswerLost(CallOutcome aEnd)
 {
   std::string server = mServer;
   bool kept = mCall && mCall->Reused();
@@ -125,17 +127,17 @@
   mGrant.reset();
   ++mRuns;
   mState.mServers.Heard(server, ServerOutcome::Broken, mState.Now());
-  mBad.insert(server);
-  ForgetCall();
+  mBadServers.insert(server);
+  ReleaseCall();
   mEvents.clear();
   mState.mLog.Line("server_broke")
     .Text("id", mFacts.mId)
     .Text("server", server)
-    .Text("how", aEnd == CallOutcome::Garbled ? "garbled" : "cut")
+    .Text("how", aEnd == CallOutcome::Malformed ? "garbled" : "cut")
     .Flag("kept_connection", kept)
     .Flag("streaming", mStreaming)
     .Ms("after_ms", mState.AgeOf(mSentAt));
-  if (MayRepeat()) {
+  if (MayRetry()) {
     Dispatch();
     return;
   }
@@ -198,14 +200,14 @@
     return;
   }
   if (mServer.empty()) {
-    Refuse(ErrorKind::DeadlineUnmeetable, kComeBack, "time is up");
+    Refuse(ErrorKind::DeadlineUnmeetable, kRetryAfterDefault, "time is up");
     return;
   }
   // The server stops by itself about now; its own final answer is better
   // than this instance's.
-  if (mState.Now() < mGiveUpAt + kLateAnswer) {
+  if (mState.Now() < mFinalAnswerBy + kLateAnswerMargin) {
     std::weak_ptr<Exchange> weak = weak_from_this();
-    mTimer = mState.mReactor.After(kLateAnswer, [weak] {
+    mTimer = mState.mReactor.After(kLateAnswerMargin, [weak] {
       if (auto exchange = weak.lock()) {
         exchange->OnTimeUp();
       }
@@ -213,7 +215,7 @@
     return;
   }
   mCall->Cancel();
-  ForgetCall();
+  ReleaseCall();
   mGrant.reset();
   if (mStreaming) {
     mCaller->Abort();
@@ -225,21 +227,21 @@
 }
 
 void
-Exchange::OnCallerLeft()
+Exchange::OnCallerDisconnected()
 {
   if (mOver) {
     return;
   }
   if (mCall) {
     mCall->Cancel();
-    ForgetCall();
+    ReleaseCall();
     mGrant.reset();
   }
   End(0, "caller left");
 }
 
 void
-Exchange::OnInstanceEnds()
+Exchange::OnInstanceExit()
 {
   if (mOver) {
     return;
@@ -247,16 +249,16 @@
   constexpr const char* kWhy = "instance ends";
   if (mCall) {
     mCall->Cancel();
-    ForgetCall();
+    ReleaseCall();
     mGrant.reset();
     mMayHaveRun = true;
   }
   if (mStreaming) {
-    mCaller->Abort(ConnEndReason::InstanceEnds);
+    mCaller->Abort(ConnectionCloseReason::InstanceExit);
     End(0, kWhy);
     return;
   }
-  Refuse(ErrorKind::ShuttingDown, kComeBackElsewhere, kWhy);
+  Refuse(ErrorKind::ShuttingDown, kRetryAfterElsewhere, kWhy);
 }
 
 void
@@ -270,9 +272,10 @@
   if (mGrant) {
     mTokens.GiveBack(*mGrant);
   }
-  Millis first = mFirstAt == TimePoint()
-                   ? Millis(-1)
-                   : std::chrono::duration_cast<Millis>(mFirstAt - mArrived);
+  Millis first =
+    mFirstByteAt == TimePoint()
+      ? Millis(-1)
+      : std::chrono::duration_cast<Millis>(mFirstByteAt - mArrived);
   mState.mLog.Line("request_done")
     .Text("id", mFacts.mId)
     .Count("status", aStatus)
@@ -282,7 +285,7 @@
     .Ms("whole_ms", mState.AgeOf(mArrived));
   mState.mMetrics.Count("caraway_requests_total",
                         "status=\"" + std::to_string(aStatus) + "\"");
-  if (mFirstAt != TimePoint()) {
+  if (mFirstByteAt != TimePoint()) {
     mState.mMetrics.Observe("first_event", mTenant, Class(), first);
     if (mColdStart) {
       mState.mMetrics.Observe("cold_start", mTenant, Class(), first);
--- a/src/entry/ExchangeSend.cpp
+++ b/src/entry/ExchangeSend.cpp
@@ -10,13 +10,13 @@
 
 // A connection that has been idle for long may be closed by the server just
 // as the request leaves; what may not run twice can't be sent again then.
-constexpr double kIdleShareOnce = 0.4;
+constexpr double kIdleShareNonRepeatable = 0.4;
 
-constexpr double kIdleShareAgain = 0.7;
+constexpr double kIdleShareRepeatable = 0.7;
 
 // The id of the last event in aEvents that has one; "" when none has.
 std::string
-LastIdIn(std::string_view aEvents)
+LastEventId(std::string_view aEvents)
 {
   size_t at = aEvents.rfind("id:");
   while (at != std::string_view::npos && at > 0 && aEvents[at - 1] != '\n') {
@@ -35,7 +35,7 @@
 
 // Bytes up to the end of the last whole event.
 size_t
-WholeEvents(std::string_view aBytes)
+CompleteEventBytes(std::string_view aBytes)
 {
   size_t plain = aBytes.rfind("\n\n");
   size_t crlf = aBytes.rfind("\r\n\r\n");
@@ -51,16 +51,16 @@
 // One send to a server: its answer, relayed as it comes.
 
 std::string
-Exchange::ServerHead(const Backend& aBackend) const
+Exchange::ServerRequestHead(const Backend& aBackend) const
 {
-  wire::ServerSend send;
+  wire::ServerRequestFields send;
   send.mInstance = aBackend.mEntry.mId;
   send.mTenant = mTenant;
   send.mPriority = mPriority;
   send.mBodyBytes = mRequest.mBody.size();
   send.mLastEvent = mLastEvent;
   // Rounded down: more than is left would be work that nobody waits for.
-  auto left = std::chrono::duration_cast<Millis>(mGiveUpAt - mState.Now());
+  auto left = std::chrono::duration_cast<Millis>(mFinalAnswerBy - mState.Now());
   send.mLeft = std::max(left, Millis(1));
   return wire::WriteServerRequest(mRequest.mHead, send);
 }
@@ -68,12 +68,12 @@
 void
 Exchange::Send(Backend& aBackend)
 {
-  bool again = MayRunAgain();
+  bool again = MayRerun();
   mServer = aBackend.mEntry.mId;
-  mTried.insert(mServer);
+  mTriedServers.insert(mServer);
   ++mSends;
   mSentAt = mState.Now();
-  mHaveAnswer = false;
+  mHasAnswerHead = false;
   mBody.clear();
   mState.mLog.Line("request_sent")
     .Text("id", mFacts.mId)
@@ -91,13 +91,13 @@
   OutboundRequest request;
   request.mAddress = aBackend.mEntry.mAddress;
   request.mPeer = mServer;
-  request.mHead = ServerHead(aBackend);
+  request.mHead = ServerRequestHead(aBackend);
   request.mBody = mRequest.mBody;
-  request.mIdleShare = again ? kIdleShareAgain : kIdleShareOnce;
+  request.mIdleShare = again ? kIdleShareRepeatable : kIdleShareNonRepeatable;
   mState.mServers.Began(mServer, FullName());
   std::weak_ptr<Exchange> weak = weak_from_this();
   OutboundCall::Events events;
-  events.mIsOurs = [weak](const HttpHead& aHead) {
+  events.mMatchesRequest = [weak](const HttpHead& aHead) {
     auto exchange = weak.lock();
     std::string id = wire::ReadAnswerFacts(aHead).mId;
     return !exchange || id.empty() || id == exchange->mFacts.mId;
@@ -114,7 +114,7 @@
   };
   events.mEnd = [weak](CallOutcome aEnd) {
     if (auto exchange = weak.lock()) {
-      exchange->OnCallEnd(aEnd);
+      exchange->OnCallDone(aEnd);
     }
   };
   mCall = OutboundCall::Start(
@@ -126,7 +126,7 @@
 {
   mAnswer = aHead;
   mAnswerFacts = wire::ReadAnswerFacts(aHead);
-  mHaveAnswer = true;
+  mHasAnswerHead = true;
   bool success = aHead.mStatus >= 200 && aHead.mStatus < 300;
   if (mAnswerFacts.mNotRun) {
     return;
@@ -138,7 +138,7 @@
   // A stream that goes on must go on as a stream.
   if (spoilt || (mStreaming && !success)) {
     mCall->Cancel();
-    OnCallEnd(CallOutcome::Garbled);
+    OnCallDone(CallOutcome::Malformed);
     return;
   }
   if (success && mRoute->mKind == RouteKind::Stream && !mStreaming) {
@@ -150,7 +150,7 @@
 Exchange::StartStream(const HttpHead& aHead)
 {
   mStreaming = true;
-  mFirstAt = mState.Now();
+  mFirstByteAt = mState.Now();
   mCaller->BeginStream(aHead.mStatus, wire::CallerFields(aHead));
 }
 
@@ -162,9 +162,9 @@
     aBytes.clear();
     return;
   }
-  NotePause();
+  RecordPause();
   if (!mRoute->mResumable) {
-    mCaller->StreamPiece(aBytes);
+    mCaller->StreamChunk(aBytes);
     aBytes.clear();
     return;
   }
@@ -175,14 +175,14 @@
 
 // Between two pieces of a stream, as they come from its servers.
 void
-Exchange::NotePause()
+Exchange::RecordPause()
 {
   TimePoint now = mState.Now();
-  if (mLastPiece != TimePoint()) {
+  if (mLastChunkAt != TimePoint()) {
     mState.mMetrics.Observe(
-      "pause", mTenant, Class(), mState.AgeOf(mLastPiece));
+      "pause", mTenant, Class(), mState.AgeOf(mLastChunkAt));
   }
-  mLastPiece = now;
+  mLastChunkAt = now;
 }
 
 // Only whole events: a server may stop in the middle of one, and another
@@ -190,20 +190,20 @@
 void
 Exchange::ForwardEvents()
 {
-  size_t whole = WholeEvents(mEvents);
+  size_t whole = CompleteEventBytes(mEvents);
   if (whole == 0) {
     return;
   }
-  std::string id = LastIdIn(std::string_view(mEvents).substr(0, whole));
+  std::string id = LastEventId(std::string_view(mEvents).substr(0, whole));
   if (!id.empty()) {
     mLastEvent = id;
   }
-  mCaller->StreamPiece(std::string_view(mEvents).substr(0, whole));
+  mCaller->StreamChunk(std::string_view(mEvents).substr(0, whole));
   mEvents.erase(0, whole);
 }
 
 void
-Exchange::ForgetCall()
+Exchange::ReleaseCall()
 {
   if (!mServer.empty()) {
     mState.mServers.Ended(mServer, FullName());
@@ -215,24 +215,24 @@
 }
 
 void
-Exchange::OnCallEnd(CallOutcome aEnd)
+Exchange::OnCallDone(CallOutcome aEnd)
 {
   if (mOver || mServer.empty()) {
     return;
   }
   if (aEnd == CallOutcome::NotSent) {
     OnNotSent();
-  } else if (mHaveAnswer && mAnswerFacts.mNotRun) {
-    OnProvenNotRun();
+  } else if (mHasAnswerHead && mAnswerFacts.mNotRun) {
+    OnNotRun();
   } else if (aEnd != CallOutcome::Whole) {
-    OnBroken(aEnd);
+    OnAnswerLost(aEnd);
   } else {
-    OnWhole();
+    OnCompleteAnswer();
   }
 }
 
 void
-Exchange::OnWhole()
+Exchange::OnCompleteAnswer()
 {
   bool failed = mAnswer.mStatus >= 500;
   mState.mServers.Heard(mServer,
@@ -241,16 +241,16 @@
   if (!failed && mSends == 1) {
     mState.mRunTimes.Note(mRoute->mName, mState.AgeOf(mSentAt));
   }
-  ForgetCall();
+  ReleaseCall();
   if (mStreaming) {
-    mCaller->StreamPiece(mEvents);
+    mCaller->StreamChunk(mEvents);
     mCaller->EndStream();
     End(mAnswer.mStatus, "served");
     return;
   }
   mRuns += failed ? 1 : 0;
   mMayHaveRun = mMayHaveRun || failed;
-  if (failed && MayRepeat()) {
+  if (failed && MayRetry()) {
     mState.mLog.Line("request_again")
       .Text("id", mFacts.mId)
       .Text("why", "server failed")
@@ -258,7 +258,7 @@
     Dispatch();
     return;
   }
-  mFirstAt = mState.Now();
+  mFirstByteAt = mState.Now();
   mCaller->Answer(mAnswer.mStatus, wire::CallerFields(mAnswer), mBody);
   End(mAnswer.mStatus, "served");
 }
--- a/src/entry/ExchangeTimes.h
+++ b/src/entry/ExchangeTimes.h
@@ -11,13 +11,13 @@
 inline constexpr Millis kServiceTime{ 120 };
 
 // What isn't expected to be there sooner is worth trying again after this.
-inline constexpr Millis kComeBack{ 500 };
+inline constexpr Millis kRetryAfterDefault{ 500 };
 
 // Other instances can take it at once.
-inline constexpr Millis kComeBackElsewhere{ 20 };
+inline constexpr Millis kRetryAfterElsewhere{ 20 };
 
 // An answer of the server's own may come so late after a request's time.
-inline constexpr Millis kLateAnswer{ 40 };
+inline constexpr Millis kLateAnswerMargin{ 40 };
 
 } // namespace caraway
 
--- a/src/entry/FeedRelay.cpp
+++ b/src/entry/FeedRelay.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-constexpr char kNews[] = "news";
+constexpr char kUpdateMessage[] = "news";
 
-constexpr char kReadNews[] = "read_news";
+constexpr char kStartReadingMessage[] = "read_news";
 
 // News count as so long on the way until that is known: where all start at once
 // and nobody follows, the news of all fill their links.
-constexpr Millis kUnknownWay{ 500 };
+constexpr Millis kUnknownTransitTime{ 500 };
 
 // When a reader leaves, the first by rank reads at once; the others give it so
 // long to tell.
-constexpr Millis kFirstTells{ 300 };
+constexpr Millis kSuccessorGrace{ 300 };
 
 // Who is asked to read does so in milliseconds, or can't.
-constexpr Millis kHandOver{ 5000 };
+constexpr Millis kHandOverInterval{ 5000 };
 
 // News are told at once, and again so often: a lost datagram is made good.
-constexpr Millis kTellAgain{ 300 };
+constexpr Millis kPublishInterval{ 300 };
 
 constexpr Millis kCheck{ 100 };
 
@@ -40,7 +40,7 @@
 
 // A configuration is read from the store that long after it was known to be the
 // newest. A reader's watch of it returns after two seconds at the latest.
-constexpr Millis kConfigFollow{ 2500 };
+constexpr Millis kConfigMaxAge{ 2500 };
 
 } // namespace
 
@@ -65,43 +65,45 @@
   mPeers.Add("servers", [this](const Json::Value&) {
     Json::Value result;
     result["revision"] = Json::Int64(mFeed.ServersRevision());
-    result["entries"] = mFeed.ServersText();
+    result["entries"] = mFeed.ServersJson();
     return result;
   });
-  mPeers.OnMessage(kNews, [this](const Json::Value& aNews) { OnTold(aNews); });
-  mPeers.OnMessage(kReadNews, [this](const Json::Value&) {
+  mPeers.OnMessage(kUpdateMessage,
+                   [this](const Json::Value& aNews) { OnTold(aNews); });
+  mPeers.OnMessage(kStartReadingMessage, [this](const Json::Value&) {
     if (mFeed.Paused() && !mState.mLeave.Leaving()) {
       ReadAgain("asked to");
     }
   });
   mPeers.OnLeaving([this](const std::string& aPeer) { OnLeaving(aPeer); });
-  mFeed.OnNews([this] { OnNews(); });
-  mFeed.OnTaken([this](const StoreChange& aChange) { OnTaken(aChange); });
-  mState.mReactor.Every(kTellAgain, [this] { Tell(); });
+  mFeed.OnUpdate([this] { OnUpdate(); });
+  mFeed.OnServerApplied(
+    [this](const StoreChange& aChange) { OnServerApplied(aChange); });
+  mState.mReactor.Every(kPublishInterval, [this] { Tell(); });
   mState.mReactor.Every(kCheck, [this] { Check(); });
 }
 
 // ---- Telling
 
 void
-FeedRelay::OnNews()
+FeedRelay::OnUpdate()
 {
-  if (mTellDue) {
+  if (mPublishScheduled) {
     return;
   }
-  mTellDue = true;
+  mPublishScheduled = true;
   mState.mReactor.After(Millis(0), [this] {
-    mTellDue = false;
+    mPublishScheduled = false;
     Tell();
   });
 }
 
 void
-FeedRelay::OnTaken(const StoreChange& aChange)
+FeedRelay::OnServerApplied(const StoreChange& aChange)
 {
   if (!mFeed.Paused()) {
     size_t bytes = JsonWrite(aChange.mObject.mSpec).size();
-    mLately.push_back({ mState.Now(), aChange, bytes });
+    mRecentChanges.push_back({ mState.Now(), aChange, bytes });
   }
 }
 
@@ -111,10 +113,10 @@
   if (mFeed.Paused() || !mFeed.Fresh() || mState.mLeave.Leaving()) {
     return;
   }
-  mMarks.push_back({ mState.Now(), mFeed.ServersWhole() });
+  mCheckpoints.push_back({ mState.Now(), mFeed.ServersCompleteTo() });
   Trim();
-  mPeers.SendMessageInZone(kNews, News());
-  HandOver();
+  mPeers.SendMessageInZone(kUpdateMessage, News());
+  HandOverReading();
 }
 
 std::string
@@ -127,16 +129,16 @@
 }
 
 void
-FeedRelay::HandOver()
+FeedRelay::HandOverReading()
 {
   TimePoint now = mState.Now();
   if (!mPeers.Claims(ZoneLeaseName(mState.mSettings.mZone)) ||
-      now < mHandOverNext) {
+      now < mNextHandOverAt) {
     return;
   }
   if (const Peer* first = First()) {
-    mHandOverNext = now + kHandOver;
-    mPeers.SendMessageTo(first->mName, kReadNews, Json::Value());
+    mNextHandOverAt = now + kHandOverInterval;
+    mPeers.SendMessageTo(first->mName, kStartReadingMessage, Json::Value());
   }
 }
 
@@ -158,27 +160,28 @@
 FeedRelay::Trim()
 {
   TimePoint now = mState.Now();
-  while (mMarks.size() > 1 && now - mMarks[1].mAt >= kRemember) {
-    mMarks.pop_front();
+  while (mCheckpoints.size() > 1 && now - mCheckpoints[1].mAt >= kRemember) {
+    mCheckpoints.pop_front();
   }
   size_t bytes = 0;
-  for (const Told& told : mLately) {
+  for (const Told& told : mRecentChanges) {
     bytes += told.mBytes;
   }
-  while (bytes > kMostBytes && mMarks.size() > 1) {
-    mMarks.pop_front();
-    bytes -= DropBeforeFirstMark();
+  while (bytes > kMostBytes && mCheckpoints.size() > 1) {
+    mCheckpoints.pop_front();
+    bytes -= DropBeforeFirstCheckpoint();
   }
-  DropBeforeFirstMark();
+  DropBeforeFirstCheckpoint();
 }
 
 size_t
-FeedRelay::DropBeforeFirstMark()
+FeedRelay::DropBeforeFirstCheckpoint()
 {
   size_t bytes = 0;
-  while (!mLately.empty() && mLately.front().mAt < mMarks.front().mAt) {
-    bytes += mLately.front().mBytes;
-    mLately.pop_front();
+  while (!mRecentChanges.empty() &&
+         mRecentChanges.front().mAt < mCheckpoints.front().mAt) {
+    bytes += mRecentChanges.front().mBytes;
+    mRecentChanges.pop_front();
   }
   return bytes;
 }
@@ -189,16 +192,17 @@
   Json::Value news;
   news["from"] = mState.mSettings.mName;
   news["rank"] = Rank();
-  news["since"] = Json::Int64(mMarks.front().mRevision);
-  news["to"] = Json::Int64(mMarks.back().mRevision);
+  news["since"] = Json::Int64(mCheckpoints.front().mRevision);
+  news["to"] = Json::Int64(mCheckpoints.back().mRevision);
   news["seen"] = Json::Int64(mFeed.ServersRevision());
-  news["age_ms"] = Json::Int64(mState.AgeOf(mFeed.ListNews()).count());
+  news["age_ms"] = Json::Int64(mState.AgeOf(mFeed.ListConfirmedAt()).count());
   news["config"] = Json::Int64(mState.mConfig ? mState.mConfig->mVersion : 0);
-  news["config_age_ms"] = Json::Int64(mState.AgeOf(mFeed.ConfigNews()).count());
+  news["config_age_ms"] =
+    Json::Int64(mState.AgeOf(mFeed.ConfigConfirmedAt()).count());
   news["echoes"] = mPeers.Echoes();
   Json::Value& changes = news["changes"];
   changes = Json::Value(Json::arrayValue);
-  for (const Told& told : mLately) {
+  for (const Told& told : mRecentChanges) {
     Json::Value change;
     change["name"] = told.mChange.mObject.mName;
     change["revision"] = Json::Int64(told.mChange.mObject.mRevision);
@@ -221,18 +225,19 @@
   if (!mPeers.IsStaying(from)) {
     return;
   }
-  Millis onTheWay = mPeers.RoundTripTime(aNews["echoes"]).value_or(kUnknownWay);
+  Millis onTheWay =
+    mPeers.RoundTripTime(aNews["echoes"]).value_or(kUnknownTransitTime);
   TimePoint now = mState.Now();
   TimePoint newsAt = now - onTheWay - Millis(aNews["age_ms"].asInt64());
   Millis configAge = onTheWay + Millis(aNews["config_age_ms"].asInt64());
-  int64_t known = mFeed.ServersWhole();
+  int64_t known = mFeed.ServersCompleteTo();
   mStep.SetSelf(Rank());
   // News that begin behind what is known here have a gap before them.
   if (known == 0 || aNews["since"].asInt64() > known ||
-      configAge >= kConfigFollow ||
+      configAge >= kConfigMaxAge ||
       !mStep.OnTold(aNews["rank"].asString(),
                     newsAt,
-                    !mFeed.Paused() && mFeed.Fresh() ? mFeed.ListNews()
+                    !mFeed.Paused() && mFeed.Fresh() ? mFeed.ListConfirmedAt()
                                                      : TimePoint(),
                     now)) {
     return;
@@ -243,16 +248,16 @@
       .Ms("age_ms", mState.AgeOf(newsAt))
       .Ms("on_the_way_ms", onTheWay);
     mFeed.Pause();
-    mLately.clear();
-    mMarks.clear();
+    mRecentChanges.clear();
+    mCheckpoints.clear();
   }
-  mTeller = from;
+  mFollowedPeer = from;
   mReadAt = TimePoint::max();
-  TakeNews(aNews, onTheWay);
+  ApplyUpdate(aNews, onTheWay);
 }
 
 void
-FeedRelay::TakeNews(const Json::Value& aNews, Millis aOnTheWay)
+FeedRelay::ApplyUpdate(const Json::Value& aNews, Millis aOnTheWay)
 {
   TimePoint sentAt = mState.Now() - aOnTheWay;
   std::vector<StoreChange> changes;
@@ -264,33 +269,33 @@
     change.mRemoved = item["removed"].asBool();
     changes.push_back(std::move(change));
   }
-  mFeed.TakeTold(changes,
-                 aNews["to"].asInt64(),
-                 aNews["seen"].asInt64(),
-                 sentAt - Millis(aNews["age_ms"].asInt64()));
+  mFeed.ApplyPeerUpdate(changes,
+                        aNews["to"].asInt64(),
+                        aNews["seen"].asInt64(),
+                        sentAt - Millis(aNews["age_ms"].asInt64()));
   int64_t version = aNews["config"].asInt64();
-  mFeed.TakeToldConfig(version,
-                       sentAt - Millis(aNews["config_age_ms"].asInt64()));
-  WantConfig(version, aNews["from"].asString());
+  mFeed.ConfirmConfigFromPeer(
+    version, sentAt - Millis(aNews["config_age_ms"].asInt64()));
+  RequestConfig(version, aNews["from"].asString());
 }
 
 // Who is told nothing fresh reads by itself.
 void
 FeedRelay::Check()
 {
-  AskForConfig();
+  FetchConfig();
   if (!mFeed.Paused()) {
     return;
   }
   TimePoint now = mState.Now();
-  bool old = now - mFeed.ListNews() >= WatchStep::kMaxUpdateAge;
+  bool old = now - mFeed.ListConfirmedAt() >= WatchStep::kMaxUpdateAge;
   if (mReadAt != TimePoint::max()) {
     if (old || now >= mReadAt) {
       ReadAgain("it leaves");
     }
   } else if (!mStep.Follows(now)) {
     ReadAgain("nothing fresh");
-  } else if (mState.AgeOf(mFeed.ConfigNews()) >= kConfigFollow) {
+  } else if (mState.AgeOf(mFeed.ConfigConfirmedAt()) >= kConfigMaxAge) {
     ReadAgain("old configuration");
   }
 }
@@ -299,10 +304,10 @@
 FeedRelay::ReadAgain(const char* aWhy)
 {
   mState.mLog.Line("list_read_again")
-    .Text("peer", mTeller)
+    .Text("peer", mFollowedPeer)
     .Text("why", aWhy)
-    .Ms("age_ms", mState.AgeOf(mFeed.ListNews()))
-    .Ms("config_age_ms", mState.AgeOf(mFeed.ConfigNews()));
+    .Ms("age_ms", mState.AgeOf(mFeed.ListConfirmedAt()))
+    .Ms("config_age_ms", mState.AgeOf(mFeed.ConfigConfirmedAt()));
   mReadAt = TimePoint::max();
   mStep.Forget();
   mFeed.Resume();
@@ -311,13 +316,13 @@
 void
 FeedRelay::OnLeaving(const std::string& aPeer)
 {
-  if (!mFeed.Paused() || aPeer != mTeller) {
+  if (!mFeed.Paused() || aPeer != mFollowedPeer) {
     return;
   }
   mStep.Forget();
   mReadAt = mState.Now();
   if (mState.mLeave.Leaving() || First()) {
-    mReadAt += kFirstTells;
+    mReadAt += kSuccessorGrace;
   }
   Check();
 }
--- a/src/entry/FeedRelay.h
+++ b/src/entry/FeedRelay.h
@@ -37,7 +37,7 @@
     StoreChange mChange;
     size_t mBytes = 0; // of it as text
   };
-  struct Mark
+  struct Checkpoint
   {
     TimePoint mAt{};
     int64_t mRevision = 0; // up to which the list was known then
@@ -45,46 +45,46 @@
 
   std::string Rank() const;
   // To one that isn't burdened with the zone's orders.
-  void HandOver();
+  void HandOverReading();
   // Of those of the zone that stay, the first by rank; nobody: this instance.
   const Peer* First() const;
-  void OnNews();
-  void OnTaken(const StoreChange& aChange);
+  void OnUpdate();
+  void OnServerApplied(const StoreChange& aChange);
   void Tell();
   void Trim();
   // What the marks don't reach back to; returns its bytes.
-  size_t DropBeforeFirstMark();
+  size_t DropBeforeFirstCheckpoint();
   Json::Value News();
   void OnTold(const Json::Value& aNews);
-  void TakeNews(const Json::Value& aNews, Millis aOnTheWay);
+  void ApplyUpdate(const Json::Value& aNews, Millis aOnTheWay);
   void Check();
   void ReadAgain(const char* aWhy);
   void OnLeaving(const std::string& aPeer);
-  void WantConfig(int64_t aVersion, const std::string& aPeer);
-  void AskForConfig();
-  void StoreConfig();
-  void RelayConfig(const std::string& aPeer);
-  void RelayServers(const std::string& aPeer);
+  void RequestConfig(int64_t aVersion, const std::string& aPeer);
+  void FetchConfig();
+  void FetchConfigFromStore();
+  void FetchConfigFromPeer(const std::string& aPeer);
+  void FetchServersFromPeer(const std::string& aPeer);
 
   EntryState& mState;
   StoreClient& mStore;
   Peers& mPeers;
   ConfigFeed& mFeed;
   WatchStep mStep;
-  std::deque<Told> mLately;
-  std::deque<Mark> mMarks;
-  bool mTellDue = false;
-  TimePoint mHandOverNext{};
+  std::deque<Told> mRecentChanges;
+  std::deque<Checkpoint> mCheckpoints;
+  bool mPublishScheduled = false;
+  TimePoint mNextHandOverAt{};
   TimePoint mReadAt = TimePoint::max(); // unless somebody tells by then
-  std::string mTeller;                  // followed, or last followed
+  std::string mFollowedPeer;            // followed, or last followed
   int64_t mConfigWanted = 0;            // a newer one that another has
-  std::string mConfigAt;                // that other
-  bool mStoreConfig = false;            // it is being asked of the store
-  bool mRelayConfig = false;            // it is being asked of another instance
-  bool mConfigTurn = false;             // the next try is another instance's
-  TimePoint mConfigHeard{};             // that it is there
-  TimePoint mConfigNext{};              // when it may be asked for
-  TimePoint mServersNext{};
+  std::string mConfigPeer;              // that other
+  bool mStoreFetchPending = false;      // it is being asked of the store
+  bool mPeerFetchPending = false;       // it is being asked of another instance
+  bool mFetchFromPeerNext = false;      // the next try is another instance's
+  TimePoint mConfigReportedAt{};        // that it is there
+  TimePoint mNextConfigFetchAt{};       // when it may be asked for
+  TimePoint mNextServersFetchAt{};
 };
 
 } // namespace caraway
--- a/src/entry/FeedRelayFetch.cpp
+++ b/src/entry/FeedRelayFetch.cpp
@@ -7,19 +7,19 @@
 namespace {
 
 // What this instance lacks is fetched at most so often.
-constexpr Millis kFetchAgain{ 200 };
+constexpr Millis kFetchInterval{ 200 };
 
 constexpr Millis kFetchTime{ 500 };
 
 // Without the configuration for so long it is asked for elsewhere too.
-constexpr Millis kAskElsewhere{ 500 };
+constexpr Millis kConfigSourceInterval{ 500 };
 
 // What nobody has said to have for so long isn't asked for.
-constexpr Millis kHeard{ 3000 };
+constexpr Millis kReportMaxAge{ 3000 };
 
 // A configuration of hundreds of routes has a tenth of a megabyte and more, and
 // both ends have a part of a core and perhaps a narrow link.
-constexpr Millis kConfigTime{ 2000 };
+constexpr Millis kConfigFetchTimeout{ 2000 };
 
 } // namespace
 
@@ -37,32 +37,32 @@
 void
 FeedRelay::ReadHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat)
 {
-  WantConfig(aHeartbeat["config"].asInt64(), aPeer.mName);
+  RequestConfig(aHeartbeat["config"].asInt64(), aPeer.mName);
   int64_t servers = aHeartbeat["servers"].asInt64();
   if (servers <= mFeed.ServersRevision()) {
     return;
   }
-  if (mFeed.Fresh() && mStore.Reached()) {
-    mFeed.OnPeerServers(servers);
+  if (mFeed.Fresh() && mStore.Reachable()) {
+    mFeed.OnPeerRevision(servers);
   } else {
-    RelayServers(aPeer.mName);
+    FetchServersFromPeer(aPeer.mName);
   }
 }
 
 void
-FeedRelay::WantConfig(int64_t aVersion, const std::string& aPeer)
+FeedRelay::RequestConfig(int64_t aVersion, const std::string& aPeer)
 {
   if (aVersion < mConfigWanted) {
     return;
   }
   if (aVersion > mConfigWanted) {
     mConfigWanted = aVersion;
-    mConfigTurn = !mStore.Reached();
-    mConfigNext = TimePoint();
+    mFetchFromPeerNext = !mStore.Reachable();
+    mNextConfigFetchAt = TimePoint();
   }
-  mConfigAt = aPeer;
-  mConfigHeard = mState.Now();
-  AskForConfig();
+  mConfigPeer = aPeer;
+  mConfigReportedAt = mState.Now();
+  FetchConfig();
 }
 
 // From the store, which has the widest link, or when that fails, or takes long,
@@ -70,64 +70,66 @@
 // turns: who is told asks the store nothing for seconds, and doesn't know
 // whether it answers.
 void
-FeedRelay::AskForConfig()
+FeedRelay::FetchConfig()
 {
   int64_t version = mState.mConfig ? mState.mConfig->mVersion : 0;
   TimePoint now = mState.Now();
-  if (mConfigWanted <= version || now < mConfigNext ||
-      now - mConfigHeard >= kHeard) {
+  if (mConfigWanted <= version || now < mNextConfigFetchAt ||
+      now - mConfigReportedAt >= kReportMaxAge) {
     return;
   }
-  mConfigNext = now + kAskElsewhere;
-  if (mConfigTurn && !mRelayConfig) {
-    RelayConfig(mConfigAt);
-  } else if (!mConfigTurn && !mStoreConfig) {
-    StoreConfig();
+  mNextConfigFetchAt = now + kConfigSourceInterval;
+  if (mFetchFromPeerNext && !mPeerFetchPending) {
+    FetchConfigFromPeer(mConfigPeer);
+  } else if (!mFetchFromPeerNext && !mStoreFetchPending) {
+    FetchConfigFromStore();
   }
-  mConfigTurn = !mConfigTurn;
+  mFetchFromPeerNext = !mFetchFromPeerNext;
 }
 
 void
-FeedRelay::StoreConfig()
+FeedRelay::FetchConfigFromStore()
 {
-  mStoreConfig = true;
+  mStoreFetchPending = true;
   mFeed.ReadConfig([this] {
-    mStoreConfig = false;
-    mConfigNext = std::min(mConfigNext, mState.Now() + kFetchAgain);
+    mStoreFetchPending = false;
+    mNextConfigFetchAt =
+      std::min(mNextConfigFetchAt, mState.Now() + kFetchInterval);
   });
 }
 
 void
-FeedRelay::RelayConfig(const std::string& aPeer)
+FeedRelay::FetchConfigFromPeer(const std::string& aPeer)
 {
-  mRelayConfig = true;
+  mPeerFetchPending = true;
   mPeers.Call(aPeer,
               "config",
               Json::Value(Json::objectValue),
-              kConfigTime,
+              kConfigFetchTimeout,
               [this, aPeer](bool aGood, const Json::Value& aResult) {
-                mRelayConfig = false;
-                mConfigNext = std::min(mConfigNext, mState.Now() + kFetchAgain);
+                mPeerFetchPending = false;
+                mNextConfigFetchAt =
+                  std::min(mNextConfigFetchAt, mState.Now() + kFetchInterval);
                 if (aGood && aResult.isString()) {
-                  mFeed.TakeConfigText(aResult.asString(), aPeer);
+                  mFeed.ApplyConfigText(aResult.asString(), aPeer);
                 }
               });
 }
 
 void
-FeedRelay::RelayServers(const std::string& aPeer)
+FeedRelay::FetchServersFromPeer(const std::string& aPeer)
 {
-  if (mState.Now() < mServersNext) {
+  if (mState.Now() < mNextServersFetchAt) {
     return;
   }
-  mServersNext = mState.Now() + kFetchAgain;
+  mNextServersFetchAt = mState.Now() + kFetchInterval;
   mPeers.Call(aPeer,
               "servers",
               Json::Value(Json::objectValue),
               kFetchTime,
               [this, aPeer](bool aGood, const Json::Value& aResult) {
                 if (aGood && aResult["revision"].isInt64()) {
-                  mFeed.TakeServersText(
+                  mFeed.ApplyServersJson(
                     aResult["entries"], aResult["revision"].asInt64(), aPeer);
                 }
               });
--- a/src/entry/ShortPort.h
+++ b/src/entry/ImmediateHandler.h
@@ -1,7 +1,7 @@
-// ShortPort.h: a handler whose answers are made at once: readiness, metrics,
-// calls of other instances.
-#ifndef caraway_entry_ShortPort_h
-#define caraway_entry_ShortPort_h
+// ImmediateHandler.h: a handler whose answers are made at once: readiness,
+// metrics, calls of other instances.
+#ifndef caraway_entry_ImmediateHandler_h
+#define caraway_entry_ImmediateHandler_h
 
 #include <functional>
 
@@ -9,19 +9,19 @@
 
 namespace caraway {
 
-struct ShortReply
+struct ImmediateReply
 {
   int mStatus = 200;
   std::string mType; // of the body
   std::string mBody;
 };
 
-class ShortPort : public InboundHandler
+class ImmediateHandler : public InboundHandler
 {
 public:
-  using Reply = std::function<ShortReply(const InboundRequest&)>;
+  using Reply = std::function<ImmediateReply(const InboundRequest&)>;
 
-  explicit ShortPort(Reply aReply)
+  explicit ImmediateHandler(Reply aReply)
     : mReply(std::move(aReply))
   {
   }
@@ -29,7 +29,7 @@
   void OnRequest(const std::shared_ptr<InboundConnection>& aConn,
                  InboundRequest& aRequest) override
   {
-    ShortReply reply = mReply(aRequest);
+    ImmediateReply reply = mReply(aRequest);
     std::vector<HttpField> fields;
     if (!reply.mType.empty()) {
       fields.push_back({ "Content-Type", reply.mType });
--- a/src/entry/InboundConnection.cpp
+++ b/src/entry/InboundConnection.cpp
@@ -8,12 +8,12 @@
 
 // A caller that reads so slowly that this much of its answer waits here is
 // given up, or a few of them would fill the instance's memory.
-constexpr size_t kMostUnread = 4u << 20;
+constexpr size_t kMaxUnsentBytes = 4u << 20;
 
 } // namespace
 
 const char*
-ReasonOf(int aStatus)
+ReasonPhrase(int aStatus)
 {
   switch (aStatus) {
     case 200:
@@ -51,7 +51,7 @@
   , mHandler(aHandler)
   , mLimits(aHandler.Limits())
   , mAccepted(aReactor.Now())
-  , mQuietSince(mAccepted)
+  , mLastAnswerAt(mAccepted)
 {
 }
 
@@ -66,8 +66,10 @@
   Channel::Events events;
   // The channel keeps the connection alive, until it closes.
   events.mData = [conn] { conn->OnData(); };
-  events.mEnd = [conn](ChannelEnd) { conn->OnEnd(); };
-  events.mDropped = [&aHandler](size_t aBytes) { aHandler.OnDropped(aBytes); };
+  events.mEnd = [conn](ChannelCloseReason) { conn->OnEnd(); };
+  events.mDropped = [&aHandler](size_t aBytes) {
+    aHandler.OnInputDiscarded(aBytes);
+  };
   conn->mChannel->Listen(std::move(events));
   return conn;
 }
@@ -117,7 +119,7 @@
   mBegan = TimePoint();
   mBusy = true;
   ++mRequests;
-  mKeep = mRequest.mHead.mKeepAlive;
+  mCallerKeepsAlive = mRequest.mHead.mKeepAlive;
   mHandler.OnRequest(self, mRequest);
 }
 
@@ -155,7 +157,7 @@
   mRequest.mBody.clear();
   mReader.emplace(mRequest.mHead);
   const std::string* expect = mRequest.mHead.Find("Expect");
-  if (expect && SameName(*expect, "100-continue") && input.empty()) {
+  if (expect && EqualsIgnoreCase(*expect, "100-continue") && input.empty()) {
     mChannel->Write("HTTP/1.1 100 Continue\r\n\r\n");
   }
   return true;
@@ -176,18 +178,20 @@
 }
 
 void
-InboundConnection::Reject(int aStatus, const char* aWhy, ConnEndReason aReason)
+InboundConnection::Reject(int aStatus,
+                          const char* aWhy,
+                          ConnectionCloseReason aReason)
 {
-  mHandler.OnBad(aStatus, aWhy);
+  mHandler.OnRequestRejected(aStatus, aWhy);
   mBusy = true;
-  mWhyLast = aReason;
+  mCloseReason = aReason;
   Answer(aStatus, {}, "", false);
 }
 
 std::string
-InboundConnection::FirstLine(int aStatus) const
+InboundConnection::StatusLine(int aStatus) const
 {
-  return "HTTP/1.1 " + std::to_string(aStatus) + " " + ReasonOf(aStatus);
+  return "HTTP/1.1 " + std::to_string(aStatus) + " " + ReasonPhrase(aStatus);
 }
 
 void
@@ -196,12 +200,12 @@
                           std::string_view aBody,
                           bool aKeep)
 {
-  bool keep = aKeep && mKeep && !mHandler.Leaving();
+  bool keep = aKeep && mCallerKeepsAlive && !mHandler.Leaving();
   aFields.push_back({ "Content-Length", std::to_string(aBody.size()) });
   if (!keep) {
     aFields.push_back({ "Connection", "close" });
   }
-  std::string answer = WriteHead(FirstLine(aStatus), aFields);
+  std::string answer = WriteHead(StatusLine(aStatus), aFields);
   if (mRequest.mHead.mMethod != "HEAD") {
     answer += aBody;
   }
@@ -214,10 +218,10 @@
 {
   mBusy = false;
   mStreaming = false;
-  mQuietSince = mReactor.Now();
+  mLastAnswerAt = mReactor.Now();
   if (!aKeep) {
     mEnding = true;
-    TellEnd(mWhyLast);
+    NotifyClosing(mCloseReason);
     mChannel->Finish();
     return;
   }
@@ -241,16 +245,16 @@
 InboundConnection::BeginStream(int aStatus, std::vector<HttpField> aFields)
 {
   aFields.push_back({ "Transfer-Encoding", "chunked" });
-  if (!mKeep || mHandler.Leaving()) {
-    mKeep = false;
+  if (!mCallerKeepsAlive || mHandler.Leaving()) {
+    mCallerKeepsAlive = false;
     aFields.push_back({ "Connection", "close" });
   }
   mStreaming = true;
-  mChannel->Write(WriteHead(FirstLine(aStatus), aFields));
+  mChannel->Write(WriteHead(StatusLine(aStatus), aFields));
 }
 
 void
-InboundConnection::StreamPiece(std::string_view aBytes)
+InboundConnection::StreamChunk(std::string_view aBytes)
 {
   if (aBytes.empty()) {
     return; // an empty chunk would end the body
@@ -261,9 +265,9 @@
   chunk.append(aBytes);
   chunk += "\r\n";
   mChannel->Write(chunk);
-  if (mChannel->Queued() > kMostUnread) {
+  if (mChannel->Queued() > kMaxUnsentBytes) {
     bool wasBusy = mBusy;
-    Abort(ConnEndReason::ReaderSlow);
+    Abort(ConnectionCloseReason::SlowReader);
     if (wasBusy) {
       mHandler.OnLeft(*this);
     }
@@ -274,21 +278,21 @@
 InboundConnection::EndStream()
 {
   mChannel->Write("0\r\n\r\n");
-  AfterAnswer(mKeep);
+  AfterAnswer(mCallerKeepsAlive);
 }
 
 void
-InboundConnection::Abort(ConnEndReason aReason)
+InboundConnection::Abort(ConnectionCloseReason aReason)
 {
   if (Open()) {
-    TellEnd(aReason);
+    NotifyClosing(aReason);
   }
   mBusy = false;
   mChannel->Close();
 }
 
 void
-InboundConnection::TellEnd(ConnEndReason aReason)
+InboundConnection::NotifyClosing(ConnectionCloseReason aReason)
 {
   TimePoint now = mReactor.Now();
   ConnectionClose end;
@@ -297,10 +301,11 @@
   end.mBusy = mBusy;
   end.mUnread = mChannel->Input().size();
   end.mAge = std::chrono::duration_cast<Millis>(now - mAccepted);
-  end.mQuiet = std::chrono::duration_cast<Millis>(now - mQuietSince);
+  end.mSinceLastAnswer =
+    std::chrono::duration_cast<Millis>(now - mLastAnswerAt);
   end.mReading = mReading;
   end.mIdleLimit = mLimits.mIdle;
-  mHandler.OnConnEnd(*this, end);
+  mHandler.OnConnectionClosing(*this, end);
 }
 
 bool
@@ -311,37 +316,37 @@
 }
 
 void
-InboundConnection::CloseIfIdle(ConnEndReason aReason)
+InboundConnection::CloseIfIdle(ConnectionCloseReason aReason)
 {
   if (!Open() || mEnding || !Idle()) {
     return;
   }
   // A request that lies in the socket would be reset unread.
-  mChannel->ReadNow();
+  mChannel->ReadAvailable();
   if (Open() && !mEnding && Idle()) {
     mEnding = true;
-    TellEnd(aReason);
-    mChannel->FinishUnread();
+    NotifyClosing(aReason);
+    mChannel->FinishWithoutReading();
   }
 }
 
 void
-InboundConnection::RefuseUnread()
+InboundConnection::RejectPartialRequests()
 {
   if (!Open() || mEnding || mBusy) {
     return;
   }
-  mChannel->ReadNow(); // it may be whole now
+  mChannel->ReadAvailable(); // it may be whole now
   bool partial = mReader || !mChannel->Input().empty();
   if (Open() && !mEnding && !mBusy && partial) {
-    Reject(503, "instance ends", ConnEndReason::InstanceEnds);
+    Reject(503, "instance ends", ConnectionCloseReason::InstanceExit);
   }
 }
 
 void
-InboundConnection::CheckTimes(TimePoint aNow)
+InboundConnection::EnforceTimeouts(TimePoint aNow)
 {
-  mChannel->EndIfLeft();
+  mChannel->CloseIfPeerClosed();
   if (mBusy || !Open()) {
     return;
   }
@@ -351,8 +356,8 @@
     if (mBegan != TimePoint() && aNow - mBegan > most) {
       Reject(408, mReader ? "body too slow" : "head too slow");
     }
-  } else if (aNow - mQuietSince > limits.mIdle) {
-    CloseIfIdle(ConnEndReason::IdleTooLong);
+  } else if (aNow - mLastAnswerAt > limits.mIdle) {
+    CloseIfIdle(ConnectionCloseReason::IdleTimeout);
   }
 }
 
--- a/src/entry/InboundConnection.h
+++ b/src/entry/InboundConnection.h
@@ -34,18 +34,18 @@
   virtual void OnLeft(InboundConnection& aConn) { (void)aConn; }
   // This instance is about to end the connection; not told when the caller
   // ends it.
-  virtual void OnConnEnd(const InboundConnection& aConn,
-                         const ConnectionClose& aEnd)
+  virtual void OnConnectionClosing(const InboundConnection& aConn,
+                                   const ConnectionClose& aEnd)
   {
     (void)aConn;
     (void)aEnd;
   }
   // So many bytes arrived after this instance had ended the connection.
-  virtual void OnDropped(size_t aBytes) { (void)aBytes; }
+  virtual void OnInputDiscarded(size_t aBytes) { (void)aBytes; }
   // A new connection was closed at once: aOpen are open already.
-  virtual void OnTurnedAway(size_t aOpen) { (void)aOpen; }
+  virtual void OnConnectionRejected(size_t aOpen) { (void)aOpen; }
   // A request that couldn't be read was answered with aStatus.
-  virtual void OnBad(int aStatus, const char* aWhy)
+  virtual void OnRequestRejected(int aStatus, const char* aWhy)
   {
     (void)aStatus;
     (void)aWhy;
@@ -70,21 +70,22 @@
               bool aKeep = true);
   // An answer of unknown length: head, pieces, end.
   void BeginStream(int aStatus, std::vector<HttpField> aFields);
-  void StreamPiece(std::string_view aBytes);
+  void StreamChunk(std::string_view aBytes);
   void EndStream();
   // Ends the connection so that what was sent can't look complete.
-  void Abort(ConnEndReason aReason = ConnEndReason::AnswerBroken);
+  void Abort(
+    ConnectionCloseReason aReason = ConnectionCloseReason::AnswerAborted);
 
   // Closes it if no request is being read or answered, and none has arrived.
-  void CloseIfIdle(ConnEndReason aReason);
+  void CloseIfIdle(ConnectionCloseReason aReason);
   // Refuses the request that is still being read.
-  void RefuseUnread();
+  void RejectPartialRequests();
   bool Open() const { return mChannel->Open(); }
   bool Busy() const { return mBusy; }
   bool Idle() const;
-  TimePoint QuietSince() const { return mQuietSince; }
+  TimePoint LastAnswerAt() const { return mLastAnswerAt; }
   // Kills connections whose caller is too slow or idle; called now and then.
-  void CheckTimes(TimePoint aNow);
+  void EnforceTimeouts(TimePoint aNow);
 
 private:
   InboundConnection(Reactor& aReactor, InboundHandler& aHandler);
@@ -93,13 +94,14 @@
   void ReadNext();
   bool ReadHead();
   bool ReadBody();
-  void Reject(int aStatus,
-              const char* aWhy,
-              ConnEndReason aReason = ConnEndReason::Unreadable);
+  void Reject(
+    int aStatus,
+    const char* aWhy,
+    ConnectionCloseReason aReason = ConnectionCloseReason::Unreadable);
   void AfterAnswer(bool aKeep);
   const CallerLimits& Limits();
-  void TellEnd(ConnEndReason aReason);
-  std::string FirstLine(int aStatus) const;
+  void NotifyClosing(ConnectionCloseReason aReason);
+  std::string StatusLine(int aStatus) const;
 
   Reactor& mReactor;
   InboundHandler& mHandler;
@@ -109,20 +111,21 @@
   bool mBusy = false; // a request is being answered
   bool mStreaming = false;
   bool mEnding = false; // by this instance; what is queued still goes out
-  bool mKeep = true;    // the caller wants to go on
-  int mRequests = 0;    // read so far
-  ConnEndReason mWhyLast = ConnEndReason::AnswerSaidSo; // of the last answer
+  bool mCallerKeepsAlive = true; // the caller wants to go on
+  int mRequests = 0;             // read so far
+  ConnectionCloseReason mCloseReason =
+    ConnectionCloseReason::AnswerWithClose; // of the last answer
   // The widest since the connection was last idle: its caller may go by any
   // that held since then.
   CallerLimits mLimits;
   TimePoint mAccepted{};
-  TimePoint mQuietSince{}; // last request ended, or the connection began
-  TimePoint mBegan{};      // first byte of the request being read
-  Millis mReading{};       // the last request's first byte to its last
+  TimePoint mLastAnswerAt{}; // last request ended, or the connection began
+  TimePoint mBegan{};        // first byte of the request being read
+  Millis mReading{};         // the last request's first byte to its last
 };
 
 const char*
-ReasonOf(int aStatus);
+ReasonPhrase(int aStatus);
 
 } // namespace caraway
 
--- a/src/entry/ListenPort.cpp
+++ b/src/entry/ListenPort.cpp
@@ -13,7 +13,7 @@
 constexpr int kBacklog = 1024;
 
 // Taken in one go, so that a flood of connections doesn't hold the thread.
-constexpr int kAcceptAtOnce = 64;
+constexpr int kAcceptBatch = 64;
 
 } // namespace
 
@@ -51,15 +51,15 @@
 void
 ListenPort::OnReadable()
 {
-  AcceptSome();
+  AcceptBatch();
 }
 
 // True when there may be more.
 bool
-ListenPort::AcceptSome()
+ListenPort::AcceptBatch()
 {
   try {
-    for (int i = 0; i < kAcceptAtOnce; ++i) {
+    for (int i = 0; i < kAcceptBatch; ++i) {
       Poco::Net::StreamSocket socket = mSocket.acceptConnection();
       if (mConns.size() >= mMost) {
         Sweep();
@@ -67,7 +67,7 @@
       if (mConns.size() < mMost) {
         mConns.push_back(InboundConnection::Start(mReactor, socket, mHandler));
       } else {
-        mHandler.OnTurnedAway(mConns.size());
+        mHandler.OnConnectionRejected(mConns.size());
       }
     }
   } catch (const Poco::Exception&) {
@@ -81,7 +81,7 @@
 {
   if (mOpen) {
     mOpen = false;
-    while (AcceptSome()) {
+    while (AcceptBatch()) {
     }
     mReactor.Forget(mSocket);
     mSocket.close();
@@ -97,21 +97,21 @@
 }
 
 void
-ListenPort::CloseIdle(ConnEndReason aReason, Millis aQuiet)
+ListenPort::CloseIdle(ConnectionCloseReason aReason, Millis aQuiet)
 {
   TimePoint now = mReactor.Now();
   for (const auto& conn : mConns) {
-    if (now - conn->QuietSince() >= aQuiet) {
+    if (now - conn->LastAnswerAt() >= aQuiet) {
       conn->CloseIfIdle(aReason);
     }
   }
 }
 
 void
-ListenPort::RefuseUnread()
+ListenPort::RejectPartialRequests()
 {
   for (const auto& conn : mConns) {
-    conn->RefuseUnread();
+    conn->RejectPartialRequests();
   }
 }
 
@@ -119,7 +119,7 @@
 ListenPort::EndAll()
 {
   for (const auto& conn : mConns) {
-    conn->Abort(ConnEndReason::InstanceEnds);
+    conn->Abort(ConnectionCloseReason::InstanceExit);
   }
 }
 
@@ -128,7 +128,7 @@
 {
   TimePoint now = mReactor.Now();
   for (const auto& conn : mConns) {
-    conn->CheckTimes(now);
+    conn->EnforceTimeouts(now);
   }
   mConns.erase(std::remove_if(mConns.begin(),
                               mConns.end(),
--- a/src/entry/ListenPort.h
+++ b/src/entry/ListenPort.h
@@ -28,9 +28,9 @@
   // Takes those who have connected, and no new ones from now on.
   void Close();
   // Closes connections on which nothing has been under way for aQuiet.
-  void CloseIdle(ConnEndReason aReason, Millis aQuiet);
+  void CloseIdle(ConnectionCloseReason aReason, Millis aQuiet);
   // Refuses requests that aren't read to their end.
-  void RefuseUnread();
+  void RejectPartialRequests();
   // Ends all connections, as the process does.
   void EndAll();
   // Forgets closed connections, ends those that are too slow or idle.
@@ -39,7 +39,7 @@
   void OnReadable() override;
 
 private:
-  bool AcceptSome();
+  bool AcceptBatch();
   ListenPort(Reactor& aReactor, InboundHandler& aHandler, size_t aMost);
 
   Reactor& mReactor;
--- a/src/entry/LoadSchedulerSend.cpp
+++ b/src/entry/LoadSchedulerSend.cpp
@@ -136,14 +136,14 @@
   request.mPeer = aServer;
   request.mHead = std::move(call.mHead);
   request.mBody = std::move(call.mBody);
-  CallForAnswer(mState.mReactor,
-                mState.mServerPool,
-                std::move(request),
-                kOrderTime,
-                [this, aServer, aId](ShortAnswer& aAnswer) {
-                  OnAnswer(
-                    aServer, aId, wire::ReadOrderAnswer(aAnswer.mStatus));
-                });
+  StartBufferedCall(mState.mReactor,
+                    mState.mServerPool,
+                    std::move(request),
+                    kOrderTime,
+                    [this, aServer, aId](BufferedAnswer& aAnswer) {
+                      OnAnswer(
+                        aServer, aId, wire::ReadOrderAnswer(aAnswer.mStatus));
+                    });
 }
 
 void
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -345,7 +345,7 @@
 void
 Membership::Forget()
 {
-  if (mForgetting || mState.mLeave.Leaving() || !mStore.Reached()) {
+  if (mForgetting || mState.mLeave.Leaving() || !mStore.Reachable()) {
     return;
   }
   TimePoint now = mState.Now();
@@ -383,7 +383,7 @@
     mState.mLog.Line(spends ? "part_begun" : "part_ended")
       .Count("members", static_cast<int64_t>(CountedMembers().size()))
       .Count("unconfirmed", static_cast<int64_t>(mZone.Unconfirmed().size()))
-      .Flag("store", mStore.Reached());
+      .Flag("store", mStore.Reachable());
     mOnChange();
   }
 }
--- a/src/entry/Peers.h
+++ b/src/entry/Peers.h
@@ -20,8 +20,8 @@
 #include <vector>
 
 #include "entry/EntryState.h"
+#include "entry/ImmediateHandler.h"
 #include "entry/ListenPort.h"
-#include "entry/ShortPort.h"
 #include "net/OutboundCall.h"
 
 namespace caraway {
@@ -133,11 +133,11 @@
   void SendTo(const Peer& aPeer, const std::string& aText);
   void ReadDatagram(const std::string& aText);
   void ReadHeartbeat(const Json::Value& aHeartbeat);
-  ShortReply Answer(const InboundRequest& aRequest);
+  ImmediateReply Answer(const InboundRequest& aRequest);
 
   EntryState& mState;
   Poco::Net::DatagramSocket mSocket;
-  ShortPort mReplies;
+  ImmediateHandler mReplies;
   std::shared_ptr<ListenPort> mPort;
   std::map<std::string, Peer> mPeers; // by name, without this instance
   std::map<std::string, Method> mMethods;
--- a/src/entry/PeersCall.cpp
+++ b/src/entry/PeersCall.cpp
@@ -9,7 +9,7 @@
 // JSON-RPC 2.0 between instances, over the reactor: libjsonrpccpp's own
 // connectors block.
 
-ShortReply
+ImmediateReply
 Peers::Answer(const InboundRequest& aRequest)
 {
   Json::Value request = JsonParseOrEmpty(aRequest.mBody);
@@ -56,18 +56,18 @@
   OutboundRequest request;
   request.mAddress = found->second.mAddress;
   request.mBody = JsonWrite(body);
-  request.mConnect = std::min(aMost, Millis(300));
+  request.mConnectLimit = std::min(aMost, Millis(300));
   request.mHead =
     WriteHead("POST /rpc HTTP/1.1",
               { { "Host", request.mAddress },
                 { "Content-Type", "application/json" },
                 { "Content-Length", std::to_string(request.mBody.size()) } });
-  CallForAnswer(
+  StartBufferedCall(
     mState.mReactor,
     mState.mPeerPool,
     std::move(request),
     aMost,
-    [this, aMethod, aPeer, reply = std::move(aReply)](ShortAnswer& aAnswer) {
+    [this, aMethod, aPeer, reply = std::move(aReply)](BufferedAnswer& aAnswer) {
       Json::Value answer = JsonParseOrEmpty(aAnswer.mBody);
       bool good = answer.isMember("result");
       if (!good) {
--- a/src/entry/RequestDispatcher.cpp
+++ b/src/entry/RequestDispatcher.cpp
@@ -9,7 +9,7 @@
 
 // Those who wait look again at least so often: places come free at servers
 // without this instance hearing of it.
-constexpr Millis kLookAgain{ 25 };
+constexpr Millis kRetryWaitingInterval{ 25 };
 
 } // namespace
 
@@ -38,50 +38,51 @@
   auto found = mExchanges.find(&aConn);
   if (found != mExchanges.end()) {
     std::shared_ptr<Exchange> exchange = found->second;
-    exchange->OnCallerLeft();
+    exchange->OnCallerDisconnected();
   }
 }
 
 void
-RequestDispatcher::OnConnEnd(const InboundConnection& aConn,
-                             const ConnectionClose& aEnd)
+RequestDispatcher::OnConnectionClosing(const InboundConnection& aConn,
+                                       const ConnectionClose& aEnd)
 {
   mState.mMetrics.Count("caraway_connections_ended_total",
-                        std::string("why=\"") + ConnEndName(aEnd.mReason) +
-                          "\"");
-  if (aEnd.mReason == ConnEndReason::AnswerSaidSo && aEnd.mUnread == 0) {
+                        std::string("why=\"") +
+                          ConnectionCloseReasonName(aEnd.mReason) + "\"");
+  if (aEnd.mReason == ConnectionCloseReason::AnswerWithClose &&
+      aEnd.mUnread == 0) {
     return; // the caller knew
   }
   auto found = mExchanges.find(&aConn);
   mState.mLog.Line("connection_ended")
-    .Text("why", ConnEndName(aEnd.mReason))
+    .Text("why", ConnectionCloseReasonName(aEnd.mReason))
     .Text("id", found == mExchanges.end() ? "" : found->second->Id())
     .Flag("busy", aEnd.mBusy)
     .Count("requests", aEnd.mRequests)
     .Count("unread", static_cast<int64_t>(aEnd.mUnread))
     .Ms("age_ms", aEnd.mAge)
-    .Ms("quiet_ms", aEnd.mQuiet)
+    .Ms("quiet_ms", aEnd.mSinceLastAnswer)
     .Ms("reading_ms", aEnd.mReading)
     .Ms("idle_limit_ms", aEnd.mIdleLimit)
     .Count("config", mState.mConfig ? mState.mConfig->mVersion : 0);
 }
 
 void
-RequestDispatcher::OnDropped(size_t aBytes)
+RequestDispatcher::OnInputDiscarded(size_t aBytes)
 {
   mState.mLog.Line("input_dropped")
     .Count("bytes", static_cast<int64_t>(aBytes));
 }
 
 void
-RequestDispatcher::OnTurnedAway(size_t aOpen)
+RequestDispatcher::OnConnectionRejected(size_t aOpen)
 {
   mState.mLog.Line("connection_turned_away")
     .Count("open", static_cast<int64_t>(aOpen));
 }
 
 void
-RequestDispatcher::OnBad(int aStatus, const char* aWhy)
+RequestDispatcher::OnRequestRejected(int aStatus, const char* aWhy)
 {
   mState.mLog.Line("request_unreadable")
     .Count("status", aStatus)
@@ -109,28 +110,28 @@
     mExchanges.erase(found);
   }
   if (!mWaiting.empty()) {
-    ServersChanged(); // a place came free
+    OnServersChanged(); // a place came free
   }
 }
 
 void
-RequestDispatcher::AnswerAll()
+RequestDispatcher::FinishAll()
 {
   auto exchanges = mExchanges; // each of them leaves the map
   for (auto& entry : exchanges) {
-    entry.second->OnInstanceEnds();
+    entry.second->OnInstanceExit();
   }
 }
 
 void
-RequestDispatcher::ServersChanged()
+RequestDispatcher::OnServersChanged()
 {
-  if (mWaiting.empty() || mLookDue) {
+  if (mWaiting.empty() || mRetryScheduled) {
     return;
   }
-  mLookDue = true;
+  mRetryScheduled = true;
   mState.mReactor.After(Millis(0), [this] {
-    mLookDue = false;
+    mRetryScheduled = false;
     LookAgain();
   });
 }
@@ -146,7 +147,7 @@
              std::make_tuple(aOther->Priority(), aOther->Arrived());
     });
   for (std::shared_ptr<Exchange>& exchange : waiting) {
-    if (!exchange->TryAgain()) {
+    if (!exchange->TryDispatch()) {
       mWaiting.push_back(std::move(exchange));
     }
   }
@@ -160,7 +161,7 @@
     return;
   }
   mTimerArmed = true;
-  mState.mReactor.After(kLookAgain, [this] {
+  mState.mReactor.After(kRetryWaitingInterval, [this] {
     mTimerArmed = false;
     LookAgain();
   });
--- a/src/entry/RequestDispatcher.h
+++ b/src/entry/RequestDispatcher.h
@@ -21,10 +21,10 @@
 
   // What servers hold or have room for has changed: those who wait look
   // again, the most urgent first, at the end of this turn.
-  void ServersChanged();
+  void OnServersChanged();
 
   // The process ends: whoever has no final answer gets one now.
-  void AnswerAll();
+  void FinishAll();
 
   size_t RequestsInFlight() const { return mExchanges.size(); }
   size_t Waiting() const { return mWaiting.size(); }
@@ -32,11 +32,11 @@
   void OnRequest(const std::shared_ptr<InboundConnection>& aConn,
                  InboundRequest& aRequest) override;
   void OnLeft(InboundConnection& aConn) override;
-  void OnConnEnd(const InboundConnection& aConn,
-                 const ConnectionClose& aEnd) override;
-  void OnDropped(size_t aBytes) override;
-  void OnTurnedAway(size_t aOpen) override;
-  void OnBad(int aStatus, const char* aWhy) override;
+  void OnConnectionClosing(const InboundConnection& aConn,
+                           const ConnectionClose& aEnd) override;
+  void OnInputDiscarded(size_t aBytes) override;
+  void OnConnectionRejected(size_t aOpen) override;
+  void OnRequestRejected(int aStatus, const char* aWhy) override;
   CallerLimits Limits() const override;
   bool Leaving() const override { return mState.mLeave.Leaving(); }
 
@@ -52,7 +52,7 @@
   LoadRequester& mPlaces;
   std::map<const InboundConnection*, std::shared_ptr<Exchange>> mExchanges;
   std::vector<std::shared_ptr<Exchange>> mWaiting;
-  bool mLookDue = false;
+  bool mRetryScheduled = false;
   bool mTimerArmed = false;
 };
 
--- a/src/entry/ServerInventories.cpp
+++ b/src/entry/ServerInventories.cpp
@@ -136,12 +136,12 @@
   request.mPeer = aServer;
   request.mHead = wire::WriteReportRequest(request.mAddress);
   int64_t born = backend->mEntry.mStartTime;
-  CallForAnswer(
+  StartBufferedCall(
     mState.mReactor,
     mState.mServerPool,
     std::move(request),
     kOrderTime,
-    [this, aServer, born, then = std::move(aThen)](ShortAnswer& aAnswer) {
+    [this, aServer, born, then = std::move(aThen)](BufferedAnswer& aAnswer) {
       auto found = mEntries.find(aServer);
       if (found != mEntries.end()) {
         found->second.mAsking = false;
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -42,7 +42,7 @@
 }
 
 bool
-Tell(const std::string& aPath, const caraway::wire::SettingsReading& aReading)
+Tell(const std::string& aPath, const caraway::wire::SettingsResult& aReading)
 {
   for (const auto& trouble : aReading.mTroubles) {
     std::fprintf(stderr,
@@ -98,7 +98,7 @@
     caraway::SettingsWatch settings(daemon.State(), path, ReadAgain);
     settings.Start();
     while (!daemon.Gone()) {
-      daemon.Turn(kTurn);
+      daemon.RunPass(kTurn);
       if (sReload.exchange(false)) {
         settings.Reload("signal");
       }
--- a/src/net/BodyReader.cpp
+++ b/src/net/BodyReader.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 // A size line or trailer longer than this is no chunk of a real sender.
-constexpr size_t kMostLine = 256;
-constexpr size_t kMostChunk = 1u << 30;
+constexpr size_t kMaxLineBytes = 256;
+constexpr size_t kMaxChunkBytes = 1u << 30;
 
 } // namespace
 
@@ -66,13 +66,13 @@
   std::string_view line;
   if (!TakeLine(aIn, aAt, line)) {
     aMore = false;
-    return aIn.size() - aAt <= kMostLine;
+    return aIn.size() - aAt <= kMaxLineBytes;
   }
   std::string_view digits = line.substr(0, line.find(';'));
   const char* end = digits.data() + digits.size();
   auto [at, error] = std::from_chars(digits.data(), end, mLeft, 16);
   if (digits.empty() || error != std::errc() || at != end ||
-      mLeft > kMostChunk) {
+      mLeft > kMaxChunkBytes) {
     return false;
   }
   mPart = mLeft == 0 ? Part::Trailer : Part::Data;
@@ -105,7 +105,7 @@
       }
     } else if (!TakeLine(aIn, at, line)) {
       more = false;
-      good = aIn.size() - at <= kMostLine;
+      good = aIn.size() - at <= kMaxLineBytes;
     } else {
       mDone = line.empty();
     }
--- a/src/net/Channel.cpp
+++ b/src/net/Channel.cpp
@@ -15,11 +15,11 @@
 // seconds: longer than a link's hiccup, shorter than most deadlines.
 constexpr int kUserTimeoutMs = 2000;
 constexpr int kProbeIdleSeconds = 1;
-constexpr int kProbeGapSeconds = 1;
+constexpr int kProbeIntervalSeconds = 1;
 constexpr int kProbes = 2;
 
 // Unread input that stops the reading of a connection for this turn.
-constexpr size_t kReadAtOnce = 16384;
+constexpr size_t kReadBufferBytes = 16384;
 
 // How long the other side's last bytes are read after the last answer.
 constexpr Millis kLinger{ 300 };
@@ -41,7 +41,7 @@
   aSocket.setKeepAlive(true);
   aSocket.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMs);
   aSocket.setOption(IPPROTO_TCP, TCP_KEEPIDLE, kProbeIdleSeconds);
-  aSocket.setOption(IPPROTO_TCP, TCP_KEEPINTVL, kProbeGapSeconds);
+  aSocket.setOption(IPPROTO_TCP, TCP_KEEPINTVL, kProbeIntervalSeconds);
   aSocket.setOption(IPPROTO_TCP, TCP_KEEPCNT, kProbes);
 }
 
@@ -84,7 +84,7 @@
   channel->mTimer = aReactor.After(aMost, [weak] {
     auto alive = weak.lock();
     if (alive && alive->mOpen && alive->mConnecting) {
-      alive->End(ChannelEnd::Failed);
+      alive->End(ChannelCloseReason::Failed);
     }
   });
   channel->mConnecting = true;
@@ -95,7 +95,7 @@
 Channel::Start(bool aConnecting)
 {
   mConnecting = aConnecting;
-  mWantWrite = aConnecting;
+  mWatchingWrite = aConnecting;
   mReactor.Watch(mSocket, shared_from_this(), aConnecting);
 }
 
@@ -135,19 +135,19 @@
   }
   mOutput.erase(0, done);
   bool want = !mOutput.empty();
-  if (want != mWantWrite) {
-    mWantWrite = want;
-    WatchAgain();
+  if (want != mWatchingWrite) {
+    mWatchingWrite = want;
+    UpdateInterest();
   }
   if (!want && mFinishing) {
-    StopSending();
+    ShutdownSend();
   }
 }
 
 void
-Channel::WatchAgain()
+Channel::UpdateInterest()
 {
-  mReactor.WatchFor(mSocket, mReading, mWantWrite);
+  mReactor.SetInterest(mSocket, mReading, mWatchingWrite);
 }
 
 void
@@ -155,12 +155,12 @@
 {
   if (mOpen && aReading != mReading) {
     mReading = aReading;
-    WatchAgain();
+    UpdateInterest();
   }
 }
 
 void
-Channel::EndIfLeft()
+Channel::CloseIfPeerClosed()
 {
   if (!mOpen || mReading || mFinishing) {
     return;
@@ -170,12 +170,12 @@
   int failed =
     getsockopt(mSocket.impl()->sockfd(), IPPROTO_TCP, TCP_INFO, &info, &size);
   if (failed == 0 && info.tcpi_state == TCP_CLOSE_WAIT) {
-    End(ChannelEnd::Closed);
+    End(ChannelCloseReason::Closed);
   }
 }
 
 void
-Channel::StopSending()
+Channel::ShutdownSend()
 {
   try {
     mSocket.shutdownSend();
@@ -192,7 +192,7 @@
     int error = 0;
     mSocket.impl()->getOption(SOL_SOCKET, SO_ERROR, error);
     if (error != 0) {
-      End(ChannelEnd::Failed);
+      End(ChannelCloseReason::Failed);
       return;
     }
     mConnecting = false;
@@ -212,9 +212,9 @@
 }
 
 bool
-Channel::ReadSome(ChannelEnd& aEnd)
+Channel::ReadSome(ChannelCloseReason& aEnd)
 {
-  char bytes[kReadAtOnce];
+  char bytes[kReadBufferBytes];
   try {
     int count = mSocket.receiveBytes(bytes, sizeof bytes);
     if (count > 0) {
@@ -224,12 +224,12 @@
     if (count < 0) {
       return true; // nothing there yet
     }
-    aEnd = ChannelEnd::Closed;
+    aEnd = ChannelCloseReason::Closed;
   } catch (const Poco::Exception& error) {
     if (WouldBlock(error)) {
       return true;
     }
-    aEnd = ChannelEnd::Failed;
+    aEnd = ChannelCloseReason::Failed;
   }
   return false;
 }
@@ -248,14 +248,14 @@
     Close();
     return;
   }
-  ChannelEnd end = ChannelEnd::Closed;
+  ChannelCloseReason end = ChannelCloseReason::Closed;
   size_t before = mInput.size();
   bool alive = ReadSome(end);
   if (mFinishing) {
     mDropped += mInput.size();
     mInput.clear();
     if (!alive) {
-      EndLinger();
+      FinishLinger();
     }
     return;
   }
@@ -268,7 +268,7 @@
 }
 
 void
-Channel::End(ChannelEnd aEnd)
+Channel::End(ChannelCloseReason aEnd)
 {
   auto self = shared_from_this();
   auto told = std::move(mEvents.mEnd);
@@ -317,7 +317,7 @@
 }
 
 void
-Channel::FinishUnread()
+Channel::FinishWithoutReading()
 {
   if (!mOpen || mFinishing) {
     return;
@@ -325,7 +325,7 @@
   auto self = shared_from_this();
   mFinishing = true;
   mUnread = true;
-  StopSending();
+  ShutdownSend();
   if (mOpen) {
     LingerFor(kLinger);
   }
@@ -344,13 +344,13 @@
     if (alive->mOutput.size() < left) {
       alive->LingerFor(alive->mOutput.empty() ? kLinger : aMost);
     } else {
-      alive->EndLinger();
+      alive->FinishLinger();
     }
   });
 }
 
 void
-Channel::EndLinger()
+Channel::FinishLinger()
 {
   auto told = std::move(mEvents.mDropped);
   Close();
--- a/src/net/Channel.h
+++ b/src/net/Channel.h
@@ -13,7 +13,7 @@
 namespace caraway {
 
 // How a connection ended, as far as this side can tell.
-enum class ChannelEnd
+enum class ChannelCloseReason
 {
   Closed, // the other side ended it properly
   Failed, // reset, timed out, or never made
@@ -26,10 +26,11 @@
 public:
   struct Events
   {
-    std::function<void()> mData;          // more in Input()
-    std::function<void(ChannelEnd)> mEnd; // once; the channel is closed then
-    std::function<void()> mConnected;     // outgoing ones only
-    std::function<void()> mDrained;       // Queued() reached zero
+    std::function<void()> mData; // more in Input()
+    std::function<void(ChannelCloseReason)>
+      mEnd;                           // once; the channel is closed then
+    std::function<void()> mConnected; // outgoing ones only
+    std::function<void()> mDrained;   // Queued() reached zero
     // Once, after Finish(): so many bytes were received and dropped.
     std::function<void(size_t)> mDropped;
   };
@@ -52,13 +53,13 @@
   void Finish();
   // Closes a connection on which no answer is due. Nothing more is read, so
   // that the other side knows that what it sends now was taken by nobody.
-  void FinishUnread();
+  void FinishWithoutReading();
   // Takes in what has arrived already, as when the socket is readable.
-  void ReadNow() { OnReadable(); }
-  // False: what arrives waits with the sender; see EndIfLeft.
+  void ReadAvailable() { OnReadable(); }
+  // False: what arrives waits with the sender; see CloseIfPeerClosed.
   void SetReading(bool aReading);
   // While nothing is read, an end of the other side isn't noticed: told now.
-  void EndIfLeft();
+  void CloseIfPeerClosed();
 
   std::string& Input() { return mInput; }
   size_t Queued() const { return mOutput.size(); }
@@ -74,12 +75,12 @@
   Channel(Reactor& aReactor, const Poco::Net::StreamSocket& aSocket);
   void Start(bool aConnecting);
   void Flush();
-  void End(ChannelEnd aEnd);
-  void EndLinger();
-  void StopSending();
+  void End(ChannelCloseReason aEnd);
+  void FinishLinger();
+  void ShutdownSend();
   void LingerFor(Millis aMost);
-  void WatchAgain();
-  bool ReadSome(ChannelEnd& aEnd);
+  void UpdateInterest();
+  bool ReadSome(ChannelCloseReason& aEnd);
 
   Reactor& mReactor;
   Poco::Net::StreamSocket mSocket;
@@ -88,11 +89,11 @@
   std::string mOutput;
   bool mOpen = true;
   bool mConnecting = false;
-  bool mWantWrite = false;
+  bool mWatchingWrite = false;
   bool mReading = true;
   bool mSent = false;
   bool mFinishing = false;
-  bool mUnread = false; // FinishUnread() was called
+  bool mUnread = false; // FinishWithoutReading() was called
   size_t mDropped = 0;  // bytes, since Finish()
   Reactor::TimerId mTimer;
 };
--- a/src/net/ChannelPool.cpp
+++ b/src/net/ChannelPool.cpp
@@ -25,7 +25,7 @@
     idle.pop_back();
     auto age = std::chrono::duration_cast<Millis>(mReactor.Now() - last.mSince);
     // Its server may have ended it a moment ago.
-    last.mChannel->ReadNow();
+    last.mChannel->ReadAvailable();
     bool fresh = age.count() < aShare * static_cast<double>(last.mKept.count());
     if (last.mChannel->Open() && last.mChannel->Input().empty() && fresh) {
       return last.mChannel;
--- a/src/net/HttpConnection.cpp
+++ b/src/net/HttpConnection.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 // Accepted while the port ends: its request is on its way.
-constexpr Millis kLastRequest{ 100 };
+constexpr Millis kFinalRequestWait{ 100 };
 
 // What a handler left of a body would be taken for the next request. False:
 // there is more of it than is worth reading.
 bool
-ReadAway(Poco::Net::HTTPServerRequest& aRequest)
+DiscardInput(Poco::Net::HTTPServerRequest& aRequest)
 {
   constexpr std::streamsize kMost = 64 * 1024;
   if (!aRequest.hasContentLength() && !aRequest.getChunkedTransferEncoding()) {
@@ -29,7 +29,7 @@
 class Busy
 {
 public:
-  explicit Busy(HttpEnding& aEnding)
+  explicit Busy(HttpShutdown& aEnding)
     : mEnding(aEnding)
   {
     mEnding.Began();
@@ -37,7 +37,7 @@
   ~Busy() { mEnding.Done(); }
 
 private:
-  HttpEnding& mEnding;
+  HttpShutdown& mEnding;
 };
 
 } // namespace
@@ -50,7 +50,7 @@
 };
 
 HttpConnection::HttpConnection(const Poco::Net::StreamSocket& aSocket,
-                               HttpPortParts& aParts)
+                               HttpPortState& aParts)
   : TCPServerConnection(aSocket)
   , mParts(aParts)
 {
@@ -82,11 +82,11 @@
   if (aSession.Buffered()) {
     return true;
   }
-  HttpEnding& ending = mParts.mEnding;
-  bool came = ending.AwaitInput(
+  HttpShutdown& ending = mParts.mEnding;
+  bool came = ending.WaitForInput(
     socket(), aFirst ? mParts.mLimits.mTransfer : mParts.mLimits.mIdle);
   if (!came && ending.Ended()) {
-    came = ending.AwaitInput(socket(), kLastRequest);
+    came = ending.WaitForInput(socket(), kFinalRequestWait);
   }
   return came;
 }
@@ -107,7 +107,7 @@
       response.sendContinue();
     }
     Handle(request, response);
-    bool keep = response.getKeepAlive() && ReadAway(request);
+    bool keep = response.getKeepAlive() && DiscardInput(request);
     aSession.setKeepAlive(keep);
     return keep ? After::Keep : After::Close;
   } catch (const Poco::Net::NoMessageException&) {
--- a/src/net/HttpConnection.h
+++ b/src/net/HttpConnection.h
@@ -6,20 +6,20 @@
 #include <Poco/Net/HTTPServerSession.h>
 #include <Poco/Net/TCPServerConnection.h>
 
-#include "net/HttpEnding.h"
-#include "net/HttpLinger.h"
 #include "net/HttpPort.h"
+#include "net/HttpShutdown.h"
+#include "net/LingeringCloser.h"
 
 namespace caraway {
 
 // What the connections of a port share.
-struct HttpPortParts
+struct HttpPortState
 {
   HttpPortLimits mLimits;
   HttpHandler mHandler;
   Poco::Net::HTTPServerParams::Ptr mParams;
-  HttpEnding mEnding;
-  HttpLinger mLinger;
+  HttpShutdown mEnding;
+  LingeringCloser mLinger;
 };
 
 // Decides alone when a connection ends: after an answer that said so, by its
@@ -27,7 +27,7 @@
 class HttpConnection : public Poco::Net::TCPServerConnection
 {
 public:
-  HttpConnection(const Poco::Net::StreamSocket& aSocket, HttpPortParts& aParts);
+  HttpConnection(const Poco::Net::StreamSocket& aSocket, HttpPortState& aParts);
   ~HttpConnection() override;
 
   void run() override;
@@ -47,7 +47,7 @@
   void Handle(Poco::Net::HTTPServerRequest& aRequest,
               Poco::Net::HTTPServerResponse& aResponse);
 
-  HttpPortParts& mParts;
+  HttpPortState& mParts;
 };
 
 } // namespace caraway
--- a/src/net/HttpExchange.cpp
+++ b/src/net/HttpExchange.cpp
@@ -39,8 +39,8 @@
 // when it connects, and ours are given a connected one. Without this a server
 // that never answers holds the caller for ever.
 void
-WaitAtMost(Poco::Net::HTTPClientSession& aSession,
-           std::chrono::steady_clock::time_point aDeadline)
+SetSocketTimeouts(Poco::Net::HTTPClientSession& aSession,
+                  std::chrono::steady_clock::time_point aDeadline)
 {
   auto left = std::chrono::duration_cast<Millis>(
     aDeadline - std::chrono::steady_clock::now());
@@ -59,7 +59,7 @@
 {
   std::string chunk(kChunk, '\0');
   while (aIn.good()) {
-    WaitAtMost(aSession, aDeadline);
+    SetSocketTimeouts(aSession, aDeadline);
     aIn.read(&chunk[0], static_cast<std::streamsize>(chunk.size()));
     aOut.append(chunk, 0, static_cast<size_t>(aIn.gcount()));
     if (aOut.size() > aLimit || std::chrono::steady_clock::now() > aDeadline) {
@@ -72,7 +72,7 @@
 // A connection cut in the middle looks like the end of the stream to the
 // reader. Only a stated length proves that the answer is whole.
 bool
-LengthProven(const Poco::Net::HTTPResponse& aResponse, size_t aGot)
+LengthMatches(const Poco::Net::HTTPResponse& aResponse, size_t aGot)
 {
   bool empty = aResponse.getStatus() == 204 || aResponse.getStatus() == 304;
   if (empty) {
@@ -108,9 +108,9 @@
   reply.mStage = HttpStage::Lost;
   auto deadline = std::chrono::steady_clock::now() + aCall.mTimeout;
   try {
-    WaitAtMost(aSession, deadline);
+    SetSocketTimeouts(aSession, deadline);
     SendRequest(aSession, aCall, aKeepAlive);
-    WaitAtMost(aSession, deadline);
+    SetSocketTimeouts(aSession, deadline);
     Poco::Net::HTTPResponse response;
     std::istream& in = aSession.receiveResponse(response);
     reply.mStatus = response.getStatus();
@@ -119,7 +119,7 @@
     }
     if (!ReadBody(aSession, in, aCall.mReplyLimit, deadline, reply.mBody)) {
       reply.mError = "answer too large or too late";
-    } else if (!LengthProven(response, reply.mBody.size())) {
+    } else if (!LengthMatches(response, reply.mBody.size())) {
       reply.mError = "answer cut short";
     } else {
       reply.mStage = HttpStage::Answered;
--- a/src/net/HttpHead.cpp
+++ b/src/net/HttpHead.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::string_view kEndOfHead = "\r\n\r\n";
-constexpr size_t kMostFields = 128; // far above any real caller's
+constexpr size_t kMaxFields = 128; // far above any real caller's
 
 char
 Lower(char aChar)
@@ -36,7 +36,7 @@
 }
 
 bool
-HasWord(std::string_view aList, std::string_view aWord)
+ListContains(std::string_view aList, std::string_view aWord)
 {
   size_t at = 0;
   while (at <= aList.size()) {
@@ -48,7 +48,7 @@
     while (!word.empty() && word.back() == ' ') {
       word.remove_suffix(1);
     }
-    if (SameName(word, aWord)) {
+    if (EqualsIgnoreCase(word, aWord)) {
       return true;
     }
     at = end + 1;
@@ -76,7 +76,7 @@
     value.remove_suffix(1);
   }
   aHead.mFields.push_back({ std::string(name), std::string(value) });
-  return aHead.mFields.size() <= kMostFields;
+  return aHead.mFields.size() <= kMaxFields;
 }
 
 std::optional<size_t>
@@ -99,7 +99,7 @@
   bool length = false;
   bool coding = false;
   for (const HttpField& field : aHead.mFields) {
-    if (SameName(field.mName, "Content-Length")) {
+    if (EqualsIgnoreCase(field.mName, "Content-Length")) {
       auto value = ReadLength(field.mValue);
       if (!value || length || coding) {
         return false;
@@ -107,14 +107,14 @@
       length = true;
       aHead.mFraming = BodyFraming::Length;
       aHead.mLength = *value;
-    } else if (SameName(field.mName, "Transfer-Encoding")) {
-      if (!SameName(field.mValue, "chunked") || length || coding) {
+    } else if (EqualsIgnoreCase(field.mName, "Transfer-Encoding")) {
+      if (!EqualsIgnoreCase(field.mValue, "chunked") || length || coding) {
         return false;
       }
       coding = true;
       aHead.mFraming = BodyFraming::Chunked;
-    } else if (SameName(field.mName, "Connection")) {
-      if (HasWord(field.mValue, "close")) {
+    } else if (EqualsIgnoreCase(field.mName, "Connection")) {
+      if (ListContains(field.mValue, "close")) {
         aHead.mKeepAlive = false;
       }
     }
@@ -195,7 +195,7 @@
 } // namespace
 
 bool
-SameName(std::string_view aOne, std::string_view aOther)
+EqualsIgnoreCase(std::string_view aOne, std::string_view aOther)
 {
   return aOne.size() == aOther.size() &&
          std::equal(aOne.begin(),
@@ -208,7 +208,7 @@
 HttpHead::Find(std::string_view aName) const
 {
   for (const HttpField& field : mFields) {
-    if (SameName(field.mName, aName)) {
+    if (EqualsIgnoreCase(field.mName, aName)) {
       return &field.mValue;
     }
   }
@@ -260,7 +260,7 @@
 }
 
 bool
-IsHopField(std::string_view aName)
+IsHopByHopField(std::string_view aName)
 {
   static constexpr std::string_view kNames[] = {
     "Connection", "Keep-Alive", "Proxy-Connection",  "TE",
@@ -268,7 +268,7 @@
   };
   return std::any_of(
     std::begin(kNames), std::end(kNames), [aName](std::string_view aHop) {
-      return SameName(aName, aHop);
+      return EqualsIgnoreCase(aName, aHop);
     });
 }
 
--- a/src/net/HttpHead.h
+++ b/src/net/HttpHead.h
@@ -51,7 +51,7 @@
 
 // Names compare without case.
 bool
-SameName(std::string_view aOne, std::string_view aOther);
+EqualsIgnoreCase(std::string_view aOne, std::string_view aOther);
 
 // Reads a head from the start of aBytes; aUsed = its bytes when Whole.
 HeadState
@@ -65,7 +65,7 @@
 
 // Fields that concern one connection only, and framing.
 bool
-IsHopField(std::string_view aName);
+IsHopByHopField(std::string_view aName);
 
 } // namespace caraway
 
--- a/src/net/HttpPool.cpp
+++ b/src/net/HttpPool.cpp
@@ -38,7 +38,7 @@
   auto begun = std::chrono::steady_clock::now();
   SessionPtr kept = aCall.mResend ? Take(aCall.mAddress) : nullptr;
   if (!kept) {
-    return CallAnew(aCall);
+    return CallOnNewSession(aCall);
   }
   HttpReply first = HttpExchange(*kept, aCall, true);
   if (first.mStage == HttpStage::Answered) {
@@ -53,7 +53,7 @@
   if (first.mStatus != 0 || second.mTimeout <= Millis(0)) {
     return first;
   }
-  HttpReply reply = CallAnew(second);
+  HttpReply reply = CallOnNewSession(second);
   if (reply.mStage == HttpStage::NotSent) {
     // It was offered, on the kept one; whether it was read can't be told.
     reply.mStage = HttpStage::Lost;
@@ -62,7 +62,7 @@
 }
 
 HttpReply
-HttpPool::CallAnew(const HttpCall& aCall)
+HttpPool::CallOnNewSession(const HttpCall& aCall)
 {
   HttpReply reply;
   Poco::Net::StreamSocket socket = HttpConnect(aCall, reply.mError);
--- a/src/net/HttpPool.h
+++ b/src/net/HttpPool.h
@@ -29,7 +29,7 @@
   using SessionPtr = std::unique_ptr<Poco::Net::HTTPClientSession>;
 
   SessionPtr Take(const std::string& aAddress);
-  HttpReply CallAnew(const HttpCall& aCall);
+  HttpReply CallOnNewSession(const HttpCall& aCall);
   void Put(const std::string& aAddress, SessionPtr aSession);
 
   size_t mIdlePerAddress;
--- a/src/net/HttpPort.cpp
+++ b/src/net/HttpPort.cpp
@@ -6,7 +6,7 @@
 
 #include "base/Log.h"
 #include "net/HttpConnection.h"
-#include "net/ListenEnd.h"
+#include "net/StopNewHandshakes.h"
 
 namespace caraway {
 
@@ -22,7 +22,7 @@
 class ConnectionFactory : public Poco::Net::TCPServerConnectionFactory
 {
 public:
-  explicit ConnectionFactory(HttpPortParts& aParts)
+  explicit ConnectionFactory(HttpPortState& aParts)
     : mParts(aParts)
   {
   }
@@ -34,7 +34,7 @@
   }
 
 private:
-  HttpPortParts& mParts;
+  HttpPortState& mParts;
 };
 
 Poco::Net::HTTPServerParams::Ptr
@@ -58,7 +58,7 @@
 HttpPort::HttpPort(const std::string& aListen,
                    HttpPortLimits aLimits,
                    HttpHandler aHandler)
-  : mParts(std::make_unique<HttpPortParts>())
+  : mParts(std::make_unique<HttpPortState>())
   , mPool(2, aLimits.mThreads + kSpareThreads, 30, kStackBytes)
 {
   constexpr int kBacklog = 256;
@@ -81,8 +81,8 @@
 
 HttpPort::~HttpPort()
 {
-  constexpr Millis kLastMoment{ 300 };
-  End(kLastMoment);
+  constexpr Millis kDestructorGrace{ 300 };
+  End(kDestructorGrace);
 }
 
 std::string
@@ -104,9 +104,9 @@
 }
 
 void
-HttpPort::SendWithin(Millis aTime)
+HttpPort::LimitSendTime(Millis aTime)
 {
-  mParts->mEnding.SendWithin(aTime);
+  mParts->mEnding.LimitSendTime(aTime);
 }
 
 void
@@ -136,16 +136,16 @@
 HttpPort::Accept()
 {
   constexpr Millis kLook{ 10000 };
-  constexpr Millis kOutOfFiles{ 20 };
+  constexpr Millis kAcceptRetryDelay{ 20 };
   while (!mParts->mEnding.Ended()) {
-    if (mParts->mEnding.AwaitInput(mSocket, kLook) && !AcceptOne()) {
-      std::this_thread::sleep_for(kOutOfFiles);
+    if (mParts->mEnding.WaitForInput(mSocket, kLook) && !AcceptOne()) {
+      std::this_thread::sleep_for(kAcceptRetryDelay);
     }
   }
   // Whoever is connected by now counts as accepted; the next is refused by the
   // system, and knows that nothing was sent.
-  ListenEnd(mSocket);
-  while (mParts->mEnding.AwaitInput(mSocket, Millis(0)) && AcceptOne()) {
+  StopNewHandshakes(mSocket);
+  while (mParts->mEnding.WaitForInput(mSocket, Millis(0)) && AcceptOne()) {
   }
   mSocket.close();
 }
@@ -158,7 +158,7 @@
     socket.setBlocking(true);
     socket.setNoDelay(true);
     if (!Enqueue(socket)) {
-      TurnAway(socket);
+      RejectConnection(socket);
     }
     return true;
   } catch (const Poco::Exception& error) {
@@ -186,9 +186,9 @@
 
 // A new connection's buffer takes this whole: it never waits.
 void
-HttpPort::TurnAway(Poco::Net::StreamSocket aSocket)
+HttpPort::RejectConnection(Poco::Net::StreamSocket aSocket)
 {
-  const std::string& body = mParts->mLimits.mFullBody;
+  const std::string& body = mParts->mLimits.mOverloadBody;
   std::string answer = "HTTP/1.1 503 Service Unavailable\r\n"
                        "Connection: close\r\nRetry-After: 1\r\n"
                        "Content-Type: application/problem+json\r\n"
@@ -209,9 +209,9 @@
          size_t aLimit,
          std::chrono::steady_clock::time_point aDeadline)
 {
-  constexpr size_t kMostThrownAway = 16 * 1024 * 1024;
+  constexpr size_t kMaxDiscardedBytes = 16 * 1024 * 1024;
   std::string chunk(kChunk, '\0');
-  for (size_t gone = 0; aIn.good() && gone < kMostThrownAway &&
+  for (size_t gone = 0; aIn.good() && gone < kMaxDiscardedBytes &&
                         std::chrono::steady_clock::now() < aDeadline;
        gone += chunk.size()) {
     aIn.read(&chunk[0], static_cast<std::streamsize>(chunk.size()));
--- a/src/net/HttpPort.h
+++ b/src/net/HttpPort.h
@@ -24,12 +24,12 @@
 {
   int mThreads = 64;         // connections served at a time
   int mWaiting = 64;         // accepted and not yet served; more: refused
-  std::string mFullBody;     // of that refusal: a problem document
+  std::string mOverloadBody; // of that refusal: a problem document
   Millis mIdle{ 15000 };     // kept-alive connection without a request
   Millis mTransfer{ 10000 }; // silence in the middle of a request
 };
 
-struct HttpPortParts;
+struct HttpPortState;
 
 class HttpPort
 {
@@ -48,7 +48,7 @@
   // Serves on; each answer ends its connection.
   void Leave();
   // No send takes longer; the rest of it is lost.
-  void SendWithin(Millis aTime);
+  void LimitSendTime(Millis aTime);
   // Nobody connects any more. Whoever is connected gets the answer to what was
   // sent; what has none within aWithin is cut.
   void End(Millis aWithin);
@@ -59,11 +59,11 @@
   void Accept();
   bool AcceptOne();
   bool Enqueue(const Poco::Net::StreamSocket& aSocket);
-  void TurnAway(Poco::Net::StreamSocket aSocket);
+  void RejectConnection(Poco::Net::StreamSocket aSocket);
 
   Poco::Net::ServerSocket mSocket;
   std::string mAddress;
-  std::unique_ptr<HttpPortParts> mParts;
+  std::unique_ptr<HttpPortState> mParts;
   Poco::ThreadPool mPool;
   Connections mConnections;
   std::thread mAcceptor;
--- a/src/net/HttpEnding.cpp
+++ b/src/net/HttpShutdown.cpp
@@ -1,4 +1,4 @@
-#include "net/HttpEnding.h"
+#include "net/HttpShutdown.h"
 
 #include <cerrno>
 #include <poll.h>
@@ -10,7 +10,7 @@
 
 namespace caraway {
 
-HttpEnding::HttpEnding()
+HttpShutdown::HttpShutdown()
   : mWake(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK))
 {
   if (mWake < 0) {
@@ -18,13 +18,13 @@
   }
 }
 
-HttpEnding::~HttpEnding()
+HttpShutdown::~HttpShutdown()
 {
   close(mWake);
 }
 
 void
-HttpEnding::End()
+HttpShutdown::End()
 {
   mLeaving = true;
   mEnded = true;
@@ -32,7 +32,8 @@
 }
 
 bool
-HttpEnding::AwaitInput(const Poco::Net::Socket& aSocket, Millis aWithin) const
+HttpShutdown::WaitForInput(const Poco::Net::Socket& aSocket,
+                           Millis aWithin) const
 {
   pollfd ends[] = { { aSocket.impl()->sockfd(), POLLIN, 0 },
                     { mWake, POLLIN, 0 } };
@@ -45,28 +46,28 @@
 }
 
 void
-HttpEnding::Add(const Poco::Net::StreamSocket& aSocket)
+HttpShutdown::Add(const Poco::Net::StreamSocket& aSocket)
 {
   std::lock_guard<std::mutex> lock(mLock);
   mOpen.insert(aSocket);
 }
 
 void
-HttpEnding::Remove(const Poco::Net::StreamSocket& aSocket)
+HttpShutdown::Remove(const Poco::Net::StreamSocket& aSocket)
 {
   std::lock_guard<std::mutex> lock(mLock);
   mOpen.erase(aSocket);
 }
 
 size_t
-HttpEnding::Open() const
+HttpShutdown::Open() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   return mOpen.size();
 }
 
 void
-HttpEnding::SendWithin(Millis aTime)
+HttpShutdown::LimitSendTime(Millis aTime)
 {
   std::lock_guard<std::mutex> lock(mLock);
   for (Poco::Net::StreamSocket socket : mOpen) {
@@ -79,7 +80,7 @@
 }
 
 void
-HttpEnding::Cut()
+HttpShutdown::Cut()
 {
   std::lock_guard<std::mutex> lock(mLock);
   for (Poco::Net::StreamSocket socket : mOpen) {
--- a/src/net/HttpEnding.h
+++ b/src/net/HttpShutdown.h
@@ -1,6 +1,6 @@
-// HttpEnding.h: how far a port is on its way out.
-#ifndef caraway_net_HttpEnding_h
-#define caraway_net_HttpEnding_h
+// HttpShutdown.h: how far a port is on its way out.
+#ifndef caraway_net_HttpShutdown_h
+#define caraway_net_HttpShutdown_h
 
 #include <Poco/Net/StreamSocket.h>
 #include <atomic>
@@ -12,13 +12,13 @@
 namespace caraway {
 
 // Shared by a port's connections, each on a thread of its own.
-class HttpEnding
+class HttpShutdown
 {
 public:
-  HttpEnding();
-  ~HttpEnding();
-  HttpEnding(const HttpEnding&) = delete;
-  HttpEnding& operator=(const HttpEnding&) = delete;
+  HttpShutdown();
+  ~HttpShutdown();
+  HttpShutdown(const HttpShutdown&) = delete;
+  HttpShutdown& operator=(const HttpShutdown&) = delete;
 
   // Every answer from now on says that its connection ends with it.
   void Leave() { mLeaving = true; }
@@ -28,7 +28,7 @@
   bool Ended() const { return mEnded; }
 
   // Waits for bytes, a caller, a caller's end, or End. False: nothing came.
-  bool AwaitInput(const Poco::Net::Socket& aSocket, Millis aWithin) const;
+  bool WaitForInput(const Poco::Net::Socket& aSocket, Millis aWithin) const;
 
   // From a request's first byte to its answer's last one.
   void Began() { ++mBusy; }
@@ -39,7 +39,7 @@
   void Add(const Poco::Net::StreamSocket& aSocket);
   void Remove(const Poco::Net::StreamSocket& aSocket);
   size_t Open() const;
-  void SendWithin(Millis aTime);
+  void LimitSendTime(Millis aTime);
   // What was sent still arrives; nothing more is read or sent.
   void Cut();
 
--- a/src/net/HttpLinger.cpp
+++ b/src/net/LingeringCloser.cpp
@@ -1,4 +1,4 @@
-#include "net/HttpLinger.h"
+#include "net/LingeringCloser.h"
 
 #include <algorithm>
 #include <poll.h>
@@ -34,7 +34,7 @@
 
 } // namespace
 
-HttpLinger::HttpLinger()
+LingeringCloser::LingeringCloser()
   : mWake(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK))
 {
   if (mWake < 0) {
@@ -43,7 +43,7 @@
   mThread = std::thread([this] { Run(); });
 }
 
-HttpLinger::~HttpLinger()
+LingeringCloser::~LingeringCloser()
 {
   {
     std::lock_guard<std::mutex> lock(mLock);
@@ -55,7 +55,7 @@
 }
 
 void
-HttpLinger::Take(const Poco::Net::StreamSocket& aSocket)
+LingeringCloser::Take(const Poco::Net::StreamSocket& aSocket)
 {
   Leaving leaving{ aSocket, SteadyClock::now() + kLinger };
   try {
@@ -75,14 +75,14 @@
 }
 
 bool
-HttpLinger::Empty() const
+LingeringCloser::Empty() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   return mHeld == 0;
 }
 
 bool
-HttpLinger::ReadAway(std::vector<Leaving>& aLeaving) const
+LingeringCloser::DiscardInput(std::vector<Leaving>& aLeaving) const
 {
   std::vector<pollfd> ends;
   ends.push_back({ mWake, POLLIN, 0 });
@@ -103,11 +103,11 @@
 }
 
 void
-HttpLinger::Run()
+LingeringCloser::Run()
 {
   std::vector<Leaving> leaving;
   for (;;) {
-    if (ReadAway(leaving)) {
+    if (DiscardInput(leaving)) {
       eventfd_t count = 0;
       eventfd_read(mWake, &count);
     }
--- a/src/net/HttpLinger.h
+++ b/src/net/LingeringCloser.h
@@ -1,6 +1,6 @@
-// HttpLinger.h: closes connections whose last answer is on its way.
-#ifndef caraway_net_HttpLinger_h
-#define caraway_net_HttpLinger_h
+// LingeringCloser.h: closes connections whose last answer is on its way.
+#ifndef caraway_net_LingeringCloser_h
+#define caraway_net_LingeringCloser_h
 
 #include <Poco/Net/StreamSocket.h>
 #include <chrono>
@@ -13,13 +13,13 @@
 // Closed with bytes unread, a connection is reset, and the reset overtakes the
 // answer. Each is told that nothing more comes, and read until its caller has
 // closed it too or the time is over.
-class HttpLinger
+class LingeringCloser
 {
 public:
-  HttpLinger();
-  ~HttpLinger();
-  HttpLinger(const HttpLinger&) = delete;
-  HttpLinger& operator=(const HttpLinger&) = delete;
+  LingeringCloser();
+  ~LingeringCloser();
+  LingeringCloser(const LingeringCloser&) = delete;
+  LingeringCloser& operator=(const LingeringCloser&) = delete;
 
   void Take(const Poco::Net::StreamSocket& aSocket);
   bool Empty() const;
@@ -33,7 +33,7 @@
 
   void Run();
   // Whether it was woken.
-  bool ReadAway(std::vector<Leaving>& aLeaving) const;
+  bool DiscardInput(std::vector<Leaving>& aLeaving) const;
 
   int mWake; // something was taken, or the end
   mutable std::mutex mLock;
--- a/src/net/OutboundCall.cpp
+++ b/src/net/OutboundCall.cpp
@@ -8,21 +8,21 @@
 namespace {
 
 // Kept when the server doesn't say how long it keeps idle connections.
-constexpr Millis kKeptUnsaid{ 2000 };
+constexpr Millis kDefaultIdleTimeout{ 2000 };
 
 // An answer head longer than this is no answer.
-constexpr size_t kMostHead = 65536;
+constexpr size_t kMaxHeadBytes = 65536;
 
 // Late answers to others that may precede ours on one connection.
-constexpr int kMostForeign = 2;
+constexpr int kMaxForeignAnswers = 2;
 
 Millis
-KeptTime(const HttpHead& aHead)
+IdleTimeoutOf(const HttpHead& aHead)
 {
   const std::string* text = aHead.Find("Keep-Alive");
   size_t at = text ? text->find("timeout=") : std::string::npos;
   if (at == std::string::npos) {
-    return kKeptUnsaid;
+    return kDefaultIdleTimeout;
   }
   return Seconds(std::clamp(std::atoi(text->c_str() + at + 8), 0, 3600));
 }
@@ -65,7 +65,8 @@
   }
   mReused = mChannel != nullptr;
   if (!mReused) {
-    mChannel = Channel::Connect(mReactor, mRequest.mAddress, mRequest.mConnect);
+    mChannel =
+      Channel::Connect(mReactor, mRequest.mAddress, mRequest.mConnectLimit);
   }
   Attach();
   mChannel->Write(mRequest.mHead + mRequest.mBody);
@@ -81,7 +82,7 @@
       call->OnData();
     }
   };
-  events.mEnd = [weak](ChannelEnd aEnd) {
+  events.mEnd = [weak](ChannelCloseReason aEnd) {
     if (auto call = weak.lock()) {
       call->OnEnd(aEnd);
     }
@@ -109,8 +110,8 @@
   std::string& input = mChannel->Input();
   HeadState state = ReadAnswerHead(input, head, used);
   if (state == HeadState::Bad ||
-      (state == HeadState::Partial && input.size() > kMostHead)) {
-    Finish(CallOutcome::Garbled);
+      (state == HeadState::Partial && input.size() > kMaxHeadBytes)) {
+    Finish(CallOutcome::Malformed);
     return false;
   }
   if (state == HeadState::Partial) {
@@ -120,10 +121,10 @@
   if (head.mStatus < 200) {
     return ReadHead();
   }
-  mOurs = !mEvents.mIsOurs || mEvents.mIsOurs(head);
-  if (!mOurs &&
-      (++mForeign > kMostForeign || head.mFraming == BodyFraming::UntilClose)) {
-    Finish(CallOutcome::Garbled);
+  mOurs = !mEvents.mMatchesRequest || mEvents.mMatchesRequest(head);
+  if (!mOurs && (++mForeignAnswers > kMaxForeignAnswers ||
+                 head.mFraming == BodyFraming::UntilClose)) {
+    Finish(CallOutcome::Malformed);
     return false;
   }
   mReader.emplace(head);
@@ -147,7 +148,7 @@
     return;
   }
   if (!good) {
-    Finish(CallOutcome::Garbled);
+    Finish(CallOutcome::Malformed);
   } else if (mReader->Done() && mOurs) {
     Finish(CallOutcome::Whole);
   } else if (mReader->Done()) {
@@ -157,13 +158,14 @@
 }
 
 void
-OutboundCall::OnEnd(ChannelEnd aEnd)
+OutboundCall::OnEnd(ChannelCloseReason aEnd)
 {
   auto self = shared_from_this();
   if (mOver) {
     return;
   }
-  if (mAnswer && mOurs && aEnd == ChannelEnd::Closed && mReader->Close()) {
+  if (mAnswer && mOurs && aEnd == ChannelCloseReason::Closed &&
+      mReader->Close()) {
     Finish(CallOutcome::Whole);
     return;
   }
@@ -174,7 +176,7 @@
 OutboundCall::MayKeep() const
 {
   return mChannel->Open() && mAnswer && mAnswer->mKeepAlive &&
-         mAnswer->mFraming != BodyFraming::UntilClose && mForeign == 0 &&
+         mAnswer->mFraming != BodyFraming::UntilClose && mForeignAnswers == 0 &&
          mChannel->Queued() == 0 && mChannel->Input().empty();
 }
 
@@ -185,7 +187,8 @@
   // Bytes beyond the answer belong to nobody; such a connection isn't used
   // again, nor one whose request wasn't read to its end.
   if (aEnd == CallOutcome::Whole && MayKeep()) {
-    mPool.Keep(mRequest.mAddress, mRequest.mPeer, mChannel, KeptTime(*mAnswer));
+    mPool.Keep(
+      mRequest.mAddress, mRequest.mPeer, mChannel, IdleTimeoutOf(*mAnswer));
   } else {
     mChannel->Close();
   }
@@ -216,17 +219,17 @@
 }
 
 std::shared_ptr<OutboundCall>
-CallForAnswer(Reactor& aReactor,
-              ChannelPool& aPool,
-              OutboundRequest aRequest,
-              Millis aMost,
-              std::function<void(ShortAnswer&)> aDone)
+StartBufferedCall(Reactor& aReactor,
+                  ChannelPool& aPool,
+                  OutboundRequest aRequest,
+                  Millis aMost,
+                  std::function<void(BufferedAnswer&)> aDone)
 {
   struct Waiting
   {
-    ShortAnswer mAnswer;
+    BufferedAnswer mAnswer;
     std::shared_ptr<OutboundCall> mCall;
-    std::function<void(ShortAnswer&)> mDone;
+    std::function<void(BufferedAnswer&)> mDone;
     bool mOver = false;
   };
   auto waiting = std::make_shared<Waiting>();
--- a/src/net/OutboundCall.h
+++ b/src/net/OutboundCall.h
@@ -15,10 +15,10 @@
 
 enum class CallOutcome
 {
-  Whole,   // the whole answer was read
-  NotSent, // no byte of the request left: it can't have run
-  Cut,     // ended before the answer did; it may have run
-  Garbled, // what came isn't an answer; it may have run
+  Whole,     // the whole answer was read
+  NotSent,   // no byte of the request left: it can't have run
+  Cut,       // ended before the answer did; it may have run
+  Malformed, // what came isn't an answer; it may have run
 };
 
 struct OutboundRequest
@@ -27,9 +27,9 @@
   std::string mPeer; // the server's identity, for the pool; "" = any
   std::string mHead; // first line to blank line
   std::string mBody;
-  Millis mConnect{ 700 };  // longest time to make a connection
-  double mIdleShare = 0.6; // see ChannelPool::Take
-  bool mFresh = false;     // never on a kept connection
+  Millis mConnectLimit{ 700 }; // longest time to make a connection
+  double mIdleShare = 0.6;     // see ChannelPool::Take
+  bool mFresh = false;         // never on a kept connection
 };
 
 class OutboundCall : public std::enable_shared_from_this<OutboundCall>
@@ -39,7 +39,7 @@
   {
     // False for an answer that belongs to another request: it is read and
     // dropped, and the next one is waited for.
-    std::function<bool(const HttpHead&)> mIsOurs;
+    std::function<bool(const HttpHead&)> mMatchesRequest;
     std::function<void(const HttpHead&)> mHead;
     std::function<void(std::string&)> mBody; // takes what it wants
     std::function<void(CallOutcome)> mEnd;   // once
@@ -61,7 +61,7 @@
   void Open();
   void Attach();
   void OnData();
-  void OnEnd(ChannelEnd aEnd);
+  void OnEnd(ChannelCloseReason aEnd);
   bool ReadHead();
   void ReadBody();
   void Finish(CallOutcome aEnd);
@@ -76,13 +76,13 @@
   std::optional<BodyReader> mReader;
   std::string mBody;
   bool mOurs = true;
-  int mForeign = 0;
+  int mForeignAnswers = 0;
   bool mReused = false;
   bool mOver = false;
 };
 
 // A whole short answer, or none: status 0.
-struct ShortAnswer
+struct BufferedAnswer
 {
   int mStatus = 0;
   HttpHead mHead;
@@ -93,11 +93,11 @@
 // Runs aRequest to its end within aMost and hands over the whole answer.
 // Once, always. The returned call may be cancelled.
 std::shared_ptr<OutboundCall>
-CallForAnswer(Reactor& aReactor,
-              ChannelPool& aPool,
-              OutboundRequest aRequest,
-              Millis aMost,
-              std::function<void(ShortAnswer&)> aDone);
+StartBufferedCall(Reactor& aReactor,
+                  ChannelPool& aPool,
+                  OutboundRequest aRequest,
+                  Millis aMost,
+                  std::function<void(BufferedAnswer&)> aDone);
 
 } // namespace caraway
 
--- a/src/net/Reactor.cpp
+++ b/src/net/Reactor.cpp
@@ -41,7 +41,7 @@
 }
 
 void
-Reactor::WatchFor(const Poco::Net::Socket& aSocket, bool aRead, bool aWrite)
+Reactor::SetInterest(const Poco::Net::Socket& aSocket, bool aRead, bool aWrite)
 {
   if (mHandlers.count(aSocket.impl())) {
     mPolls.update(aSocket,
@@ -85,7 +85,7 @@
 }
 
 Millis
-Reactor::Patience(Millis aMost) const
+Reactor::PollTimeout(Millis aMost) const
 {
   if (mTimers.empty()) {
     return aMost;
@@ -97,9 +97,9 @@
 }
 
 void
-Reactor::Turn(Millis aMost)
+Reactor::RunPass(Millis aMost)
 {
-  Poco::Timespan wait(Micros(Patience(aMost)).count());
+  Poco::Timespan wait(Micros(PollTimeout(aMost)).count());
   for (const auto& [socket, mode] : mPolls.poll(wait)) {
     // A handler may forget others, or itself: looked up anew each time.
     auto found = mHandlers.find(socket.impl());
--- a/src/net/Reactor.h
+++ b/src/net/Reactor.h
@@ -44,7 +44,7 @@
              std::shared_ptr<SocketHandler> aHandler,
              bool aWrite = false);
   // Errors are told in any case, as readable.
-  void WatchFor(const Poco::Net::Socket& aSocket, bool aRead, bool aWrite);
+  void SetInterest(const Poco::Net::Socket& aSocket, bool aRead, bool aWrite);
   void Forget(const Poco::Net::Socket& aSocket);
 
   TimerId After(Millis aDelay, Task aTask);
@@ -53,15 +53,15 @@
   void Cancel(const TimerId& aTimer);
 
   // One wait, at most aMost, and what it brought.
-  void Turn(Millis aMost);
+  void RunPass(Millis aMost);
 
   TimePoint Now() const { return mClock.Now(); }
-  const Clock& ClockOf() const { return mClock; }
+  const Clock& SourceClock() const { return mClock; }
   size_t Sockets() const { return mHandlers.size(); }
 
 private:
   void RunTimers();
-  Millis Patience(Millis aMost) const;
+  Millis PollTimeout(Millis aMost) const;
 
   const Clock& mClock;
   Poco::Net::PollSet mPolls;
--- a/src/net/ListenEnd.cpp
+++ b/src/net/StopNewHandshakes.cpp
@@ -1,4 +1,4 @@
-#include "net/ListenEnd.h"
+#include "net/StopNewHandshakes.h"
 
 #include <linux/filter.h>
 #include <sys/socket.h>
@@ -16,7 +16,7 @@
 } // namespace
 
 void
-ListenEnd(const Poco::Net::ServerSocket& aSocket)
+StopNewHandshakes(const Poco::Net::ServerSocket& aSocket)
 {
   constexpr uint32_t kFlags = 13; // where they are in a TCP header
   constexpr uint32_t kSyn = 2;
--- a/src/net/ListenEnd.h
+++ b/src/net/StopNewHandshakes.h
@@ -1,6 +1,6 @@
-// ListenEnd.h: closes a listening socket under nobody's connection.
-#ifndef caraway_net_ListenEnd_h
-#define caraway_net_ListenEnd_h
+// StopNewHandshakes.h: closes a listening socket under nobody's connection.
+#ifndef caraway_net_StopNewHandshakes_h
+#define caraway_net_StopNewHandshakes_h
 
 #include <Poco/Net/ServerSocket.h>
 
@@ -11,7 +11,7 @@
 // at once, the socket would reset connections that the system has accepted and
 // whose callers may have sent their request.
 void
-ListenEnd(const Poco::Net::ServerSocket& aSocket);
+StopNewHandshakes(const Poco::Net::ServerSocket& aSocket);
 
 } // namespace caraway
 
--- a/src/serve/CallerPort.cpp
+++ b/src/serve/CallerPort.cpp
@@ -109,7 +109,7 @@
 void
 CallerPort::Open()
 {
-  mSettings.mLimits.mFullBody = JsonWrite(ProblemJson(
+  mSettings.mLimits.mOverloadBody = JsonWrite(ProblemJson(
     FailureOf(ErrorKind::QueueFull, "all connections are taken"), RandomId()));
   mPort = std::make_unique<HttpPort>(
     mSettings.mListen, mSettings.mLimits, [this](auto& aIn, auto& aOut) {
@@ -121,7 +121,7 @@
 CallerPort::GiveUp(TimePoint aUntil)
 {
   constexpr Millis kSend{ 20 }; // to a caller that doesn't read
-  mPort->SendWithin(kSend);
+  mPort->LimitSendTime(kSend);
   std::lock_guard<std::mutex> lock(mLock);
   int cut = 0;
   for (CallerAnswer* answer : mOwed) {
--- a/src/store/StoreClient.cpp
+++ b/src/store/StoreClient.cpp
@@ -7,15 +7,15 @@
 // A call that takes longer than this is better asked again on a new
 // connection: an answer takes milliseconds, and some hundred when the store
 // is slow.
-constexpr Millis kCallTime{ 1000 };
+constexpr Millis kCallTimeout{ 1000 };
 
 // The store's own lateness in answering a wait that brought nothing.
-constexpr Millis kWaitMargin{ 500 };
+constexpr Millis kLongPollMargin{ 500 };
 
-constexpr Millis kConnectTime{ 500 };
+constexpr Millis kConnectTimeout{ 500 };
 
 // Failures for less than this are calls that were lost, not an outage.
-constexpr Millis kOutage{ 400 };
+constexpr Millis kMinOutage{ 400 };
 
 } // namespace
 
@@ -54,7 +54,7 @@
 void
 StoreClient::Call(const char* aWhat, const wire::StoreCall& aCall, Done aDone)
 {
-  Wait(aWhat, aCall, kCallTime - kWaitMargin, std::move(aDone));
+  Wait(aWhat, aCall, kCallTimeout - kLongPollMargin, std::move(aDone));
 }
 
 void
@@ -74,23 +74,23 @@
   request.mHead =
     WriteHead(aCall.mMethod + " " + aCall.mTarget + " HTTP/1.1", fields);
   request.mBody = aCall.mBody;
-  request.mConnect = kConnectTime;
-  CallForAnswer(mReactor,
-                mPool,
-                std::move(request),
-                aWait + kWaitMargin,
-                [this, aWhat, asked = mReactor.Now(), done = std::move(aDone)](
-                  ShortAnswer& aAnswer) {
-                  StoreOutcome outcome = aAnswer.mEnd == CallOutcome::NotSent
-                                           ? StoreOutcome::NotDone
-                                           : wire::ReadOutcome(aAnswer.mStatus);
-                  mMetrics.Time(
-                    "caraway_store_call_seconds",
+  request.mConnectLimit = kConnectTimeout;
+  StartBufferedCall(
+    mReactor,
+    mPool,
+    std::move(request),
+    aWait + kLongPollMargin,
+    [this, aWhat, asked = mReactor.Now(), done = std::move(aDone)](
+      BufferedAnswer& aAnswer) {
+      StoreOutcome outcome = aAnswer.mEnd == CallOutcome::NotSent
+                               ? StoreOutcome::NotDone
+                               : wire::ReadOutcome(aAnswer.mStatus);
+      mMetrics.Time("caraway_store_call_seconds",
                     std::string("call=\"") + aWhat + "\"",
                     std::chrono::duration_cast<Micros>(mReactor.Now() - asked));
-                  Note(aWhat, outcome);
-                  done(outcome, aAnswer.mBody);
-                });
+      Note(aWhat, outcome);
+      done(outcome, aAnswer.mBody);
+    });
 }
 
 void
@@ -116,9 +116,9 @@
   }
   if (!mReached) {
     bool outage =
-      mFailingSince != TimePoint() && now - mFailingSince >= kOutage;
+      mFailingSince != TimePoint() && now - mFailingSince >= kMinOutage;
     if (outage) {
-      mBackSince = now;
+      mRecoveredAt = now;
     }
     mLog.Line("store_reached")
       .Text("call", aWhat)
@@ -130,7 +130,7 @@
   }
   mReached = true;
   mFailingSince = TimePoint();
-  mLastGood = now;
+  mLastSuccessAt = now;
 }
 
 } // namespace caraway
--- a/src/store/StoreClient.h
+++ b/src/store/StoreClient.h
@@ -31,11 +31,11 @@
             Done aDone);
 
   // The last answer that proves that it serves this instance.
-  TimePoint LastGood() const { return mLastGood; }
+  TimePoint LastSuccessAt() const { return mLastSuccessAt; }
   // It serves this instance, as far as is known.
-  bool Reached() const { return mReached; }
+  bool Reachable() const { return mReached; }
   // When it was last reached again after an outage.
-  TimePoint BackSince() const { return mBackSince; }
+  TimePoint RecoveredAt() const { return mRecoveredAt; }
 
 private:
   void Note(const char* aWhat, StoreOutcome aOutcome);
@@ -45,9 +45,9 @@
   Metrics& mMetrics;
   std::string mAddress;
   ChannelPool mPool;
-  TimePoint mLastGood{};
+  TimePoint mLastSuccessAt{};
   TimePoint mFailingSince{};
-  TimePoint mBackSince{};
+  TimePoint mRecoveredAt{};
   bool mReached = false;
 };
 
--- a/src/store/StoreFeed.cpp
+++ b/src/store/StoreFeed.cpp
@@ -78,7 +78,7 @@
 {
   uint64_t round = mRound;
   if (aAfter.empty()) {
-    mListAsked = mReactor.Now();
+    mListStartedAt = mReactor.Now();
   }
   mStore.Call(
     "list",
@@ -107,7 +107,7 @@
       }
       mListing = false;
       mAsOf = mListAsOf;
-      mLastNews = mListAsked;
+      mConfirmedAt = mListStartedAt;
       std::vector<StoreChange> all = std::move(mPages);
       mPages.clear();
       mEvents.mWhole(all);
@@ -139,7 +139,7 @@
                   return;
                 }
                 mAsOf = std::max(mAsOf, page->mAsOf);
-                mLastNews = mReactor.Now();
+                mConfirmedAt = mReactor.Now();
                 for (const StoreChange& change : page->mChanges) {
                   mEvents.mChange(change);
                 }
--- a/src/store/StoreFeed.h
+++ b/src/store/StoreFeed.h
@@ -39,7 +39,7 @@
 
   int64_t AsOf() const { return mAsOf; } // 0 = nothing was read yet
   // When the store was last known to have nothing newer.
-  TimePoint LastNews() const { return mLastNews; }
+  TimePoint ConfirmedAt() const { return mConfirmedAt; }
 
 private:
   void List(const std::string& aAfter);
@@ -57,8 +57,8 @@
   int64_t mListAsOf = 0; // of the first page: later pages may show more
   uint64_t mRound = 0;   // answers of earlier rounds are dropped
   bool mListing = false;
-  TimePoint mListAsked{};
-  TimePoint mLastNews{};
+  TimePoint mListStartedAt{};
+  TimePoint mConfirmedAt{};
 };
 
 } // namespace caraway
--- a/tests/platform/AnswersTest.cpp
+++ b/tests/platform/AnswersTest.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 bool
-PromisesNotRun(int aStatus)
+StatusMeansNotRun(int aStatus)
 {
   return aStatus == 429 || aStatus == 503 || aStatus == 408 || aStatus == 421;
 }
@@ -50,7 +50,7 @@
   SetManners(world, ServerBehaviour::RunsThenCloses);
   TestCallPtr call = world.Call(0, "/order/x", "r1");
   EXPECT_NE(0, call->mStatus);
-  EXPECT_FALSE(PromisesNotRun(call->mStatus));
+  EXPECT_FALSE(StatusMeansNotRun(call->mStatus));
   EXPECT_EQ(1, world.RunsOf("r1"));
 }
 
@@ -106,7 +106,7 @@
     SetManners(world, manners);
     TestCallPtr call = world.Call(0, "/order/x", "r1");
     EXPECT_GE(call->mStatus, 500);
-    EXPECT_FALSE(PromisesNotRun(call->mStatus));
+    EXPECT_FALSE(StatusMeansNotRun(call->mStatus));
     EXPECT_EQ(1, world.RunsOf("r1"));
   }
 }
--- a/tests/platform/FreshnessTest.cpp
+++ b/tests/platform/FreshnessTest.cpp
@@ -22,7 +22,7 @@
 }
 
 void
-TakeKey(EntryTestFleet& aWorld)
+RevokeKeys(EntryTestFleet& aWorld)
 {
   aWorld.mConfig["tenants"][0]["apiKeys"] = Json::Value(Json::arrayValue);
   aWorld.Configure();
@@ -49,7 +49,7 @@
   EntryTestFleet world;
   world.AwaitReady();
   EXPECT_EQ(200, world.Call(0, "/order/x", "r1")->mStatus);
-  TakeKey(world);
+  RevokeKeys(world);
   world.For(kBound);
   EXPECT_EQ(401, world.Call(0, "/order/x", "r2")->mStatus);
 }
@@ -58,12 +58,13 @@
 // changes meanwhile comes from the other instance.
 TEST(Freshness, InstanceThatTheStoreTurnsAwayLearnsFromAnother)
 {
-  for (auto mood : { StandInStore::Mood::Silent, StandInStore::Mood::Busy }) {
+  for (auto mood :
+       { StandInStore::FaultMode::Silent, StandInStore::FaultMode::Busy }) {
     EntryTestFleet world(TwoInstances());
     world.AwaitReady();
-    world.mStore->SetMood(0, mood);
+    world.mStore->SetFaultMode(0, mood);
     world.For(Millis(500));
-    TakeKey(world);
+    RevokeKeys(world);
     world.List(*world.mPlain[0], "plain", "a", "draining");
     world.For(kBound);
     EXPECT_EQ(401, world.Call(0, "/order/x", "r1")->mStatus);
@@ -86,7 +87,7 @@
     route["pathPrefix"] = "/more-" + std::to_string(i) + "/";
     world.mConfig["routes"].append(route);
   }
-  world.mStore->SetMood(1, StandInStore::Mood::Silent);
+  world.mStore->SetFaultMode(1, StandInStore::FaultMode::Silent);
   world.Configure();
   int64_t version = world.mConfig["version"].asInt64();
   EXPECT_TRUE(
@@ -99,7 +100,7 @@
   EntryTestFleet world;
   world.AwaitReady();
   world.mStore->MuteWatches(true);
-  TakeKey(world);
+  RevokeKeys(world);
   world.List(*world.mPlain[0], "plain", "a", "draining");
   world.For(Millis(500));
   world.mStore->ForgetHistory();
@@ -121,7 +122,7 @@
 {
   EntryTestFleet world;
   world.mInstances[0].reset();
-  world.mStore->SetMoodOfAll(StandInStore::Mood::Silent);
+  world.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Silent);
   world.mInstances[0] = world.MakeInstance(0);
   world.For(Millis(300));
   EXPECT_FALSE(world.mInstances[0]->Ready());
@@ -169,12 +170,12 @@
 {
   EntryTestFleet world;
   world.AwaitReady();
-  world.mStore->SetMoodOfAll(StandInStore::Mood::Silent);
+  world.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Silent);
   world.For(Seconds(3));
   for (auto& server : world.mPlain) {
     world.mStore->Remove(wire::kServersKind, server->Id());
   }
-  world.mStore->SetMoodOfAll(StandInStore::Mood::Serves);
+  world.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Serves);
   world.For(Seconds(1));
   EXPECT_EQ(200, world.Call(0, "/order/x", "r1")->mStatus);
   world.For(Seconds(4));
@@ -196,7 +197,7 @@
   // Two watches, the lease, and now and then the list of instances; four that
   // read for themselves make over twenty.
   EXPECT_LE(world.mStore->Calls() - before, 16);
-  TakeKey(world);
+  RevokeKeys(world);
   world.List(*world.mPlain[0], "plain", "a", "draining");
   world.mStore->Remove(wire::kServersKind, world.mPlain[1]->Id());
   world.For(kBound);
@@ -227,9 +228,9 @@
     if (killed) {
       world.mInstances[reader].reset();
     } else {
-      world.mStore->SetMood(reader, StandInStore::Mood::Silent);
+      world.mStore->SetFaultMode(reader, StandInStore::FaultMode::Silent);
     }
-    TakeKey(world);
+    RevokeKeys(world);
     world.List(*world.mPlain[0], "plain", "a", "draining");
     world.For(kBound);
     for (size_t i = 0; i < 3; ++i) {
--- a/tests/platform/LeavingEntryTest.cpp
+++ b/tests/platform/LeavingEntryTest.cpp
@@ -39,7 +39,7 @@
 
 // A stream of four seconds is under way at the first instance, which leaves.
 TestCallPtr
-LeaveDuringAStream(EntryTestFleet& aWorld, const std::string& aBehind = "")
+LeaveDuringStream(EntryTestFleet& aWorld, const std::string& aBehind = "")
 {
   LetRequestsLast(aWorld);
   aWorld.mEngines[0]->mEventGap = Millis(800);
@@ -65,16 +65,16 @@
 
 // The instances don't run, everything else does.
 void
-StandStill(EntryTestFleet& aWorld, Millis aTime)
+PauseInstances(EntryTestFleet& aWorld, Millis aTime)
 {
   TimePoint until = aWorld.mClock.Now() + aTime;
   while (aWorld.mClock.Now() < until) {
-    aWorld.mReactor.Turn(Millis(10));
+    aWorld.mReactor.RunPass(Millis(10));
   }
 }
 
 bool
-AwaitGone(EntryTestFleet& aWorld)
+AwaitExit(EntryTestFleet& aWorld)
 {
   return aWorld.Until([&] { return aWorld.mInstances[0]->Gone(); }, Seconds(9));
 }
@@ -144,9 +144,9 @@
     server->mWork = Seconds(5);
   }
   std::string behind = world.RequestText("/order/x", "r2", kLongPlain);
-  TestCallPtr call = LeaveDuringAStream(world, behind);
+  TestCallPtr call = LeaveDuringStream(world, behind);
   ASSERT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(6)));
-  EXPECT_TRUE(AwaitGone(world));
+  EXPECT_TRUE(AwaitExit(world));
   EXPECT_EQ(503, SecondStatus(*call));
   EXPECT_EQ(0, world.RunsOf("r2"));
 }
@@ -156,10 +156,10 @@
 TEST(LeavingEntry, RequestSentAsAStreamEndsIsAnswered)
 {
   EntryTestFleet world(TwoInstances());
-  TestCallPtr call = LeaveDuringAStream(world);
+  TestCallPtr call = LeaveDuringStream(world);
   ASSERT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(6)));
   call->mChannel->Write(world.RequestText("/order/x", "r2", kLongPlain));
-  EXPECT_TRUE(AwaitGone(world));
+  EXPECT_TRUE(AwaitExit(world));
   EXPECT_EQ(503, SecondStatus(*call));
   EXPECT_EQ(0, world.RunsOf("r2"));
 }
@@ -170,8 +170,8 @@
 {
   EntryTestFleet world;
   std::string behind = world.RequestText("/order/x", "r2", kLongPlain);
-  TestCallPtr call = LeaveDuringAStream(world, behind);
-  EXPECT_TRUE(AwaitGone(world));
+  TestCallPtr call = LeaveDuringStream(world, behind);
+  EXPECT_TRUE(AwaitExit(world));
   EXPECT_EQ(503, SecondStatus(*call));
 }
 
@@ -191,7 +191,7 @@
   world.mInstances[0]->Leave();
   world.For(Millis(4000));
   call->mChannel->Write(text.substr(text.size() - 1));
-  EXPECT_TRUE(AwaitGone(world));
+  EXPECT_TRUE(AwaitExit(world));
   EXPECT_EQ(503, call->mStatus);
   EXPECT_EQ(0, world.RunsOf("r1"));
 }
@@ -209,7 +209,7 @@
   TestCallPtr call = world.Send(0, "/safe/x", "r1", kLongPlain);
   world.For(Millis(200));
   world.mInstances[0]->Leave();
-  EXPECT_TRUE(AwaitGone(world));
+  EXPECT_TRUE(AwaitExit(world));
   EXPECT_EQ(502, call->mStatus);
   EXPECT_TRUE(call->mWhole);
   EXPECT_EQ(1, world.RunsOf("r1"));
@@ -228,7 +228,7 @@
   TestCallPtr call = world.Send(0, "/order/x", "r1", kLongPlain);
   world.For(Millis(200));
   world.mInstances[0]->Leave();
-  EXPECT_TRUE(AwaitGone(world));
+  EXPECT_TRUE(AwaitExit(world));
   world.Until([&] { return call->mWhole; }, Millis(300));
   EXPECT_EQ(502, call->mStatus);
   EXPECT_TRUE(call->mWhole);
@@ -246,7 +246,7 @@
   TestCallPtr call = world.Send(0, "/order/x", "r1");
   TimePoint until = world.mClock.Now() + Millis(200);
   while (world.mClock.Now() < until) {
-    world.mReactor.Turn(Millis(10));
+    world.mReactor.RunPass(Millis(10));
   }
   world.Until([&] { return call->mWhole || call->mClosed; }, Seconds(2));
   EXPECT_TRUE(call->mWhole);
@@ -263,7 +263,7 @@
   TestCallPtr call = world.Send(0, "/stream/stream", "r1", kLong);
   ASSERT_TRUE(world.Until([&] { return call->mStatus == 200; }, Seconds(2)));
   world.mInstances[0]->Leave();
-  EXPECT_TRUE(AwaitGone(world));
+  EXPECT_TRUE(AwaitExit(world));
   EXPECT_EQ(1,
             world.LogLines(0,
                            "\"event\":\"connection_ended\",\"why\":"
@@ -280,7 +280,7 @@
   world.Configure();
   world.AwaitReady();
   world.mInstances[0]->Leave();
-  EXPECT_TRUE(AwaitGone(world));
+  EXPECT_TRUE(AwaitExit(world));
   world.For(Millis(200));
   EXPECT_TRUE(world.mStore->Spec(kInstancesKind, "i0").isNull());
   const std::string two = "\"members\":2";
@@ -309,8 +309,8 @@
   world.For(Millis(2000));
   kept->mChannel->Write(world.RequestText("/order/x", "r1", kLongPlain));
   TestCallPtr late = world.Send(0, "/order/x", "r2", kLongPlain);
-  StandStill(world, Millis(2700));
-  EXPECT_TRUE(AwaitGone(world));
+  PauseInstances(world, Millis(2700));
+  EXPECT_TRUE(AwaitExit(world));
   for (const TestCallPtr& call : { kept, late }) {
     EXPECT_EQ(503, call->mStatus);
     EXPECT_TRUE(call->mWhole);
@@ -332,8 +332,8 @@
   world.For(Millis(200));
   world.mInstances[0]->Leave();
   world.For(Millis(7300));
-  StandStill(world, Millis(450));
-  EXPECT_TRUE(AwaitGone(world));
+  PauseInstances(world, Millis(450));
+  EXPECT_TRUE(AwaitExit(world));
   world.Until([&] { return call->mWhole; }, Millis(300));
   EXPECT_EQ(502, call->mStatus);
   EXPECT_TRUE(call->mWhole);
@@ -346,7 +346,7 @@
   world.mInstances[0]->Leave();
   TestCallPtr call = world.Call(0, "/order/x", "r1");
   EXPECT_TRUE(call->mWhole);
-  EXPECT_TRUE(AwaitGone(world));
+  EXPECT_TRUE(AwaitExit(world));
 }
 
 // Guards against a caller who is still sending when the instance ends, and gets
@@ -361,7 +361,7 @@
   TestCallPtr call = world.SendRaw(0, text.substr(0, text.size() - 1));
   world.For(Millis(200));
   world.mInstances[0]->Leave();
-  EXPECT_TRUE(AwaitGone(world));
+  EXPECT_TRUE(AwaitExit(world));
   world.Until([&] { return call->mWhole; }, Millis(300));
   EXPECT_EQ(503, call->mStatus);
   EXPECT_TRUE(call->mWhole);
@@ -387,7 +387,7 @@
     calls.push_back(
       world.Send(0, "/order/x", "r" + std::to_string(i), kLongPlain));
   }
-  EXPECT_TRUE(AwaitGone(world));
+  EXPECT_TRUE(AwaitExit(world));
   int refused = 0;
   for (const TestCallPtr& call : calls) {
     EXPECT_TRUE(call->mStatus == 200 || call->mStatus == 503) << call->mStatus;
@@ -414,7 +414,7 @@
     calls.push_back(world.Send(
       0, "/order/x", "r" + std::to_string(i), { { wire::kDeadline, "5000" } }));
   }
-  EXPECT_TRUE(AwaitGone(world));
+  EXPECT_TRUE(AwaitExit(world));
   for (const TestCallPtr& call : calls) {
     EXPECT_EQ(200, call->mStatus);
   }
--- a/tests/platform/OpenConnectionsTest.cpp
+++ b/tests/platform/OpenConnectionsTest.cpp
@@ -189,7 +189,7 @@
 
 // A change of the configuration that takes away what requests under way were
 // admitted by.
-struct TakenAway
+struct ConfigRemoval
 {
   const char* mName;
   void (*mChange)(Json::Value& aConfig);
@@ -206,7 +206,7 @@
   }
 }
 
-const TakenAway kTakenAway[] = {
+const ConfigRemoval kConfigRemovals[] = {
   { "Routes", [](Json::Value& aConfig) { aConfig["routes"].resize(1); } },
   { "Key",
     [](Json::Value& aConfig) {
@@ -228,14 +228,14 @@
     } },
 };
 
-class TakenAwayUnderWay : public testing::TestWithParam<TakenAway>
+class ConfigRemovalInFlight : public testing::TestWithParam<ConfigRemoval>
 {};
 
 } // namespace
 
 // Guards against a request under way, one that waits and one behind a stream
 // that end without an answer as a configuration takes away what they go by.
-TEST_P(TakenAwayUnderWay, AllAreAnswered)
+TEST_P(ConfigRemovalInFlight, AllAreAnswered)
 {
   EntryTestFleet world;
   world.mEngines[0]->mLoadTime = Seconds(1);
@@ -261,8 +261,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(OpenConnections,
-                         TakenAwayUnderWay,
-                         testing::ValuesIn(kTakenAway),
+                         ConfigRemovalInFlight,
+                         testing::ValuesIn(kConfigRemovals),
                          [](const auto& aInfo) { return aInfo.param.mName; });
 
 } // namespace caraway
--- a/tests/platform/RollingShutdownTest.cpp
+++ b/tests/platform/RollingShutdownTest.cpp
@@ -110,7 +110,7 @@
   Freshen(world);
   world.mInstances[reader]->Leave();
   world.For(Millis(150));
-  world.mStore->SetMood(reader, StandInStore::Mood::Silent);
+  world.mStore->SetFaultMode(reader, StandInStore::FaultMode::Silent);
   Withdraw(world);
   EXPECT_TRUE(world.Until([&] { return AllKnow(world, reader); }, Millis(700)));
 }
--- a/tests/property/EmptyZoneProperty.cpp
+++ b/tests/property/EmptyZoneProperty.cpp
@@ -84,7 +84,7 @@
       ++mTurn;
       for (auto& one : mInstances) {
         if (one->mAlive && mNow >= one->mFrozenUntil) {
-          Turn(*one);
+          RunPass(*one);
         }
       }
       Check();
@@ -195,7 +195,7 @@
     }
   }
 
-  void Turn(Instance& aOne)
+  void RunPass(Instance& aOne)
   {
     if (aOne.mLeaving && mNow >= aOne.mEndsAt) {
       if (!aOne.mCutFromStore) {
--- a/tests/property/WatchStepProperty.cpp
+++ b/tests/property/WatchStepProperty.cpp
@@ -38,7 +38,7 @@
 
 // All read what they may, and tell what they read; aLost: of a hundred notes.
 void
-Turn(std::vector<Reader>& aReaders, TimePoint aNow, int aLost)
+RunPass(std::vector<Reader>& aReaders, TimePoint aNow, int aLost)
 {
   for (Reader& reader : aReaders) {
     if (reader.mFrozen || reader.mTurnedAway || !reader.Reads(aNow)) {
@@ -79,7 +79,7 @@
     if (*rc::gen::inRange(0, 8) == 0) {
       one.mTurnedAway = !one.mTurnedAway;
     }
-    Turn(readers, now, 30);
+    RunPass(readers, now, 30);
     for (const Reader& reader : readers) {
       RC_ASSERT(reader.Reads(now) ||
                 now - reader.mUpdateAt < WatchStep::kMaxUpdateAge);
@@ -90,7 +90,7 @@
     reader.mTurnedAway = false;
   }
   for (int i = 0; i < 40; ++i, now += kTurn) {
-    Turn(readers, now, 0);
+    RunPass(readers, now, 0);
   }
   int reading = 0;
   for (const Reader& reader : readers) {
--- a/tests/property/ZoneTokensProperty.cpp
+++ b/tests/property/ZoneTokensProperty.cpp
@@ -68,7 +68,7 @@
     for (TimePoint end = mNow + aTime; mNow < end; mNow += kStep) {
       Trouble();
       for (auto& node : mNodes) {
-        Turn(*node);
+        RunPass(*node);
       }
       RunLateWrites();
       most = std::max(most, Sum());
@@ -177,7 +177,7 @@
            aOne.mSide == aOther.mSide;
   }
 
-  void Turn(Node& aNode)
+  void RunPass(Node& aNode)
   {
     if (!aNode.mAlive) {
       return;
--- a/tests/soak/SoakCaller.cpp
+++ b/tests/soak/SoakCaller.cpp
@@ -69,7 +69,7 @@
       self->OnData();
     }
   };
-  events.mEnd = [weak](ChannelEnd) {
+  events.mEnd = [weak](ChannelCloseReason) {
     if (auto self = weak.lock()) {
       self->OnEnd();
     }
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -102,14 +102,14 @@
     WriteHead(std::string("GET ") + wire::kReadyPath + " HTTP/1.1",
               { { "Host", "host" } });
   request.mFresh = true;
-  CallForAnswer(mWorld->mReactor,
-                mPool,
-                std::move(request),
-                kAskReadiness / 2,
-                [this, aIndex](ShortAnswer& aAnswer) {
-                  int& misses = mInstances[aIndex].mMisses;
-                  misses = aAnswer.mStatus == 200 ? 0 : misses + 1;
-                });
+  StartBufferedCall(mWorld->mReactor,
+                    mPool,
+                    std::move(request),
+                    kAskReadiness / 2,
+                    [this, aIndex](BufferedAnswer& aAnswer) {
+                      int& misses = mInstances[aIndex].mMisses;
+                      misses = aAnswer.mStatus == 200 ? 0 : misses + 1;
+                    });
 }
 
 std::optional<size_t>
@@ -309,13 +309,16 @@
 void
 SoakRun::TroubleStore(Millis aFor)
 {
-  constexpr StandInStore::Mood kMoods[] = { StandInStore::Mood::Silent,
-                                            StandInStore::Mood::Busy,
-                                            StandInStore::Mood::Loses };
+  constexpr StandInStore::FaultMode kMoods[] = {
+    StandInStore::FaultMode::Silent,
+    StandInStore::FaultMode::Busy,
+    StandInStore::FaultMode::Loses
+  };
   Note(TroubleKind::Store, 0, aFor);
-  mWorld->mStore->SetMoodOfAll(kMoods[static_cast<size_t>(Draw(0, 2))]);
-  mWorld->mReactor.After(
-    aFor, [this] { mWorld->mStore->SetMoodOfAll(StandInStore::Mood::Serves); });
+  mWorld->mStore->SetFaultModeOfAll(kMoods[static_cast<size_t>(Draw(0, 2))]);
+  mWorld->mReactor.After(aFor, [this] {
+    mWorld->mStore->SetFaultModeOfAll(StandInStore::FaultMode::Serves);
+  });
 }
 
 void
--- a/tests/support/EntryTestFleet.cpp
+++ b/tests/support/EntryTestFleet.cpp
@@ -201,11 +201,11 @@
     if (mClock.Now() >= end) {
       return false;
     }
-    mReactor.Turn(kTurn);
+    mReactor.RunPass(kTurn);
     for (size_t i = 0; i < mInstances.size(); ++i) {
       auto& instance = mInstances[i];
       if (instance && !instance->Gone() && !mFrozen.count(i)) {
-        instance->Turn(Millis(0));
+        instance->RunPass(Millis(0));
       }
     }
   }
@@ -254,7 +254,7 @@
       ReadAnswer(*caller);
     }
   };
-  events.mEnd = [weak](ChannelEnd) {
+  events.mEnd = [weak](ChannelCloseReason) {
     if (auto caller = weak.lock()) {
       caller->mClosed = true;
     }
@@ -305,7 +305,7 @@
   for (const HttpField& field : usual) {
     bool given = false;
     for (const HttpField& own : aFields) {
-      given = given || SameName(own.mName, field.mName);
+      given = given || EqualsIgnoreCase(own.mName, field.mName);
     }
     if (!given) {
       fields.push_back(field);
--- a/tests/support/StandInServer.cpp
+++ b/tests/support/StandInServer.cpp
@@ -126,7 +126,7 @@
   visitor->mChannel = Channel::Accepted(mReactor, aSocket);
   Channel::Events events;
   events.mData = [this, visitor] { OnData(visitor); };
-  events.mEnd = [this, visitor](ChannelEnd) {
+  events.mEnd = [this, visitor](ChannelCloseReason) {
     visitor->mGone = true;
     mLeft += visitor->mWorking ? 1 : 0;
   };
--- a/tests/support/StandInStore.cpp
+++ b/tests/support/StandInStore.cpp
@@ -23,7 +23,7 @@
   }
 
   StandInStore& mStore;
-  Mood mMood = Mood::Serves;
+  FaultMode mFaultMode = FaultMode::Serves;
   std::string mMutedKind;
   std::shared_ptr<ListenPort> mListen;
 };
@@ -59,16 +59,16 @@
 }
 
 void
-StandInStore::SetMood(size_t aPort, Mood aMood)
+StandInStore::SetFaultMode(size_t aPort, FaultMode aMood)
 {
-  mPorts.at(aPort)->mMood = aMood;
+  mPorts.at(aPort)->mFaultMode = aMood;
 }
 
 void
-StandInStore::SetMoodOfAll(Mood aMood)
+StandInStore::SetFaultModeOfAll(FaultMode aMood)
 {
   for (auto& port : mPorts) {
-    port->mMood = aMood;
+    port->mFaultMode = aMood;
   }
 }
 
@@ -160,7 +160,7 @@
                      int aStatus,
                      const Json::Value& aBody)
 {
-  if (aPort.mMood == Mood::Silent || !aConn->Open()) {
+  if (aPort.mFaultMode == FaultMode::Silent || !aConn->Open()) {
     return;
   }
   aConn->Answer(
@@ -173,10 +173,10 @@
                      InboundRequest& aRequest)
 {
   ++mCalls;
-  if (aPort.mMood == Mood::Silent) {
+  if (aPort.mFaultMode == FaultMode::Silent) {
     return;
   }
-  if (aPort.mMood == Mood::Busy) {
+  if (aPort.mFaultMode == FaultMode::Busy) {
     Answer(aPort, aConn, 503, Json::Value(Json::objectValue));
     return;
   }
@@ -309,7 +309,7 @@
   } else {
     Put(kind, name, aBody["spec"]);
   }
-  if (aPort.mMood == Mood::Loses) {
+  if (aPort.mFaultMode == FaultMode::Loses) {
     return;
   }
   bool there = objects.count(name) > 0;
--- a/tests/support/StandInStore.h
+++ b/tests/support/StandInStore.h
@@ -19,7 +19,7 @@
 class StandInStore
 {
 public:
-  enum class Mood
+  enum class FaultMode
   {
     Serves,
     Silent, // reads calls, answers none
@@ -32,8 +32,8 @@
 
   // Address of a new port.
   std::string Open();
-  void SetMood(size_t aPort, Mood aMood);
-  void SetMoodOfAll(Mood aMood);
+  void SetFaultMode(size_t aPort, FaultMode aMood);
+  void SetFaultModeOfAll(FaultMode aMood);
 
   // As the operator or a server.
   int64_t Put(const std::string& aKind,
--- a/tests/unit/ChannelPoolTest.cpp
+++ b/tests/unit/ChannelPoolTest.cpp
@@ -24,14 +24,14 @@
   {
     auto channel = Channel::Connect(mReactor, mAddress, Seconds(1));
     mServer = mListener.acceptConnection();
-    Turn();
+    RunPass();
     mPool.Keep(mAddress, kPeer, channel, Seconds(10));
   }
 
-  void Turn()
+  void RunPass()
   {
     for (int i = 0; i < 5; ++i) {
-      mReactor.Turn(Millis(5));
+      mReactor.RunPass(Millis(5));
     }
   }
 
--- a/tests/unit/ChannelTest.cpp
+++ b/tests/unit/ChannelTest.cpp
@@ -28,7 +28,7 @@
   TimePoint until = clock.Now() + Seconds(10);
   size_t got = 0;
   while (got < kBytes && clock.Now() < until) {
-    reactor.Turn(Millis(20));
+    reactor.RunPass(Millis(20));
     got += reader->Input().size();
     reader->Input().clear();
   }
@@ -54,12 +54,12 @@
   for (size_t from = 0; from < kBytes; from += kAtOnce) {
     TimePoint until = clock.Now() + Millis(400);
     while (clock.Now() < until) {
-      reactor.Turn(Millis(20));
+      reactor.RunPass(Millis(20));
     }
     size_t part = 0;
     int count = 1;
     while (part < kAtOnce && count > 0) {
-      reactor.Turn(Millis(0));
+      reactor.RunPass(Millis(0));
       count =
         reader.receiveBytes(bytes.data(), static_cast<int>(kAtOnce - part));
       part += count > 0 ? static_cast<size_t>(count) : 0;
@@ -81,7 +81,7 @@
   writer->Finish();
   TimePoint until = clock.Now() + Seconds(8);
   while (writer->Open() && clock.Now() < until) {
-    reactor.Turn(Millis(20));
+    reactor.RunPass(Millis(20));
   }
   EXPECT_FALSE(writer->Open());
 }
--- a/tests/unit/SettingsWatchTest.cpp
+++ b/tests/unit/SettingsWatchTest.cpp
@@ -48,7 +48,7 @@
   auto turnFor = [&](Millis aTime) {
     TimePoint until = clock.Now() + aTime;
     while (clock.Now() < until) {
-      state.mReactor.Turn(Millis(20));
+      state.mReactor.RunPass(Millis(20));
     }
   };
   Write(path, "12");
--- a/tests/unit/WireMessagesTest.cpp
+++ b/tests/unit/WireMessagesTest.cpp
@@ -67,7 +67,7 @@
 
 TEST(WireSettings, ReadsWhatTheInstanceNeeds)
 {
-  SettingsReading reading = ReadSettings(kSettings);
+  SettingsResult reading = ReadSettings(kSettings);
   EXPECT_TRUE(reading.mTroubles.empty());
   EXPECT_EQ("front-1", reading.mSettings.mName);
   EXPECT_EQ("10.1.0.25:7600", reading.mSettings.mPeers);
@@ -83,9 +83,9 @@
   text = Without(text, "address");
   text = Replaced(text, "10.1.0.25:8221", "nowhere");
   text = Replaced(text, "graceS = 8", "graceS = true");
-  SettingsReading reading = ReadSettings(text);
+  SettingsResult reading = ReadSettings(text);
   std::vector<std::string> fields;
-  for (const SettingsTrouble& trouble : reading.mTroubles) {
+  for (const SettingsError& trouble : reading.mTroubles) {
     fields.push_back(trouble.mField);
     EXPECT_FALSE(trouble.mExpected.empty());
   }
@@ -262,7 +262,7 @@
                          "Connection: close\r\nAuthorization: Bearer k\r\n"
                          "Tenant: evil\r\nHold: evil\r\nX-Own: kept\r\n"
                          "Deadline-Remaining: 9\r\n\r\n");
-  ServerSend send;
+  ServerRequestFields send;
   send.mInstance = "i-1";
   send.mTenant = "t";
   send.mLeft = Millis(5);
