--- a/src/decide/LoadPriority.cpp
+++ b/src/decide/LoadPriority.cpp
@@ -3,11 +3,11 @@
 namespace caraway {
 
 LoadPriorityKey
-RankLoad(const LoadPriorityFacts& aWant, TimePoint aNow)
+RankLoad(const LoadPriorityFacts& aFacts, TimePoint aNow)
 {
-  bool popular = aWant.mAsked && aWant.mRate >= kPopularRate;
-  bool late = aNow + aWant.mLoad > aWant.mNeedBy;
-  return { !popular, aWant.mPriority, late, aWant.mSince };
+  bool popular = aFacts.mAsked && aFacts.mRate >= kPopularRate;
+  bool late = aNow + aFacts.mLoad > aFacts.mNeedBy;
+  return { !popular, aFacts.mPriority, late, aFacts.mSince };
 }
 
 } // namespace caraway
--- a/src/decide/LoadPriority.h
+++ b/src/decide/LoadPriority.h
@@ -35,7 +35,7 @@
 using LoadPriorityKey = std::tuple<bool, int, bool, TimePoint>;
 
 LoadPriorityKey
-RankLoad(const LoadPriorityFacts& aWant, TimePoint aNow);
+RankLoad(const LoadPriorityFacts& aFacts, TimePoint aNow);
 
 } // namespace caraway
 
--- a/src/decide/PlacementPlan.cpp
+++ b/src/decide/PlacementPlan.cpp
@@ -86,21 +86,21 @@
                      const Backend& aBackend,
                      const PlacementFacts& aFacts)
 {
-  std::vector<EvictionCandidate> victims;
+  std::vector<EvictionCandidate> candidates;
   for (const auto& [model, adapters] : aBackend.mModels) {
     if (aBackend.RequestsInFlight(model) == 0 &&
         !aFacts.mRecentlyLoaded.count({ aBackend.mEntry.mId, model })) {
-      victims.push_back({ model,
-                          ValueOf(aEngine, model, aFacts),
-                          MbOf(aEngine, model, adapters) });
+      candidates.push_back({ model,
+                             ValueOf(aEngine, model, aFacts),
+                             MbOf(aEngine, model, adapters) });
     }
   }
-  std::sort(victims.begin(),
-            victims.end(),
+  std::sort(candidates.begin(),
+            candidates.end(),
             [](const EvictionCandidate& aOne, const EvictionCandidate& aOther) {
               return aOne.mValue < aOther.mValue;
             });
-  return victims;
+  return candidates;
 }
 
 double
@@ -124,14 +124,14 @@
   const ModelWeights& weights = aEngine.mModels.at(aModel);
   double free = FreeMb(aEngine, aBackend.mModels);
   double lost = 0;
-  for (const EvictionCandidate& victim :
+  for (const EvictionCandidate& candidate :
        EvictionCandidatesOf(aEngine, aBackend, aFacts)) {
     if (free >= weights.mMb) {
       break;
     }
-    free += victim.mMb;
-    lost += victim.mValue;
-    aChoice.mEvict.push_back(victim.mModel);
+    free += candidate.mMb;
+    lost += candidate.mValue;
+    aChoice.mEvict.push_back(candidate.mModel);
   }
   if (free < weights.mMb) {
     return std::nullopt;
@@ -217,7 +217,7 @@
                     const std::string& aModel,
                     const ServerView& aServers,
                     const std::vector<std::string>& aZones,
-                    const std::string& aHere,
+                    const std::string& aOwnZone,
                     double aRate)
 {
   int ofModel = 0;
@@ -246,12 +246,12 @@
   bool full = ofAll >= kFullShare * slots;
   bool popular = aRate >= kPopularModelRate;
   if (slots == 0 || !(busy || (popular && full))) {
-    bool missing = zones[aHere].mReplicas == 0 && aRate > kEveryZoneRate;
+    bool missing = zones[aOwnZone].mReplicas == 0 && aRate > kEveryZoneRate;
     return missing ? ReplicaNeed::Soon : ReplicaNeed::None;
   }
   // One zone at a time adds one.
   for (const auto& [name, zone] : zones) {
-    if (zone.Rank() < zones[aHere].Rank()) {
+    if (zone.Rank() < zones[aOwnZone].Rank()) {
       return ReplicaNeed::None;
     }
   }
--- a/src/decide/PlacementPlan.h
+++ b/src/decide/PlacementPlan.h
@@ -84,15 +84,15 @@
   Now,  // they wait already
 };
 
-// Whether aHere should load another replica of aModel, asked for aRate times a
-// second: more is asked of the servers that hold it than they serve well, or a
-// busy model isn't held in this zone at all.
+// Whether aOwnZone should load another replica of aModel, asked for aRate times
+// a second: more is asked of the servers that hold it than they serve well, or
+// a busy model isn't held in this zone at all.
 ReplicaNeed
 EvaluateReplicaNeed(const std::string& aService,
                     const std::string& aModel,
                     const ServerView& aServers,
                     const std::vector<std::string>& aZones,
-                    const std::string& aHere,
+                    const std::string& aOwnZone,
                     double aRate);
 
 // Nothing when no server of the zone can ever take it: too large, or all that
--- a/src/decide/RunTimeEstimates.cpp
+++ b/src/decide/RunTimeEstimates.cpp
@@ -31,8 +31,8 @@
     estimate = { took, took / 2 };
     return;
   }
-  double off = std::abs(took - estimate.mMean);
-  estimate.mDeviation += kDeviationGain * (off - estimate.mDeviation);
+  double error = std::abs(took - estimate.mMean);
+  estimate.mDeviation += kDeviationGain * (error - estimate.mDeviation);
   estimate.mMean += kMeanGain * (took - estimate.mMean);
 }
 
--- a/src/decide/ServerInventory.cpp
+++ b/src/decide/ServerInventory.cpp
@@ -45,18 +45,18 @@
 HeldModels
 ServerInventory::UpperBound(TimePoint aNow) const
 {
-  HeldModels charged = mHeld;
-  for (const LateOrder& stray : mLateOrders) {
-    const ModelOrder& order = stray.mOrder;
-    if (!order.mLoad || aNow >= stray.mUntil || order.mOrders < mOrders) {
+  HeldModels bound = mHeld;
+  for (const LateOrder& late : mLateOrders) {
+    const ModelOrder& order = late.mOrder;
+    if (!order.mLoad || aNow >= late.mUntil || order.mOrders < mOrders) {
       continue;
     }
-    std::set<std::string>& adapters = charged[order.mModel];
+    std::set<std::string>& adapters = bound[order.mModel];
     if (!order.mAdapter.empty()) {
       adapters.insert(order.mAdapter);
     }
   }
-  return charged;
+  return bound;
 }
 
 bool
@@ -71,8 +71,8 @@
 bool
 ServerInventory::OnReport(const ServerReport& aReport)
 {
-  bool ours = !aReport.mStartTime || *aReport.mStartTime == mStartTime;
-  if (!ours || aReport.mBusy || aReport.mOrders < 0 ||
+  bool sameStart = !aReport.mStartTime || *aReport.mStartTime == mStartTime;
+  if (!sameStart || aReport.mBusy || aReport.mOrders < 0 ||
       aReport.mOrders < mOrders) {
     return false;
   }
@@ -118,7 +118,7 @@
 void
 ServerInventory::OnUnanswered(const ModelOrder& aOrder, TimePoint aNow)
 {
-  mUnanswered.push_back({ aOrder, aNow + kLate });
+  mUnanswered.push_back({ aOrder, aNow + kMaxOrderDelay });
 }
 
 void
@@ -130,9 +130,9 @@
 bool
 ServerInventory::OnLoadStillPending(const ServerReport& aReport)
 {
-  bool ours = !aReport.mStartTime || *aReport.mStartTime == mStartTime;
+  bool sameStart = !aReport.mStartTime || *aReport.mStartTime == mStartTime;
   bool model = !mLastLoad.first.empty() && mLastLoad.second.empty();
-  if (!ours || !model || !aReport.mBusy || aReport.mOrders != mOrders) {
+  if (!sameStart || !model || !aReport.mBusy || aReport.mOrders != mOrders) {
     return false;
   }
   return mPendingLoads.insert(mLastLoad).second;
--- a/src/decide/ServerInventory.h
+++ b/src/decide/ServerInventory.h
@@ -24,7 +24,7 @@
 {
 public:
   // An order without an answer may be carried out for so long.
-  static constexpr Millis kLate{ 20000 };
+  static constexpr Millis kMaxOrderDelay{ 20000 };
 
   explicit ServerInventory(int64_t aStartTime = 0)
     : mStartTime(aStartTime)
--- a/src/decide/ServerRetryBudget.cpp
+++ b/src/decide/ServerRetryBudget.cpp
@@ -11,7 +11,7 @@
 constexpr double kPlannedShare = 0.6;
 
 void
-ForgetBefore(std::deque<TimePoint>& aTimes, TimePoint aEdge)
+DropBefore(std::deque<TimePoint>& aTimes, TimePoint aEdge)
 {
   while (!aTimes.empty() && aTimes.front() < aEdge) {
     aTimes.pop_front();
@@ -26,18 +26,18 @@
 }
 
 void
-ServerRetryBudget::Forget(Log& aLog, TimePoint aNow) const
+ServerRetryBudget::DropOld(History& aHistory, TimePoint aNow) const
 {
-  ForgetBefore(aLog.mRequests, aNow - mLimits.mWindow);
-  ForgetBefore(aLog.mRepeats, aNow - mLimits.mWindow);
+  DropBefore(aHistory.mRequests, aNow - mLimits.mWindow);
+  DropBefore(aHistory.mRetries, aNow - mLimits.mWindow);
 }
 
 void
 ServerRetryBudget::OnRequest(const std::string& aService, TimePoint aNow)
 {
-  Log& log = mHistories[aService];
-  log.mRequests.push_back(aNow);
-  Forget(log, aNow);
+  History& history = mHistories[aService];
+  history.mRequests.push_back(aNow);
+  DropOld(history, aNow);
 }
 
 bool
@@ -45,14 +45,16 @@
                          int aInstances,
                          TimePoint aNow)
 {
-  Log& log = mHistories[aService];
-  Forget(log, aNow);
-  double allowed = mLimits.mRatio * static_cast<double>(log.mRequests.size()) +
-                   mLimits.mSlack / std::max(1, aInstances);
-  if (static_cast<double>(log.mRepeats.size() + 1) > kPlannedShare * allowed) {
+  History& history = mHistories[aService];
+  DropOld(history, aNow);
+  double allowed =
+    mLimits.mRatio * static_cast<double>(history.mRequests.size()) +
+    mLimits.mSlack / std::max(1, aInstances);
+  if (static_cast<double>(history.mRetries.size() + 1) >
+      kPlannedShare * allowed) {
     return false;
   }
-  log.mRepeats.push_back(aNow);
+  history.mRetries.push_back(aNow);
   return true;
 }
 
--- a/src/decide/ServerRetryBudget.h
+++ b/src/decide/ServerRetryBudget.h
@@ -34,15 +34,15 @@
   bool Spend(const std::string& aService, int aInstances, TimePoint aNow);
 
 private:
-  struct Log
+  struct History
   {
     std::deque<TimePoint> mRequests;
-    std::deque<TimePoint> mRepeats;
+    std::deque<TimePoint> mRetries;
   };
-  void Forget(Log& aLog, TimePoint aNow) const;
+  void DropOld(History& aHistory, TimePoint aNow) const;
 
   ServerRetryLimits mLimits;
-  std::map<std::string, Log> mHistories;
+  std::map<std::string, History> mHistories;
 };
 
 } // namespace caraway
--- a/src/decide/ServerView.cpp
+++ b/src/decide/ServerView.cpp
@@ -113,13 +113,13 @@
 int
 Backend::RequestsInFlight() const
 {
-  return Total(mMine) + Total(mOthers);
+  return Total(mMine) + Total(mPeerRequests);
 }
 
 int
 Backend::RequestsInFlight(const std::string& aName) const
 {
-  return CountOf(mMine, aName) + CountOf(mOthers, aName);
+  return CountOf(mMine, aName) + CountOf(mPeerRequests, aName);
 }
 
 bool
@@ -160,9 +160,9 @@
   backend.mEntry = aEntry;
   if (added) {
     for (const auto& [peer, counts] : mPeerCounts) {
-      auto told = counts.find(aEntry.mId);
-      if (told != counts.end()) {
-        AddPeerRequests({ *told }, 1);
+      auto found = counts.find(aEntry.mId);
+      if (found != counts.end()) {
+        AddPeerRequests({ *found }, 1);
       }
     }
   }
@@ -176,10 +176,11 @@
     backend.mAddressReusedUntil = TimePoint();
     return true;
   }
-  bool told = backend.mReportedAt != TimePoint() &&
-              aNow - backend.mReportedAt < kReportedContentLife;
+  bool reported = backend.mReportedAt != TimePoint() &&
+                  aNow - backend.mReportedAt < kReportedContentLife;
   bool changed =
-    !told && ApplyEntryChanges(before.mModels, aEntry.mModels, backend.mModels);
+    !reported &&
+    ApplyEntryChanges(before.mModels, aEntry.mModels, backend.mModels);
   return changed || before.mDraining != aEntry.mDraining;
 }
 
@@ -216,31 +217,33 @@
 }
 
 ServerChoice
-ServerView::Choose(const ServerRequirements& aWish,
+ServerView::Choose(const ServerRequirements& aRequirements,
                    TimePoint aNow,
                    std::mt19937& aRandom)
 {
   ServerChoice choice;
-  std::uniform_real_distribution<double> chance(0, kTieBreakNoise);
+  std::uniform_real_distribution<double> noise(0, kTieBreakNoise);
   double best = 0;
   bool bestAvoided = true;
   for (auto& [id, backend] : mBackends) {
-    if (backend.mEntry.mService != aWish.mService || backend.mEntry.mDraining ||
-        aNow < backend.mAddressReusedUntil || aWish.mExcluded.count(id) ||
-        (!aWish.mOnly.empty() && !aWish.mOnly.count(id))) {
+    if (backend.mEntry.mService != aRequirements.mService ||
+        backend.mEntry.mDraining || aNow < backend.mAddressReusedUntil ||
+        aRequirements.mExcluded.count(id) ||
+        (!aRequirements.mOnly.empty() && !aRequirements.mOnly.count(id))) {
       continue;
     }
-    if (!aWish.mModel.empty() &&
-        (!backend.Holds(aWish.mModel, aWish.mAdapter) ||
-         backend.SuspectedMissing(aWish.mModel, aWish.mAdapter, aNow))) {
+    if (!aRequirements.mModel.empty() &&
+        (!backend.Holds(aRequirements.mModel, aRequirements.mAdapter) ||
+         backend.SuspectedMissing(
+           aRequirements.mModel, aRequirements.mAdapter, aNow))) {
       continue;
     }
     choice.mHeld = true;
     if (backend.RequestsInFlight() >=
-        aWish.mMaxPerSlot * std::max(1, backend.mEntry.mSlots)) {
+        aRequirements.mMaxPerSlot * std::max(1, backend.mEntry.mSlots)) {
       continue;
     }
-    double cost = CostOf(backend, aWish.mZone) + chance(aRandom);
+    double cost = CostOf(backend, aRequirements.mZone) + noise(aRandom);
     // Those to be avoided are used only where nobody else is left: a zone
     // must not be emptied by suspicion alone.
     bool avoided = aNow < backend.mAvoidUntil;
@@ -276,15 +279,17 @@
 }
 
 void
-ServerView::Heard(const std::string& aId, ServerOutcome aNews, TimePoint aNow)
+ServerView::Heard(const std::string& aId,
+                  ServerOutcome aOutcome,
+                  TimePoint aNow)
 {
   Backend* backend = Find(aId);
   if (!backend) {
     return;
   }
-  double failed = aNews == ServerOutcome::Good ? 0 : 1;
+  double failed = aOutcome == ServerOutcome::Good ? 0 : 1;
   backend->mFailureShare += kSampleWeight * (failed - backend->mFailureShare);
-  if (aNews != ServerOutcome::Broken) {
+  if (aOutcome != ServerOutcome::Broken) {
     backend->mConsecutiveFailures = 0;
     return;
   }
@@ -343,10 +348,10 @@
       continue;
     }
     for (const auto& [model, count] : models) {
-      auto at = backend->mOthers.emplace(model, 0).first;
+      auto at = backend->mPeerRequests.emplace(model, 0).first;
       at->second += aSign * count;
       if (at->second <= 0) {
-        backend->mOthers.erase(at);
+        backend->mPeerRequests.erase(at);
       }
     }
   }
--- a/src/decide/ServerView.h
+++ b/src/decide/ServerView.h
@@ -23,9 +23,9 @@
   std::map<std::pair<std::string, std::string>, TimePoint> mSuspectedMissing;
   // Own requests under way, by MODEL or MODEL/ADAPTER.
   std::map<std::string, int> mMine;
-  std::map<std::string, int> mOthers; // those of other instances, as told
-  int mConsecutiveFailures = 0;       // failures in a row
-  double mFailureShare = 0;           // share of late failures, 0 to 1
+  std::map<std::string, int> mPeerRequests; // those of other instances, as told
+  int mConsecutiveFailures = 0;             // failures in a row
+  double mFailureShare = 0;                 // share of late failures, 0 to 1
   TimePoint mAvoidUntil{};
   TimePoint mAddressReusedUntil{}; // another server answers at its address
   TimePoint mLoadingUntil{};       // takes no order before, as its holder told
@@ -96,14 +96,14 @@
   std::map<std::string, Backend>& All() { return mBackends; }
   const std::map<std::string, Backend>& All() const { return mBackends; }
 
-  ServerChoice Choose(const ServerRequirements& aWish,
+  ServerChoice Choose(const ServerRequirements& aRequirements,
                       TimePoint aNow,
                       std::mt19937& aRandom);
 
   // aName: MODEL or MODEL/ADAPTER.
   void Began(const std::string& aId, const std::string& aName);
   void Ended(const std::string& aId, const std::string& aName);
-  void Heard(const std::string& aId, ServerOutcome aNews, TimePoint aNow);
+  void Heard(const std::string& aId, ServerOutcome aOutcome, TimePoint aNow);
   // Another server answered at its address, which is given out again after
   // the server's end. Nothing is sent there for aFor, in which its entry
   // goes; each request sent there would be refused and sent once more.
--- a/src/decide/StoreLoadTracker.cpp
+++ b/src/decide/StoreLoadTracker.cpp
@@ -21,7 +21,7 @@
 
 // Of another zone's load that takes longer than it was expected to, and whose
 // end isn't told.
-constexpr int kPatience = 2;
+constexpr int kOverdueFactor = 2;
 
 // A server that loads from the store carries out no other order for as long as
 // half a dozen loads from disks take, so few of a zone's do at once.
@@ -34,7 +34,7 @@
 constexpr double kRounding = 1e-6;
 
 // Until it is looked at again whether a slow load has ended.
-constexpr Millis kSoon{ 100 };
+constexpr Millis kRecheckInterval{ 100 };
 
 } // namespace
 
@@ -46,15 +46,15 @@
 void
 StoreLoadTracker::SetLimits(double aPerSecond, size_t aZones, size_t aServers)
 {
-  mAtOnce = std::max<size_t>(1, aServers / kServersPerLoad);
+  mMaxConcurrent = std::max<size_t>(1, aServers / kServersPerLoad);
   mPerSecond = aPerSecond / static_cast<double>(std::max<size_t>(1, aZones));
 }
 
 size_t
-StoreLoadTracker::RequestsInFlight(TimePoint aNow) const
+StoreLoadTracker::LoadsInProgress(TimePoint aNow) const
 {
   size_t count = mRunning.size();
-  for (const auto& [server, end] : mOthers) {
+  for (const auto& [server, end] : mOtherZoneLoads) {
     count += aNow < end ? 1 : 0;
   }
   return count;
@@ -64,20 +64,20 @@
 StoreLoadTracker::Wait(TimePoint aNow) const
 {
   Millis wait{ 0 };
-  bool most = mRunning.size() >= mAtOnce;
-  if (most || static_cast<double>(RequestsInFlight(aNow) + 1) >
+  bool full = mRunning.size() >= mMaxConcurrent;
+  if (full || static_cast<double>(LoadsInProgress(aNow) + 1) >
                 mEstimatedCapacity + kRounding) {
     TimePoint first = TimePoint::max();
     for (const auto& [server, load] : mRunning) {
-      first = std::min(first, load.mBegan + load.mUsual);
+      first = std::min(first, load.mBegan + load.mUsualTime);
     }
-    for (const auto& [server, end] : mOthers) {
+    for (const auto& [server, end] : mOtherZoneLoads) {
       first = aNow < end ? std::min(first, end) : first;
     }
     auto left = first == TimePoint::max()
-                  ? kSoon
+                  ? kRecheckInterval
                   : std::chrono::duration_cast<Millis>(first - aNow);
-    wait = std::max(left, kSoon);
+    wait = std::max(left, kRecheckInterval);
   }
   // At least one: a window's part below one would never let any begin.
   double inWindow = std::max(
@@ -97,10 +97,10 @@
 
 void
 StoreLoadTracker::Began(const std::string& aServer,
-                        Millis aUsual,
+                        Millis aUsualTime,
                         TimePoint aNow)
 {
-  mRunning[aServer] = { aNow, aUsual, RequestsInFlight(aNow) + 1 };
+  mRunning[aServer] = { aNow, aUsualTime, LoadsInProgress(aNow) + 1 };
   mBegan.push_back(aNow);
   while (aNow - mBegan.front() >= kWindow) {
     mBegan.pop_front();
@@ -117,19 +117,19 @@
     return;
   }
   const Load load = found->second;
-  double beside =
-    static_cast<double>(load.mConcurrent + RequestsInFlight(aNow)) / 2;
+  double concurrent =
+    static_cast<double>(load.mConcurrent + LoadsInProgress(aNow)) / 2;
   mRunning.erase(found);
-  if (!aLoaded || load.mUsual <= Millis(0)) {
+  if (!aLoaded || load.mUsualTime <= Millis(0)) {
     return;
   }
   double took = std::chrono::duration<double>(aNow - load.mBegan) /
-                std::chrono::duration<double>(load.mUsual);
+                std::chrono::duration<double>(load.mUsualTime);
   if (took > kSlowdownThreshold) {
     mEstimatedCapacity +=
       kSampleWeight *
-      (std::min(mEstimatedCapacity, beside / took) - mEstimatedCapacity);
-  } else if (beside + 1 > mEstimatedCapacity) {
+      (std::min(mEstimatedCapacity, concurrent / took) - mEstimatedCapacity);
+  } else if (concurrent + 1 > mEstimatedCapacity) {
     mEstimatedCapacity += kCapacityProbe;
   }
   mEstimatedCapacity = std::clamp(mEstimatedCapacity, 1.0, kMaxCapacity);
@@ -141,9 +141,9 @@
                                   TimePoint aNow)
 {
   if (aLeft <= Millis(0)) {
-    mOthers.erase(aServer);
+    mOtherZoneLoads.erase(aServer);
   } else {
-    mOthers[aServer] = aNow + aLeft * kPatience;
+    mOtherZoneLoads[aServer] = aNow + aLeft * kOverdueFactor;
   }
 }
 
--- a/src/decide/StoreLoadTracker.h
+++ b/src/decide/StoreLoadTracker.h
@@ -26,8 +26,8 @@
 
   // Until a load may begin; 0 = now.
   Millis Wait(TimePoint aNow) const;
-  // aUsual: what the load takes at full speed.
-  void Began(const std::string& aServer, Millis aUsual, TimePoint aNow);
+  // aUsualTime: what the load takes at full speed.
+  void Began(const std::string& aServer, Millis aUsualTime, TimePoint aNow);
   // aLoaded: it came; else it was given up.
   void Ended(const std::string& aServer, bool aLoaded, TimePoint aNow);
   // Another zone's load; aLeft 0 = it has ended.
@@ -42,17 +42,17 @@
   struct Load
   {
     TimePoint mBegan{};
-    Millis mUsual{ 0 };
+    Millis mUsualTime{ 0 };
     size_t mConcurrent = 0; // under way when it began, itself included
   };
-  size_t RequestsInFlight(TimePoint aNow) const;
+  size_t LoadsInProgress(TimePoint aNow) const;
 
-  double mPerSecond = 0; // of this zone
-  size_t mAtOnce = 1;    // of this zone
+  double mPerSecond = 0;     // of this zone
+  size_t mMaxConcurrent = 1; // of this zone
   double mEstimatedCapacity;
   std::deque<TimePoint> mBegan;
-  std::map<std::string, Load> mRunning;     // by server
-  std::map<std::string, TimePoint> mOthers; // expected end, by server
+  std::map<std::string, Load> mRunning;             // by server
+  std::map<std::string, TimePoint> mOtherZoneLoads; // expected end, by server
 };
 
 } // namespace caraway
--- a/src/decide/ZoneChoice.cpp
+++ b/src/decide/ZoneChoice.cpp
@@ -14,25 +14,25 @@
 constexpr double kCrossZoneCost = 0.1;
 
 double
-CostOf(const ZoneOffer& aOffer, const std::string& aHere)
+CostOf(const ZoneOffer& aOffer, const std::string& aOwnZone)
 {
   double seconds = std::chrono::duration<double>(aOffer.mReadyIn).count();
   double queue =
     kSecondsPerLoad * aOffer.mQueued / std::max(1, aOffer.mServers);
-  return seconds + queue + (aOffer.mZone == aHere ? 0 : kCrossZoneCost);
+  return seconds + queue + (aOffer.mZone == aOwnZone ? 0 : kCrossZoneCost);
 }
 
 } // namespace
 
 std::string
-ChooseZone(const std::vector<ZoneOffer>& aOffers, const std::string& aHere)
+ChooseZone(const std::vector<ZoneOffer>& aOffers, const std::string& aOwnZone)
 {
-  auto best =
-    std::min_element(aOffers.begin(),
-                     aOffers.end(),
-                     [&aHere](const ZoneOffer& aOne, const ZoneOffer& aOther) {
-                       return CostOf(aOne, aHere) < CostOf(aOther, aHere);
-                     });
+  auto best = std::min_element(
+    aOffers.begin(),
+    aOffers.end(),
+    [&aOwnZone](const ZoneOffer& aOne, const ZoneOffer& aOther) {
+      return CostOf(aOne, aOwnZone) < CostOf(aOther, aOwnZone);
+    });
   return best == aOffers.end() ? "" : best->mZone;
 }
 
--- a/src/decide/ZoneChoice.h
+++ b/src/decide/ZoneChoice.h
@@ -22,9 +22,9 @@
   Millis mReadyIn{ 0 }; // until its best server has it, without those
 };
 
-// "" when there is no offer. aHere: this instance's zone.
+// "" when there is no offer. aOwnZone: this instance's zone.
 std::string
-ChooseZone(const std::vector<ZoneOffer>& aOffers, const std::string& aHere);
+ChooseZone(const std::vector<ZoneOffer>& aOffers, const std::string& aOwnZone);
 
 } // namespace caraway
 
--- a/tests/property/ServerInventoryProperty.cpp
+++ b/tests/property/ServerInventoryProperty.cpp
@@ -20,11 +20,11 @@
 constexpr Millis kStep{ 50 };
 
 // What a holder leaves out.
-enum class Without
+enum class OmittedSafeguard
 {
-  Nothing,
-  Rest,      // takes the report of a busy server for settled
-  LateUnload // counts the accepted unload of an adapter in use as done
+  None,
+  IdleReport,   // takes the report of a busy server for settled
+  PendingUnload // counts the accepted unload of an adapter in use as done
 };
 
 EngineSpec
@@ -51,13 +51,13 @@
   return count;
 }
 
-class World
+class ServerModel
 {
 public:
-  World(unsigned aSeed, Without aWithout)
+  ServerModel(unsigned aSeed, OmittedSafeguard aOmitted)
     : mRandom(aSeed)
-    , mWithout(aWithout)
-    , mAccount(mStartTime)
+    , mOmitted(aOmitted)
+    , mInventory(mStartTime)
   {
     mHeld["m0"];
   }
@@ -74,11 +74,11 @@
   }
 
 private:
-  struct Late
+  struct DelayedOrder
   {
     TimePoint mAt{};
     ModelOrder mOrder;
-    bool mOfAnother = false; // holder, which is lost
+    bool mFromLostHolder = false; // holder, which is lost
   };
   bool Chance(int aOneIn) { return mRandom() % unsigned(aOneIn) == 0; }
   std::string AnyModel() { return "m" + std::to_string(mRandom() % 8); }
@@ -89,10 +89,10 @@
   {
     if (mBusy && mNow >= mBusyUntil) {
       mBusy = false;
-      if (!mPendingLoads.empty()) {
-        mHeld[mPendingLoads];
+      if (!mLoadingModel.empty()) {
+        mHeld[mLoadingModel];
       }
-      mPendingLoads.clear();
+      mLoadingModel.clear();
     }
     for (auto at = mPendingUnloads.begin(); at != mPendingUnloads.end();) {
       bool ended = Chance(10);
@@ -101,9 +101,9 @@
       }
       at = ended ? mPendingUnloads.erase(at) : std::next(at);
     }
-    while (!mLate.empty() && mNow >= mLate.front().mAt) {
-      CarryOut(mLate.front().mOrder);
-      mLate.pop_front();
+    while (!mDelayed.empty() && mNow >= mDelayed.front().mAt) {
+      CarryOut(mDelayed.front().mOrder);
+      mDelayed.pop_front();
     }
     if (Chance(400)) {
       Restart();
@@ -114,19 +114,20 @@
   // played: nobody who is left knows of it.
   void Restart()
   {
-    mLate.erase(
-      std::remove_if(mLate.begin(),
-                     mLate.end(),
-                     [](const Late& aLate) { return aLate.mOfAnother; }),
-      mLate.end());
+    mDelayed.erase(std::remove_if(mDelayed.begin(),
+                                  mDelayed.end(),
+                                  [](const DelayedOrder& aDelayed) {
+                                    return aDelayed.mFromLostHolder;
+                                  }),
+                   mDelayed.end());
     ++mStartTime;
     mOrders = 0;
     mHeld.clear();
-    mPendingLoads.clear();
+    mLoadingModel.clear();
     mPendingUnloads.clear();
     mBusy = false;
     mReports.clear();
-    mAccount.Restart(mStartTime);
+    mInventory.Restart(mStartTime);
   }
 
   // Accepted, and whether it is done at once.
@@ -146,7 +147,7 @@
         return { true, true };
       }
       mBusy = true;
-      mPendingLoads = aOrder.mModel;
+      mLoadingModel = aOrder.mModel;
       mBusyUntil = mNow + Millis(mRandom() % 3000);
       return { true, false };
     }
@@ -182,52 +183,52 @@
   void Act()
   {
     if (Chance(60)) {
-      mAccount.Forget(); // another holder
+      mInventory.Forget(); // another holder
     } else if (Chance(60)) {
-      OtherHolder();
+      LoseHolder();
     }
-    if (!mAccount.Known()) {
-      Learn();
+    if (!mInventory.Known()) {
+      ReadReport();
       return;
     }
     ModelOrder order = Plan();
     if (order.mModel.empty()) {
       return;
     }
-    order.mOrders = mAccount.Orders();
-    if (order.mLoad && !mAccount.Fits(Engine(), order, mNow)) {
+    order.mOrders = mInventory.Orders();
+    if (order.mLoad && !mInventory.Fits(Engine(), order, mNow)) {
       return;
     }
     Send(order);
   }
 
   // One that was lost with an order under way; the next one takes over.
-  void OtherHolder()
+  void LoseHolder()
   {
     ServerInventory other(mStartTime);
     if (!mReports.empty() && other.OnReport(mReports.back())) {
       ModelOrder order{ true, AnyModel(), "", other.Orders(), "", 0 };
       if (!mHeld.count(order.mModel) && other.Fits(Engine(), order, mNow)) {
-        mLate.push_back({ mNow + Millis(mRandom() % 2000), order, true });
+        mDelayed.push_back({ mNow + Millis(mRandom() % 2000), order, true });
       }
     }
-    mAccount.Forget();
+    mInventory.Forget();
   }
 
-  void Learn()
+  void ReadReport()
   {
     if (mReports.empty()) {
       return;
     }
     ServerReport report = mReports[mRandom() % mReports.size()];
-    report.mBusy = report.mBusy && mWithout != Without::Rest;
-    mAccount.OnReport(report);
+    report.mBusy = report.mBusy && mOmitted != OmittedSafeguard::IdleReport;
+    mInventory.OnReport(report);
   }
 
   ModelOrder Plan()
   {
     ModelOrder order;
-    HeldModels usable = mAccount.Usable();
+    HeldModels usable = mInventory.Usable();
     order.mModel = AnyModel();
     bool held = usable.count(order.mModel) > 0;
     if (held && Chance(2)) {
@@ -236,56 +237,57 @@
     } else {
       order.mLoad = !held;
     }
-    bool coming = order.mLoad &&
-                  mAccount.UpperBound(mNow).count(order.mModel) &&
-                  order.mAdapter.empty();
-    return coming ? ModelOrder{ true, "", "", 0, "", 0 } : order;
+    bool pending = order.mLoad &&
+                   mInventory.UpperBound(mNow).count(order.mModel) &&
+                   order.mAdapter.empty();
+    return pending ? ModelOrder{ true, "", "", 0, "", 0 } : order;
   }
 
   void Send(const ModelOrder& aOrder)
   {
     if (Chance(8)) { // its answer is lost, and it comes late or never
-      mAccount.OnUnanswered(aOrder, mNow);
+      mInventory.OnUnanswered(aOrder, mNow);
       if (Chance(2)) {
-        mLate.push_back({ mNow + Millis(mRandom() % 4000), aOrder, false });
+        mDelayed.push_back({ mNow + Millis(mRandom() % 4000), aOrder, false });
       }
       return;
     }
     auto [accepted, done] = CarryOut(aOrder);
     if (!accepted) {
-      mAccount.Forget();
+      mInventory.Forget();
       return;
     }
     bool unload = !aOrder.mLoad && !aOrder.mAdapter.empty();
-    bool believed = done || (unload && mWithout == Without::LateUnload);
-    mAccount.OnAccepted(aOrder, believed);
+    bool believed =
+      done || (unload && mOmitted == OmittedSafeguard::PendingUnload);
+    mInventory.OnAccepted(aOrder, believed);
     if (aOrder.mLoad) {
-      mAccount.OnLoadFinished();
+      mInventory.OnLoadFinished();
     }
   }
 
   std::mt19937 mRandom;
-  Without mWithout;
+  OmittedSafeguard mOmitted;
   TimePoint mNow{ Seconds(1000) };
   int64_t mStartTime = 1;
   int64_t mOrders = 0;
   HeldModels mHeld;
-  std::string mPendingLoads;
+  std::string mLoadingModel;
   std::set<std::pair<std::string, std::string>> mPendingUnloads;
   bool mBusy = false;
   TimePoint mBusyUntil{};
-  std::deque<Late> mLate;
+  std::deque<DelayedOrder> mDelayed;
   std::deque<ServerReport> mReports;
-  ServerInventory mAccount;
+  ServerInventory mInventory;
   int mOverCapacityLoads = 0;
 };
 
 int
-CountOverCapacityLoads(Without aWithout, unsigned aRuns)
+CountOverCapacityLoads(OmittedSafeguard aOmitted, unsigned aRuns)
 {
   int overfull = 0;
   for (unsigned seed = 1; seed <= aRuns; ++seed) {
-    overfull += World(seed, aWithout).Run(400);
+    overfull += ServerModel(seed, aOmitted).Run(400);
   }
   return overfull;
 }
@@ -296,75 +298,77 @@
 // there.
 TEST(ServerInventoryRandom, NeverMoreThanFits)
 {
-  EXPECT_EQ(0, CountOverCapacityLoads(Without::Nothing, 2000));
+  EXPECT_EQ(0, CountOverCapacityLoads(OmittedSafeguard::None, 2000));
 }
 
 // Guards against a model test that can't find anything: it finds the room
 // overrun when a safeguard is left out.
 TEST(ServerInventoryRandom, EachSafeguardIsNeeded)
 {
-  EXPECT_GT(CountOverCapacityLoads(Without::Rest, 200), 0);
-  EXPECT_GT(CountOverCapacityLoads(Without::LateUnload, 200), 0);
+  EXPECT_GT(CountOverCapacityLoads(OmittedSafeguard::IdleReport, 200), 0);
+  EXPECT_GT(CountOverCapacityLoads(OmittedSafeguard::PendingUnload, 200), 0);
 }
 
 // Guards against an account that goes back by a report from before an order.
 TEST(ServerInventory, ReportOlderThanAnOrderIsIgnored)
 {
-  ServerInventory account(1);
+  ServerInventory inventory(1);
   ServerReport report;
   report.mOrders = 4;
   report.mModels = { { "m0", {} } };
   report.mStartTime = 1;
-  ASSERT_TRUE(account.OnReport(report));
-  account.OnAccepted({ true, "m1", "", 4, "", 0 }, false);
-  EXPECT_FALSE(account.OnReport(report));
-  EXPECT_EQ(2u, account.UpperBound(TimePoint()).size());
-  EXPECT_EQ(1u, account.Usable().size());
+  ASSERT_TRUE(inventory.OnReport(report));
+  inventory.OnAccepted({ true, "m1", "", 4, "", 0 }, false);
+  EXPECT_FALSE(inventory.OnReport(report));
+  EXPECT_EQ(2u, inventory.UpperBound(TimePoint()).size());
+  EXPECT_EQ(1u, inventory.Usable().size());
   report.mStartTime = 2;
   report.mOrders = 9;
-  EXPECT_FALSE(account.OnReport(report));
+  EXPECT_FALSE(inventory.OnReport(report));
 }
 
 // Guards against a load that was ordered of a server's former life, arrives at
 // its next one, and finds its room given away.
 TEST(ServerInventory, MemoryIsReservedForOrdersFromBeforeARestart)
 {
-  ServerInventory account(1);
+  ServerInventory inventory(1);
   ServerReport report;
   report.mStartTime = 1;
   report.mOrders = 1;
-  ASSERT_TRUE(account.OnReport(report));
-  account.OnUnanswered({ true, "m7", "", 1, "", 0 }, TimePoint());
-  account.Restart(2);
+  ASSERT_TRUE(inventory.OnReport(report));
+  inventory.OnUnanswered({ true, "m7", "", 1, "", 0 }, TimePoint());
+  inventory.Restart(2);
   report.mStartTime = 2;
   report.mOrders = 0;
   report.mModels = { { "m0", {} }, { "m1", {} } };
-  ASSERT_TRUE(account.OnReport(report));
+  ASSERT_TRUE(inventory.OnReport(report));
   ModelOrder third{ true, "m2", "", 0, "", 0 };
-  EXPECT_FALSE(account.Fits(Engine(), third, TimePoint() + Seconds(5)));
-  EXPECT_TRUE(account.Fits(
-    Engine(), third, TimePoint() + ServerInventory::kLate + Seconds(1)));
+  EXPECT_FALSE(inventory.Fits(Engine(), third, TimePoint() + Seconds(5)));
+  EXPECT_TRUE(
+    inventory.Fits(Engine(),
+                   third,
+                   TimePoint() + ServerInventory::kMaxOrderDelay + Seconds(1)));
 }
 
 // Guards against requests sent for seconds to a model that a server still
 // loads, its copy on disk having gone.
 TEST(ServerInventory, LoadStillPendingIsNotUsable)
 {
-  ServerInventory account(1);
+  ServerInventory inventory(1);
   ServerReport report;
   report.mStartTime = 1;
-  ASSERT_TRUE(account.OnReport(report));
-  account.OnAccepted({ true, "m1", "", 0, "", 0 }, false);
-  account.OnLoadFinished();
-  EXPECT_TRUE(account.Usable().count("m1"));
+  ASSERT_TRUE(inventory.OnReport(report));
+  inventory.OnAccepted({ true, "m1", "", 0, "", 0 }, false);
+  inventory.OnLoadFinished();
+  EXPECT_TRUE(inventory.Usable().count("m1"));
   report.mOrders = 1;
   report.mBusy = true;
-  EXPECT_TRUE(account.OnLoadStillPending(report));
-  EXPECT_FALSE(account.Usable().count("m1"));
+  EXPECT_TRUE(inventory.OnLoadStillPending(report));
+  EXPECT_FALSE(inventory.Usable().count("m1"));
   report.mBusy = false;
   report.mModels = { { "m1", {} } };
-  EXPECT_TRUE(account.OnReport(report));
-  EXPECT_TRUE(account.Usable().count("m1"));
+  EXPECT_TRUE(inventory.OnReport(report));
+  EXPECT_TRUE(inventory.Usable().count("m1"));
 }
 
 } // namespace caraway
