--- a/src/decide/LeaseStep.cpp
+++ b/src/decide/LeaseStep.cpp
@@ -11,7 +11,7 @@
 }
 
 bool
-LeaseStep::Mine(const LeaseRecord& aRecord) const
+LeaseStep::IsOwn(const LeaseRecord& aRecord) const
 {
   return aRecord.mHolder == mSelf;
 }
@@ -19,37 +19,37 @@
 LeaseAction
 LeaseStep::Due(TimePoint aNow)
 {
-  if (mPending || aNow < mNext) {
+  if (mCallPending || aNow < mNextActionAt) {
     return LeaseAction::None;
   }
   if (!mWanted) {
-    return GiveUp(aNow);
+    return BeginRelease(aNow);
   }
-  if (mToken > 0 && aNow >= mUntil) {
+  if (mToken > 0 && aNow >= mExpiresAt) {
     mToken = 0; // ended unrenewed: only taking it anew counts
     mSeen.reset();
   }
   if (mToken > 0) {
-    mPending = true;
+    mCallPending = true;
     mSettled = aNow >= mActFrom;
     return LeaseAction::Write;
   }
-  if (mHeard && aNow - mLastHeardAt < mTimes.mHeard) {
+  if (mHolderHeard && aNow - mLastHeardAt < mTimes.mHolderTimeout) {
     mSeen.reset(); // somebody lives who holds it
-    mNext = aNow + mTimes.mRetry;
+    mNextActionAt = aNow + mTimes.mRetry;
     return LeaseAction::None;
   }
   if (!mSeen || mRereadNeeded) {
     mRereadNeeded = false;
-    mPending = true;
+    mCallPending = true;
     return LeaseAction::Read;
   }
-  mNext = TakeableFrom();
-  if (aNow < mNext) {
+  mNextActionAt = TakeableFrom();
+  if (aNow < mNextActionAt) {
     return LeaseAction::None;
   }
-  mPending = true;
-  mSettled = Fresh();
+  mCallPending = true;
+  mSettled = NoOtherHolderBefore();
   return LeaseAction::Write;
 }
 
@@ -58,21 +58,21 @@
 // silence. A taking whose answer was lost, or whose process was killed, had
 // not.
 bool
-LeaseStep::Fresh() const
+LeaseStep::NoOtherHolderBefore() const
 {
-  return mSeen->mRevision == 0 || (Mine(*mSeen) && mSeen->mSettled);
+  return mSeen->mRevision == 0 || (IsOwn(*mSeen) && mSeen->mSettled);
 }
 
 LeaseAction
-LeaseStep::GiveUp(TimePoint aNow)
+LeaseStep::BeginRelease(TimePoint aNow)
 {
-  if (mToken == 0 || aNow >= mUntil) {
+  if (mToken == 0 || aNow >= mExpiresAt) {
     mToken = 0;
     mSeen.reset();
     return LeaseAction::None;
   }
   mReleasing = true;
-  mPending = true;
+  mCallPending = true;
   return LeaseAction::Write;
 }
 
@@ -80,11 +80,11 @@
 TimePoint
 LeaseStep::TakeableFrom() const
 {
-  if (Mine(*mSeen)) {
+  if (IsOwn(*mSeen)) {
     return mSeenAt;
   }
-  Millis lasts = mSeen->mHolder.empty() ? Millis(0) : mTimes.mLength;
-  return mSeenAt + lasts + mTimes.mYield;
+  Millis remaining = mSeen->mHolder.empty() ? Millis(0) : mTimes.mLength;
+  return mSeenAt + remaining + mTimes.mYield;
 }
 
 LeaseRecord
@@ -113,45 +113,45 @@
 void
 LeaseStep::OnRead(const std::optional<LeaseRecord>& aRecord, TimePoint aNow)
 {
-  mPending = false;
-  mNext = aNow;
+  mCallPending = false;
+  mNextActionAt = aNow;
   RecordSeen(aRecord.value_or(LeaseRecord()), aNow);
 }
 
 void
-LeaseStep::OnWritten(int64_t aRevision, TimePoint aAskedAt, TimePoint aNow)
+LeaseStep::OnWritten(int64_t aRevision, TimePoint aSentAt, TimePoint aNow)
 {
-  mPending = false;
+  mCallPending = false;
   if (mReleasing) {
     FinishRelease(aNow);
     return;
   }
   if (mToken == 0) {
     // Orders of another holder may have left just before its lease ended.
-    mActFrom = Fresh() ? aNow : aNow + mTimes.mSilence;
+    mActFrom = NoOtherHolderBefore() ? aNow : aNow + mTimes.mSilence;
   }
   LeaseRecord written = WantedRecord();
   written.mRevision = aRevision;
   mToken = written.mToken;
   mSeen = written;
   mSeenAt = aNow;
-  mUntil = aAskedAt + mTimes.mLength;
-  mNext = mWanted ? aAskedAt + mTimes.mRenew : aNow;
+  mExpiresAt = aSentAt + mTimes.mLength;
+  mNextActionAt = mWanted ? aSentAt + mTimes.mRenew : aNow;
 }
 
 void
 LeaseStep::OnConflict(const std::optional<LeaseRecord>& aRecord, TimePoint aNow)
 {
-  mPending = false;
+  mCallPending = false;
   if (mReleasing) {
     FinishRelease(aNow);
     return;
   }
   // A write of this process's own whose answer was lost shows as a conflict
   // with itself: it keeps its token, under the revision that is told.
-  if (mToken > 0 && aRecord && Mine(*aRecord) && aRecord->mToken == mToken) {
+  if (mToken > 0 && aRecord && IsOwn(*aRecord) && aRecord->mToken == mToken) {
     mSeen = aRecord;
-    mNext = aNow;
+    mNextActionAt = aNow;
     return;
   }
   mToken = 0;
@@ -159,14 +159,14 @@
   if (aRecord) {
     RecordSeen(*aRecord, aNow);
   }
-  mNext = aNow + mTimes.mRetry;
+  mNextActionAt = aNow + mTimes.mRetry;
 }
 
 void
 LeaseStep::OnFailed(TimePoint aNow)
 {
-  mPending = false;
-  mNext = aNow + mTimes.mRetry;
+  mCallPending = false;
+  mNextActionAt = aNow + mTimes.mRetry;
   mReleasing = false; // tried again until it ends by itself
 }
 
@@ -174,7 +174,7 @@
 LeaseStep::OnClaim(const std::string& aHolder, TimePoint aNow)
 {
   if (aHolder != mSelf) {
-    mHeard = true;
+    mHolderHeard = true;
     mLastHeardAt = aNow;
   }
 }
@@ -182,19 +182,19 @@
 void
 LeaseStep::OnHolderReleased(TimePoint aNow)
 {
-  mHeard = false;
-  if (mToken == 0 && !mPending) {
+  mHolderHeard = false;
+  if (mToken == 0 && !mCallPending) {
     mSeen.reset();
-    mNext = aNow;
+    mNextActionAt = aNow;
   }
 }
 
 void
 LeaseStep::LookAgain(TimePoint aNow)
 {
-  if (mToken == 0 && !mPending) {
+  if (mToken == 0 && !mCallPending) {
     mRereadNeeded = true;
-    mNext = aNow;
+    mNextActionAt = aNow;
   }
 }
 
@@ -204,7 +204,7 @@
   mReleasing = false;
   mToken = 0;
   mSeen.reset();
-  mNext = aNow;
+  mNextActionAt = aNow;
 }
 
 void
@@ -212,7 +212,7 @@
 {
   if (aWanted != mWanted) {
     mWanted = aWanted;
-    mNext = aNow;
+    mNextActionAt = aNow;
   }
 }
 
--- a/src/decide/LeaseStep.h
+++ b/src/decide/LeaseStep.h
@@ -34,8 +34,10 @@
   Millis mRenew{ 2000 };   // a third: two renewals may fail
   Millis mRetry{ 300 };    // after a call that failed
   Millis mSilence{ 3000 }; // after another holder's end, before acting
-  Millis mHeard{ 1500 };   // a holder that was heard of so lately is alive
-  Millis mYield{ 0 };      // a free lease is left to others for so long
+  Millis mHolderTimeout{
+    1500
+  };                  // a holder that was heard of so lately is alive
+  Millis mYield{ 0 }; // a free lease is left to others for so long
 };
 
 enum class LeaseAction
@@ -55,7 +57,7 @@
   LeaseRecord WantedRecord() const;
 
   void OnRead(const std::optional<LeaseRecord>& aRecord, TimePoint aNow);
-  void OnWritten(int64_t aRevision, TimePoint aAskedAt, TimePoint aNow);
+  void OnWritten(int64_t aRevision, TimePoint aSentAt, TimePoint aNow);
   // aRecord: the object as it is, when the store told.
   void OnConflict(const std::optional<LeaseRecord>& aRecord, TimePoint aNow);
   // No answer, or a refusal: a write may or may not have been done.
@@ -80,35 +82,35 @@
 
   bool Holds(TimePoint aNow) const
   {
-    return mWanted && mToken > 0 && aNow < mUntil;
+    return mWanted && mToken > 0 && aNow < mExpiresAt;
   }
   // Holds it, and the former holder's silence is over.
   bool MayAct(TimePoint aNow) const { return Holds(aNow) && aNow >= mActFrom; }
   int64_t Token() const { return mToken; }
   // It isn't wanted, and nothing is left to give up.
-  bool Released() const { return !mWanted && !mPending && mToken == 0; }
+  bool Released() const { return !mWanted && !mCallPending && mToken == 0; }
   // Of the lease as last read; "" = none.
   std::string SeenHolder() const { return mSeen ? mSeen->mHolder : ""; }
 
 private:
-  LeaseAction GiveUp(TimePoint aNow);
+  LeaseAction BeginRelease(TimePoint aNow);
   void FinishRelease(TimePoint aNow);
   TimePoint TakeableFrom() const;
   void RecordSeen(const LeaseRecord& aRecord, TimePoint aNow);
-  bool Mine(const LeaseRecord& aRecord) const;
-  bool Fresh() const;
+  bool IsOwn(const LeaseRecord& aRecord) const;
+  bool NoOtherHolderBefore() const;
 
   std::string mSelf;
   LeaseTimes mTimes;
   std::optional<LeaseRecord> mSeen; // as last read
   TimePoint mSeenAt{};              // when that revision was first read
   int64_t mToken = 0;               // > 0 while taken by this process
-  TimePoint mUntil{};
+  TimePoint mExpiresAt{};
   TimePoint mActFrom{};
-  TimePoint mNext{};
+  TimePoint mNextActionAt{};
   TimePoint mLastHeardAt{};
-  bool mHeard = false;
-  bool mPending = false;
+  bool mHolderHeard = false;
+  bool mCallPending = false;
   bool mWanted = true;
   bool mSettled = false;   // as the write under way tells it
   bool mReleasing = false; // the write under way does
--- a/src/decide/LeavePlan.cpp
+++ b/src/decide/LeavePlan.cpp
@@ -20,8 +20,8 @@
     return;
   }
   // With little time granted, most of it is for what is under way.
-  constexpr int kCallersShare = 3;
-  Millis callers = std::min(mTimes.mBalancerLag, aGrace / kCallersShare);
+  constexpr int kCallersDivisor = 3;
+  Millis callers = std::min(mTimes.mBalancerLag, aGrace / kCallersDivisor);
   Millis work = std::max(aGrace - mTimes.mEndMargin, Millis(0));
   mCallersUntil = std::min(mCallersUntil, mBegan + callers);
   mEnd = std::min(mEnd, mBegan + work);
--- a/src/decide/ZoneMembers.cpp
+++ b/src/decide/ZoneMembers.cpp
@@ -16,16 +16,17 @@
 }
 
 void
-ZoneMembers::SetHeartbeatInterval(Millis aGap)
+ZoneMembers::SetHeartbeatInterval(Millis aInterval)
 {
-  mSilent = std::max(kSilenceTimeout, aGap * kMissedHeartbeats);
+  mSilenceTimeout = std::max(kSilenceTimeout, aInterval * kMissedHeartbeats);
 }
 
 // It may have been forgotten meanwhile, however many it hears afterwards.
 void
 ZoneMembers::Tick(TimePoint aNow)
 {
-  if (mCounted && aNow - mSeenAt > mSilent && !Majority(aNow, mSilent)) {
+  if (mCounted && aNow - mSeenAt > mSilenceTimeout &&
+      !Majority(aNow, mSilenceTimeout)) {
     mCounted = false;
     mReplaced = false;
     mListed = false;
@@ -33,7 +34,7 @@
 }
 
 ZoneMembers::MemberPeer&
-ZoneMembers::Count(const std::string& aZonePeer, TimePoint aNow)
+ZoneMembers::AddPeer(const std::string& aZonePeer, TimePoint aNow)
 {
   auto [at, added] = mZonePeers.try_emplace(aZonePeer);
   if (added) {
@@ -53,8 +54,8 @@
   mSeenAt = aAskedAt;
   mMissing = false;
   mMarked = false;
-  for (auto& [name, mate] : mZonePeers) {
-    mate.mConfirmed = mate.mConfirmed && mCounted;
+  for (auto& [name, peer] : mZonePeers) {
+    peer.mConfirmed = peer.mConfirmed && mCounted;
   }
 }
 
@@ -67,7 +68,7 @@
   if (!mJoined || aAskedAt < mJoinedAt) {
     return; // it may lack this instance, or those that came with it
   }
-  std::map<std::string, MemberPeer> mates;
+  std::map<std::string, MemberPeer> peers;
   bool self = false;
   bool marked = false;
   for (const MemberEntry& entry : aEntries) {
@@ -77,23 +78,23 @@
       mReplaced = mReplaced || entry.mCounted;
       continue;
     }
-    MemberPeer mate = Count(entry.mName, aNow);
-    mate.mCounted = mate.mCounted || entry.mCounted;
+    MemberPeer peer = AddPeer(entry.mName, aNow);
+    peer.mCounted = peer.mCounted || entry.mCounted;
     if (!entry.mMarked) {
-      mate.mMarkedSince = TimePoint();
-    } else if (mate.mMarkedSince == TimePoint() ||
-               mate.mMarkRevision != entry.mRevision) {
-      mate.mMarkedSince = aNow; // each mark begins a time of its own
+      peer.mMarkedSince = TimePoint();
+    } else if (peer.mMarkedSince == TimePoint() ||
+               peer.mMarkRevision != entry.mRevision) {
+      peer.mMarkedSince = aNow; // each mark begins a time of its own
     }
-    mate.mMarkRevision = entry.mRevision;
-    mates[entry.mName] = std::move(mate);
+    peer.mMarkRevision = entry.mRevision;
+    peers[entry.mName] = std::move(peer);
   }
-  for (auto& [name, mate] : mZonePeers) {
-    if (mate.mAskedAt >= aAskedAt) {
-      mates.try_emplace(name, std::move(mate)); // it came since
+  for (auto& [name, peer] : mZonePeers) {
+    if (peer.mAskedAt >= aAskedAt) {
+      peers.try_emplace(name, std::move(peer)); // it came since
     }
   }
-  mZonePeers = std::move(mates);
+  mZonePeers = std::move(peers);
   mListed = true;
   mMissing = !self;
   mMarked = marked;
@@ -105,7 +106,7 @@
     return; // written again first, so that no late call removes it
   }
   mSeenAt = aAskedAt;
-  Look();
+  UpdateCounted();
 }
 
 void
@@ -117,7 +118,7 @@
   auto found = mZonePeers.find(aZonePeer);
   if (found != mZonePeers.end()) {
     found->second.mHeartbeatAt = aNow;
-    found->second.mPulse = aHeartbeat;
+    found->second.mHeartbeat = aHeartbeat;
   }
 }
 
@@ -127,10 +128,10 @@
 ZoneMembers::OnNewcomer(const std::string& aZonePeer, TimePoint aNow)
 {
   Tick(aNow);
-  MemberPeer& mate = Count(aZonePeer, aNow);
-  mate.mHeartbeatAt = aNow;
-  mate.mAskedAt = aNow;
-  mate.mCounted = true;
+  MemberPeer& peer = AddPeer(aZonePeer, aNow);
+  peer.mHeartbeatAt = aNow;
+  peer.mAskedAt = aNow;
+  peer.mCounted = true;
 }
 
 void
@@ -140,19 +141,19 @@
   if (found != mZonePeers.end()) {
     found->second.mConfirmed = true;
   }
-  Look();
+  UpdateCounted();
 }
 
 void
 ZoneMembers::OnLeft(const std::string& aZonePeer)
 {
   mZonePeers.erase(aZonePeer);
-  Look();
+  UpdateCounted();
 }
 
 // Once counted it stays so: whoever comes later asks this instance.
 void
-ZoneMembers::Look()
+ZoneMembers::UpdateCounted()
 {
   if (mJoined && mListed && !mMissing && (mReplaced || Unconfirmed().empty())) {
     mCounted = true;
@@ -160,7 +161,7 @@
 }
 
 size_t
-ZoneMembers::Counted() const
+ZoneMembers::CountedTotal() const
 {
   return 1 + static_cast<size_t>(std::count_if(
                mZonePeers.begin(), mZonePeers.end(), [](const auto& aOne) {
@@ -169,12 +170,13 @@
 }
 
 bool
-ZoneMembers::Hears(const MemberPeer& aZonePeer,
-                   TimePoint aNow,
-                   Millis aWithin) const
+ZoneMembers::IsConnected(const MemberPeer& aZonePeer,
+                         TimePoint aNow,
+                         Millis aWithin) const
 {
   return aNow - aZonePeer.mHeartbeatAt <= aWithin && aZonePeer.mCounted &&
-         aZonePeer.mPulse.mCounted && !aZonePeer.mPulse.mSilent.count(mSelf);
+         aZonePeer.mHeartbeat.mCounted &&
+         !aZonePeer.mHeartbeat.mSilent.count(mSelf);
 }
 
 // Of two, neither is one.
@@ -182,34 +184,34 @@
 ZoneMembers::Majority(TimePoint aNow, Millis aWithin) const
 {
   size_t heard = 1;
-  for (const auto& [name, mate] : mZonePeers) {
-    heard += Hears(mate, aNow, aWithin) ? 1 : 0;
+  for (const auto& [name, peer] : mZonePeers) {
+    heard += IsConnected(peer, aNow, aWithin) ? 1 : 0;
   }
-  return 2 * heard > Counted();
+  return 2 * heard > CountedTotal();
 }
 
 bool
 ZoneMembers::MaySpend(TimePoint aNow) const
 {
-  bool seen = aNow - mSeenAt <= mSilent;
-  return mCounted && !mLeft && (seen || Majority(aNow, mSilent));
+  bool seen = aNow - mSeenAt <= mSilenceTimeout;
+  return mCounted && !mLeft && (seen || Majority(aNow, mSilenceTimeout));
 }
 
 bool
 ZoneMembers::NeedsStore(TimePoint aNow) const
 {
-  bool going =
+  bool removing =
     std::any_of(mZonePeers.begin(), mZonePeers.end(), [](const auto& aOne) {
       return aOne.second.mMarkedSince != TimePoint();
     });
   // Early, so that its word is there when it is needed.
-  bool alone = !mCounted || !Majority(aNow, mSilent / 2);
-  return mJoined && !mLeft && (alone || going);
+  bool noMajority = !mCounted || !Majority(aNow, mSilenceTimeout / 2);
+  return mJoined && !mLeft && (noMajority || removing);
 }
 
 // A majority doesn't hear aZonePeer; of two, this instance doesn't.
 bool
-ZoneMembers::Lost(const std::string& aZonePeer, TimePoint aNow) const
+ZoneMembers::IsLost(const std::string& aZonePeer, TimePoint aNow) const
 {
   auto found = mZonePeers.find(aZonePeer);
   Millis silent{ 0 };
@@ -217,54 +219,55 @@
     silent =
       std::chrono::duration_cast<Millis>(aNow - found->second.mHeartbeatAt);
   }
-  if (silent <= mSilent || !mCounted) {
+  if (silent <= mSilenceTimeout || !mCounted) {
     return silent > kPresumedDead;
   }
-  size_t deaf = 1;
-  for (const auto& [name, mate] : mZonePeers) {
-    bool heard = aNow - mate.mHeartbeatAt <= mSilent;
-    bool weighs = heard && mate.mCounted && mate.mPulse.mCounted;
-    deaf += weighs && mate.mPulse.mSilent.count(aZonePeer) ? 1 : 0;
+  size_t notHearing = 1;
+  for (const auto& [name, peer] : mZonePeers) {
+    bool heard = aNow - peer.mHeartbeatAt <= mSilenceTimeout;
+    bool weighs = heard && peer.mCounted && peer.mHeartbeat.mCounted;
+    notHearing += weighs && peer.mHeartbeat.mSilent.count(aZonePeer) ? 1 : 0;
   }
-  return 2 * deaf > Counted() || Counted() == 2 || silent > kPresumedDead;
+  return 2 * notHearing > CountedTotal() || CountedTotal() == 2 ||
+         silent > kPresumedDead;
 }
 
 bool
 ZoneMembers::MayMark(const std::string& aZonePeer, TimePoint aNow) const
 {
-  return Lost(aZonePeer, aNow) &&
+  return IsLost(aZonePeer, aNow) &&
          mZonePeers.at(aZonePeer).mMarkedSince == TimePoint();
 }
 
 bool
 ZoneMembers::MayRemove(const std::string& aZonePeer, TimePoint aNow) const
 {
-  if (!Lost(aZonePeer, aNow)) {
+  if (!IsLost(aZonePeer, aNow)) {
     return false;
   }
   TimePoint marked = mZonePeers.at(aZonePeer).mMarkedSince;
-  return marked != TimePoint() && aNow - marked > mSilent + kMargin;
+  return marked != TimePoint() && aNow - marked > mSilenceTimeout + kMargin;
 }
 
 MemberHeartbeat
 ZoneMembers::Pulse(TimePoint aNow) const
 {
-  MemberHeartbeat pulse;
-  pulse.mCounted = mCounted;
-  for (const auto& [name, mate] : mZonePeers) {
-    if (aNow - mate.mHeartbeatAt > mSilent) {
-      pulse.mSilent.insert(name);
+  MemberHeartbeat heartbeat;
+  heartbeat.mCounted = mCounted;
+  for (const auto& [name, peer] : mZonePeers) {
+    if (aNow - peer.mHeartbeatAt > mSilenceTimeout) {
+      heartbeat.mSilent.insert(name);
     }
   }
-  return pulse;
+  return heartbeat;
 }
 
 std::vector<std::string>
 ZoneMembers::Unconfirmed() const
 {
   std::vector<std::string> names;
-  for (const auto& [name, mate] : mZonePeers) {
-    if (!mCounted && !mate.mConfirmed) {
+  for (const auto& [name, peer] : mZonePeers) {
+    if (!mCounted && !peer.mConfirmed) {
       names.push_back(name);
     }
   }
@@ -275,7 +278,7 @@
 ZoneMembers::All() const
 {
   std::vector<std::string> names{ mSelf };
-  for (const auto& [name, mate] : mZonePeers) {
+  for (const auto& [name, peer] : mZonePeers) {
     names.push_back(name);
   }
   std::sort(names.begin(), names.end());
--- a/src/decide/ZoneMembers.h
+++ b/src/decide/ZoneMembers.h
@@ -53,7 +53,7 @@
   explicit ZoneMembers(std::string aSelf);
 
   // Pulses of one mate come so often.
-  void SetHeartbeatInterval(Millis aGap);
+  void SetHeartbeatInterval(Millis aInterval);
 
   // Often: once out of touch, only the store's list lets it spend again.
   void Tick(TimePoint aNow);
@@ -100,19 +100,21 @@
     TimePoint mMarkedSince{}; // since when; none = unmarked
     TimePoint mAskedAt{};     // as a newcomer, to be counted
     int64_t mMarkRevision = 0;
-    MemberHeartbeat mPulse;
+    MemberHeartbeat mHeartbeat;
     bool mCounted = false;
     bool mConfirmed = false; // it counts this instance
   };
-  MemberPeer& Count(const std::string& aZonePeer, TimePoint aNow);
-  bool Hears(const MemberPeer& aZonePeer, TimePoint aNow, Millis aWithin) const;
+  MemberPeer& AddPeer(const std::string& aZonePeer, TimePoint aNow);
+  bool IsConnected(const MemberPeer& aZonePeer,
+                   TimePoint aNow,
+                   Millis aWithin) const;
   bool Majority(TimePoint aNow, Millis aWithin) const;
-  size_t Counted() const;
-  bool Lost(const std::string& aZonePeer, TimePoint aNow) const;
-  void Look();
+  size_t CountedTotal() const;
+  bool IsLost(const std::string& aZonePeer, TimePoint aNow) const;
+  void UpdateCounted();
 
   std::string mSelf;
-  Millis mSilent = kSilenceTimeout;
+  Millis mSilenceTimeout = kSilenceTimeout;
   std::map<std::string, MemberPeer> mZonePeers;
   TimePoint mJoinedAt{};
   TimePoint mSeenAt{}; // this instance's entry, unmarked
--- a/src/decide/ZoneTakeover.cpp
+++ b/src/decide/ZoneTakeover.cpp
@@ -17,10 +17,10 @@
 }
 
 void
-ZoneTakeover::SetHeartbeatInterval(Millis aGap)
+ZoneTakeover::SetHeartbeatInterval(Millis aInterval)
 {
-  mGap = aGap;
-  mSilent = std::max(kSilenceTimeout, aGap * kMissedHeartbeats);
+  mHeartbeatInterval = aInterval;
+  mSilenceTimeout = std::max(kSilenceTimeout, aInterval * kMissedHeartbeats);
 }
 
 void
@@ -28,7 +28,7 @@
 {
   mLastHeardAt = aNow;
   mEmptySince = TimePoint();
-  mListWait = kListAgain;
+  mListWait = kListInterval;
 }
 
 // A list that was asked for before somebody was heard may lack it.
@@ -41,7 +41,7 @@
   mListedAt = aAskedAt;
   mEntries = aEntries;
   mListWait =
-    aEntries > 0 ? std::min(mListWait * 2, kMaxListInterval) : kListAgain;
+    aEntries > 0 ? std::min(mListWait * 2, kMaxListInterval) : kListInterval;
   if (aEntries > 0 || aAskedAt <= mLastHeardAt) {
     mEmptySince = TimePoint();
   } else if (mEmptySince == TimePoint()) {
@@ -58,7 +58,8 @@
 bool
 ZoneTakeover::Silent(TimePoint aNow) const
 {
-  return aNow - mStart >= kStartupDelay && aNow - mLastHeardAt >= mSilent;
+  return aNow - mStart >= kStartupDelay &&
+         aNow - mLastHeardAt >= mSilenceTimeout;
 }
 
 // Those of a higher rank ask later, when nobody before them has taken it, and
@@ -69,12 +70,14 @@
   if (mLedHere) {
     return aNow - mListedAt >= kLeaderListInterval;
   }
-  Millis turn = std::max(kTurn, mGap * kRankDelayHeartbeats) * mRank;
-  bool led =
-    mLedByOtherAt != TimePoint() && aNow - mLedByOtherAt < mSilent + turn;
+  Millis delay =
+    std::max(kRankDelay, mHeartbeatInterval * kRankDelayHeartbeats) * mRank;
+  bool led = mLedByOtherAt != TimePoint() &&
+             aNow - mLedByOtherAt < mSilenceTimeout + delay;
   Millis wait =
     mListWait < kMaxListInterval ? mListWait : kMaxListInterval * (1 + mRank);
-  return Silent(aNow) && !led && aNow - mLastHeardAt >= mSilent + turn &&
+  return Silent(aNow) && !led &&
+         aNow - mLastHeardAt >= mSilenceTimeout + delay &&
          aNow - mListedAt >= wait;
 }
 
--- a/src/decide/ZoneTakeover.h
+++ b/src/decide/ZoneTakeover.h
@@ -23,7 +23,7 @@
   static constexpr Millis kEmptyConfirmTime{ 1000 };
   // Between lists; while the zone is led here, there is less haste. Where
   // instances are listed and silent, twice as long each time up to the last.
-  static constexpr Millis kListAgain{ 1000 };
+  static constexpr Millis kListInterval{ 1000 };
   static constexpr Millis kLeaderListInterval{ 2000 };
   static constexpr Millis kMaxListInterval{ 10000 };
   // An older list proves nothing.
@@ -31,7 +31,7 @@
   // Each candidate asks for lists later than those before it, by so many pulses
   // of one instance apiece, or so long.
   static constexpr int kRankDelayHeartbeats = 2;
-  static constexpr Millis kTurn{ 500 };
+  static constexpr Millis kRankDelay{ 500 };
   // It leaves a free lease to them for so long apiece.
   static constexpr Millis kRankYield{ 300 };
 
@@ -39,14 +39,14 @@
   explicit ZoneTakeover(TimePoint aNow);
 
   // Pulses of one instance come so often.
-  void SetHeartbeatInterval(Millis aGap);
+  void SetHeartbeatInterval(Millis aInterval);
   // How many living outsiders come before this one.
   void SetRank(int aRank) { mRank = aRank; }
 
   // An instance of the zone that isn't leaving was heard.
   void OnInstanceHeard(TimePoint aNow);
   // One was heard that leaves: its entry is about to go.
-  void OnLeaving() { mListWait = kListAgain; }
+  void OnLeaving() { mListWait = kListInterval; }
   // The store showed so many instances of the zone to a call of aAskedAt.
   void OnListed(int aEntries, TimePoint aAskedAt);
   // Another outsider leads the zone, or this one does.
@@ -66,8 +66,8 @@
   TimePoint HeardAt() const { return mLastHeardAt; }
 
 private:
-  Millis mSilent = kSilenceTimeout;
-  Millis mGap{ 0 };
+  Millis mSilenceTimeout = kSilenceTimeout;
+  Millis mHeartbeatInterval{ 0 };
   TimePoint mStart;
   TimePoint mLastHeardAt;
   TimePoint mListedAt{};
@@ -75,7 +75,7 @@
   TimePoint mLedByOtherAt{};
   int mEntries = -1;
   int mRank = 0;
-  Millis mListWait = kListAgain;
+  Millis mListWait = kListInterval;
   bool mLedHere = false;
 };
 
