--- a/src/decide/HeadroomHistory.cpp
+++ b/src/decide/HeadroomHistory.cpp
@@ -6,7 +6,7 @@
 namespace caraway {
 
 void
-HeadroomHistory::Note(TimePoint aNow, double aHeadroom)
+HeadroomHistory::Record(TimePoint aNow, double aHeadroom)
 {
   while (!mEntries.empty() && mEntries.back().mHeadroom >= aHeadroom) {
     mEntries.pop_back();
--- a/src/decide/HeadroomHistory.h
+++ b/src/decide/HeadroomHistory.h
@@ -18,7 +18,7 @@
 {
 public:
   // The bucket had aHeadroom tokens to its brim at aNow.
-  void Note(TimePoint aNow, double aHeadroom);
+  void Record(TimePoint aNow, double aHeadroom);
   // Least headroom noted at or after aSince.
   double MinSince(TimePoint aSince) const;
   // A refund of aTokens raised the level: every earlier headroom counts less.
--- a/src/decide/TenantTokenBucket.cpp
+++ b/src/decide/TenantTokenBucket.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Demand and income are taken over about a second.
-constexpr double kMemory = 1.0;
+constexpr double kAveragingSeconds = 1.0;
 
 // A lender keeps what its own callers will ask for in so many seconds, up to a
 // part of its bucket.
@@ -55,7 +55,8 @@
 void
 AddDecaying(double& aSum, TimePoint& aAt, double aMore, TimePoint aNow)
 {
-  aSum = aSum * std::exp(-SecondsBetween(aAt, aNow) / kMemory) + aMore;
+  aSum =
+    aSum * std::exp(-SecondsBetween(aAt, aNow) / kAveragingSeconds) + aMore;
   aAt = aNow;
 }
 
@@ -70,8 +71,8 @@
   mPart = aPart;
   double rate = aLimit.mRate * aPart;
   double burst = SplitBurst(aLimit) * aPart;
-  if (!mMade) {
-    mMade = true;
+  if (!mInitialized) {
+    mInitialized = true;
     mBucket = TokenBucket(rate, burst, aNow);
   } else if (mBucket.Rate() != rate || mBucket.Burst() != burst) {
     mBucket.Resize(rate, burst, aNow);
@@ -99,21 +100,23 @@
 double
 TenantTokenBucket::Demand(TimePoint aNow) const
 {
-  return mDemand * std::exp(-SecondsBetween(mDemandAt, aNow) / kMemory) /
-         kMemory;
+  return mDemand *
+         std::exp(-SecondsBetween(mDemandAt, aNow) / kAveragingSeconds) /
+         kAveragingSeconds;
 }
 
 double
-TenantTokenBucket::Income(TimePoint aNow) const
+TenantTokenBucket::PaidRate(TimePoint aNow) const
 {
   return mPaidTokens *
-         std::exp(-SecondsBetween(mPaidTokensAt, aNow) / kMemory) / kMemory;
+         std::exp(-SecondsBetween(mPaidTokensAt, aNow) / kAveragingSeconds) /
+         kAveragingSeconds;
 }
 
 double
-TenantTokenBucket::RequiredTokens(const QueuedTokenRequest& aWant) const
+TenantTokenBucket::RequiredTokens(const QueuedTokenRequest& aRequest) const
 {
-  return std::min(aWant.mTokens, kMaxGathered * SplitBurst(mLimit));
+  return std::min(aRequest.mTokens, kMaxGathered * SplitBurst(mLimit));
 }
 
 double
@@ -126,25 +129,25 @@
 TenantTokenBucket::Borrowed() const
 {
   double sum = 0;
-  for (const BorrowedTokens& loaned : mBorrowedTokens) {
-    sum += loaned.mTokens;
+  for (const BorrowedTokens& borrowed : mBorrowedTokens) {
+    sum += borrowed.mTokens;
   }
   return sum;
 }
 
 // The most urgent first, then in order of arrival.
 void
-TenantTokenBucket::Wait(const QueuedTokenRequest& aWant, TimePoint aNow)
+TenantTokenBucket::Wait(const QueuedTokenRequest& aRequest, TimePoint aNow)
 {
-  CountDemand(aWant.mTokens, aNow);
+  CountDemand(aRequest.mTokens, aNow);
   auto behind = std::upper_bound(
     mWaiting.begin(),
     mWaiting.end(),
-    aWant,
+    aRequest,
     [](const QueuedTokenRequest& aOne, const QueuedTokenRequest& aOther) {
       return aOne.mReserve < aOther.mReserve;
     });
-  mWaiting.insert(behind, aWant);
+  mWaiting.insert(behind, aRequest);
 }
 
 void
@@ -163,28 +166,28 @@
 TenantTokenBucket::DepositBorrowed(TimePoint aNow)
 {
   std::vector<BorrowedTokens> kept;
-  for (BorrowedTokens& loaned : mBorrowedTokens) {
-    if (!mWaiting.empty() && aNow < loaned.mUntil) {
-      kept.push_back(std::move(loaned));
-    } else if (aNow <= loaned.mUntil) {
-      mBucket.Add(loaned.mTokens, aNow);
+  for (BorrowedTokens& borrowed : mBorrowedTokens) {
+    if (!mWaiting.empty() && aNow < borrowed.mUntil) {
+      kept.push_back(std::move(borrowed));
+    } else if (aNow <= borrowed.mUntil) {
+      mBucket.Add(borrowed.mTokens, aNow);
     }
   }
   mBorrowedTokens = std::move(kept);
 }
 
 std::optional<TokenPaid>
-TenantTokenBucket::Pay(const QueuedTokenRequest& aWant, TimePoint aNow)
+TenantTokenBucket::Pay(const QueuedTokenRequest& aRequest, TimePoint aNow)
 {
-  double need = RequiredTokens(aWant);
-  double reserve = std::min(ReservedTokens(aWant.mReserve),
+  double need = RequiredTokens(aRequest);
+  double reserve = std::min(ReservedTokens(aRequest.mReserve),
                             std::max(0.0, mBucket.Burst() - need));
   double level = std::max(0.0, mBucket.Level(aNow));
   if (Borrowed() + level < need + reserve) {
     return std::nullopt;
   }
   TokenPaid paid;
-  paid.mId = aWant.mId;
+  paid.mId = aRequest.mId;
   double left = need;
   while (!mBorrowedTokens.empty() && left > 0) {
     BorrowedTokens& first = mBorrowedTokens.front();
@@ -201,10 +204,10 @@
   if (left > 0 && mBucket.Take(left, aNow)) {
     paid.mSources.push_back({ "", left });
   }
-  if (aWant.mTokens > need) {
-    mBucket.Overdraw(aWant.mTokens - need, aNow);
+  if (aRequest.mTokens > need) {
+    mBucket.Overdraw(aRequest.mTokens - need, aNow);
   }
-  AddDecaying(mPaidTokens, mPaidTokensAt, aWant.mTokens, aNow);
+  AddDecaying(mPaidTokens, mPaidTokensAt, aRequest.mTokens, aNow);
   return paid;
 }
 
@@ -213,18 +216,18 @@
 // away: who came back then would only take the tokens of those who can still be
 // served in time.
 TokenRefused
-TenantTokenBucket::Refuse(const QueuedTokenRequest& aWant, TimePoint aNow)
+TenantTokenBucket::Refuse(const QueuedTokenRequest& aRequest, TimePoint aNow)
 {
   double rate =
-    std::max({ Income(aNow), mBucket.Rate(), kMinPaceShare * mLimit.mRate });
+    std::max({ PaidRate(aNow), mBucket.Rate(), kMinPaceShare * mLimit.mRate });
   double pace = std::max(rate - Demand(aNow), kMinPaceShare * rate);
   TimePoint from = std::max(mPromisedUntil, aNow);
   TimePoint last = aNow + kMaxRetryAfter;
-  Millis cost =
-    std::min(InSeconds(aWant.mTokens / std::max(pace, 1e-6)), kMaxRetryAfter);
+  Millis cost = std::min(InSeconds(aRequest.mTokens / std::max(pace, 1e-6)),
+                         kMaxRetryAfter);
   mPromisedUntil = std::min(from + cost, last);
   Millis after = std::chrono::duration_cast<Millis>(mPromisedUntil - aNow);
-  return { aWant.mId, std::max(after, kMinRetryAfter) };
+  return { aRequest.mId, std::max(after, kMinRetryAfter) };
 }
 
 // The own part can pay the first who waits, nothing being borrowed.
@@ -246,7 +249,7 @@
 std::optional<TokenLoanCall>
 TenantTokenBucket::NextCall(TimePoint aNow)
 {
-  if (mAsking || aNow < mCallNext || mWaiting.empty()) {
+  if (mLoanCallPending || aNow < mCallNext || mWaiting.empty()) {
     return std::nullopt;
   }
   for (const std::string& holder : mHolders) {
@@ -255,15 +258,15 @@
       continue;
     }
     double missing = -Borrowed() - std::max(0.0, mBucket.Level(aNow));
-    for (const QueuedTokenRequest& want : mWaiting) {
-      missing += RequiredTokens(want);
+    for (const QueuedTokenRequest& request : mWaiting) {
+      missing += RequiredTokens(request);
     }
     missing += ReservedTokens(mWaiting.front().mReserve);
     missing = std::min(missing, kMaxGathered * SplitBurst(mLimit));
     if (missing <= 0) {
       return std::nullopt;
     }
-    mAsking = true;
+    mLoanCallPending = true;
     mCallNext = aNow + kMinCallInterval;
     return TokenLoanCall{ holder, missing, mWaiting.front().mReserve };
   }
@@ -283,28 +286,30 @@
     mWaiting.pop_front();
   }
   step.mCall = NextCall(aNow);
-  TimePoint loans = TimePoint::max();
+  TimePoint nextLoanAt = TimePoint::max();
   for (const std::string& holder : mHolders) {
     auto next = mAskNext.find(holder);
-    loans = std::min(loans, next == mAskNext.end() ? aNow : next->second);
+    nextLoanAt =
+      std::min(nextLoanAt, next == mAskNext.end() ? aNow : next->second);
   }
-  loans = mAsking ? aNow : std::max(loans, mCallNext);
-  TimePoint hope =
-    mWaiting.empty() ? TimePoint::max() : std::min(OwnTokensAt(aNow), loans);
+  nextLoanAt = mLoanCallPending ? aNow : std::max(nextLoanAt, mCallNext);
+  TimePoint payableAt = mWaiting.empty()
+                          ? TimePoint::max()
+                          : std::min(OwnTokensAt(aNow), nextLoanAt);
   std::deque<QueuedTokenRequest> waiting;
-  for (const QueuedTokenRequest& want : mWaiting) {
+  for (const QueuedTokenRequest& request : mWaiting) {
     // What is known to come too late is told at once.
-    if (aNow >= want.mUntil || hope > want.mUntil) {
-      step.mRefused.push_back(Refuse(want, aNow));
+    if (aNow >= request.mUntil || payableAt > request.mUntil) {
+      step.mRefused.push_back(Refuse(request, aNow));
     } else {
-      waiting.push_back(want);
+      waiting.push_back(request);
     }
   }
   mWaiting = std::move(waiting);
   DepositBorrowed(aNow);
-  for (const QueuedTokenRequest& want : mWaiting) {
+  for (const QueuedTokenRequest& request : mWaiting) {
     TimePoint until =
-      std::min(want.mUntil, std::max(hope, aNow + kMinCallInterval));
+      std::min(request.mUntil, std::max(payableAt, aNow + kMinCallInterval));
     step.mNextStepAt = std::min(step.mNextStepAt.value_or(until), until);
   }
   return step;
@@ -316,7 +321,7 @@
                           TimePoint aAskedAt,
                           TimePoint aNow)
 {
-  mAsking = false;
+  mLoanCallPending = false;
   if (aLoan.mTokens > 0 && aNow - aAskedAt < kLoanLife) {
     mBorrowedTokens.push_back({ aHolder, aLoan.mTokens, aAskedAt + kLoanLife });
   }
@@ -327,7 +332,7 @@
 void
 TenantTokenBucket::OnNoLoan(const std::string& aHolder, TimePoint aNow)
 {
-  mAsking = false;
+  mLoanCallPending = false;
   mAskNext[aHolder] = aNow + kSilentHolderPause;
 }
 
--- a/src/decide/TenantTokenBucket.h
+++ b/src/decide/TenantTokenBucket.h
@@ -79,7 +79,7 @@
   // Whom to ask, the nearest first.
   void SetHolders(std::vector<std::string> aHolders);
 
-  void Wait(const QueuedTokenRequest& aWant, TimePoint aNow);
+  void Wait(const QueuedTokenRequest& aRequest, TimePoint aNow);
   // Its caller has left; harmless when it isn't waiting.
   void Forget(uint64_t aId);
   TenantBucketStep Step(TimePoint aNow);
@@ -110,26 +110,27 @@
     TimePoint mUntil{}; // to be spent or banked by then
   };
   void CountDemand(double aTokens, TimePoint aNow);
-  double Demand(TimePoint aNow) const; // tokens a second
-  double Income(TimePoint aNow) const; // tokens a second that were paid here
-  double RequiredTokens(const QueuedTokenRequest& aWant) const;
+  double Demand(TimePoint aNow) const;   // tokens a second
+  double PaidRate(TimePoint aNow) const; // tokens a second that were paid here
+  double RequiredTokens(const QueuedTokenRequest& aRequest) const;
   double ReservedTokens(double aReserve) const;
   double Borrowed() const;
   void DepositBorrowed(TimePoint aNow);
-  std::optional<TokenPaid> Pay(const QueuedTokenRequest& aWant, TimePoint aNow);
-  TokenRefused Refuse(const QueuedTokenRequest& aWant, TimePoint aNow);
+  std::optional<TokenPaid> Pay(const QueuedTokenRequest& aRequest,
+                               TimePoint aNow);
+  TokenRefused Refuse(const QueuedTokenRequest& aRequest, TimePoint aNow);
   std::optional<TokenLoanCall> NextCall(TimePoint aNow);
   TimePoint OwnTokensAt(TimePoint aNow) const;
 
   TenantLimit mLimit;
   double mPart = 0;
   TokenBucket mBucket{ 0, 0, TimePoint() };
-  bool mMade = false; // mBucket began to fill
+  bool mInitialized = false; // mBucket began to fill
   std::deque<QueuedTokenRequest> mWaiting;
   std::vector<BorrowedTokens> mBorrowedTokens;
   std::vector<std::string> mHolders;
   std::map<std::string, TimePoint> mAskNext; // by holder
-  bool mAsking = false;
+  bool mLoanCallPending = false;
   TimePoint mCallNext{}; // paces what a flood of refusals asks
   double mDemand = 0;    // decaying sum
   TimePoint mDemandAt{};
--- a/src/decide/TokenBucket.cpp
+++ b/src/decide/TokenBucket.cpp
@@ -50,7 +50,7 @@
   }
   mHeadroom.ForgetBefore(mAt - kRefundWindow);
   // The level is highest just before it is taken from.
-  mHeadroom.Note(mAt, mBurst - mLevel);
+  mHeadroom.Record(mAt, mBurst - mLevel);
   mLevel -= aTokens;
   return true;
 }
@@ -59,8 +59,8 @@
 TokenBucket::GiveBack(double aTokens, TimePoint aTakenAt, TimePoint aNow)
 {
   Accrue(aNow);
-  bool ours = aTakenAt >= mStartTime && mAt - aTakenAt <= kRefundWindow;
-  if (!ours || aTokens <= 0) {
+  bool refundable = aTakenAt >= mStartTime && mAt - aTakenAt <= kRefundWindow;
+  if (!refundable || aTokens <= 0) {
     return 0;
   }
   // The headroom noted at the very moment of taking is from before it: from
@@ -104,7 +104,7 @@
   Accrue(aNow);
   if (aBurst > mBurst) {
     // Headroom from before was measured to the old, lower brim.
-    mHeadroom.Note(mAt, std::max(0.0, mBurst - mLevel));
+    mHeadroom.Record(mAt, std::max(0.0, mBurst - mLevel));
   }
   mRate = aRate;
   mBurst = aBurst;
