--- a/tests/property/EmptyZoneProperty.cpp
+++ b/tests/property/EmptyZoneProperty.cpp
@@ -51,9 +51,9 @@
   bool mLeaving = false;
   bool mListed = false; // its entry was written
   bool mCutFromStore = false;
-  int mSide = 0; // instances of different sides don't hear each other
+  int mPartition = 0; // instances of different sides don't hear each other
   TimePoint mFrozenUntil{};
-  TimePoint mTryNext{};
+  TimePoint mNextListAt{};
   TimePoint mEndsAt{};
   // When it last heard each, and whether that one claimed the lease.
   std::map<std::string, std::pair<TimePoint, bool>> mHeard;
@@ -79,9 +79,9 @@
   void Run(Millis aTime)
   {
     for (TimePoint end = mNow + aTime; mNow < end; mNow += kStep) {
-      Trouble();
+      InjectFault();
       RunLateWrites();
-      ++mTurn;
+      ++mRounds;
       for (auto& one : mInstances) {
         if (one->mAlive && mNow >= one->mFrozenUntil) {
           RunPass(*one);
@@ -109,11 +109,11 @@
 
   // No more trouble. Entries of the dead are removed, as their zone would have
   // done it; an insider that still lives stays where it is.
-  void Heal()
+  void EndFaults()
   {
     mFaultsStopped = true;
     for (auto& one : mInstances) {
-      one->mSide = 0;
+      one->mPartition = 0;
       one->mCutFromStore = false;
       one->mFrozenUntil = TimePoint();
       if (!one->mAlive) {
@@ -155,12 +155,12 @@
   }
 
   std::string mFault; // "" = none seen
-  int mAdoptions = 0;
+  int mTakeovers = 0;
 
 private:
   bool Chance(unsigned aOneIn) { return mRandom() % aOneIn == 0; }
 
-  void Trouble()
+  void InjectFault()
   {
     if (mFaultsStopped) {
       return;
@@ -179,7 +179,7 @@
       Start(any.mName, any.mInside);
     }
     if (Chance(250)) {
-      any.mSide = static_cast<int>(mRandom() % 2);
+      any.mPartition = static_cast<int>(mRandom() % 2);
     }
     if (Chance(250)) {
       any.mCutFromStore = !any.mCutFromStore;
@@ -208,11 +208,11 @@
       mEntries.insert({ aOne.mName, aOne.mInside });
       aOne.mListed = true;
     }
-    if (mTurn % kHeartbeatSteps == 0) {
+    if (mRounds % kHeartbeatSteps == 0) {
       Pulse(aOne);
     }
     if (!aOne.mInside) {
-      Adopt(aOne);
+      UpdateTakeover(aOne);
     }
     ObserveHolder(aOne);
     Serve(aOne);
@@ -221,8 +221,9 @@
   void Pulse(Instance& aFrom)
   {
     for (auto& to : mInstances) {
-      if (to->mAlive && to.get() != &aFrom && to->mSide == aFrom.mSide &&
-          mNow >= to->mFrozenUntil && (mFaultsStopped || !Chance(5))) {
+      if (to->mAlive && to.get() != &aFrom &&
+          to->mPartition == aFrom.mPartition && mNow >= to->mFrozenUntil &&
+          (mFaultsStopped || !Chance(5))) {
         to->mHeard[aFrom.mName] = { mNow, aFrom.mLease.Holds(mNow) };
         if (aFrom.mInside && aFrom.mLeaving) {
           to->mTakeover.OnLeaving();
@@ -240,32 +241,32 @@
            mNow - found->second.first < Millis(1500);
   }
 
-  void Adopt(Instance& aOne)
+  void UpdateTakeover(Instance& aOne)
   {
-    ZoneTakeover& adoption = aOne.mTakeover;
-    adoption.OnLedHere(aOne.mLease.Holds(mNow));
+    ZoneTakeover& takeover = aOne.mTakeover;
+    takeover.OnLedHere(aOne.mLease.Holds(mNow));
     int rank = 0;
     for (const auto& [name, heard] : aOne.mHeard) {
       bool outside = name[0] == 'o';
       rank += outside && name < aOne.mName && Hears(aOne, name) ? 1 : 0;
       if (heard.second && Hears(aOne, name)) {
-        adoption.OnLedByOther(mNow);
+        takeover.OnLedByOther(mNow);
       }
     }
-    adoption.SetRank(rank);
+    takeover.SetRank(rank);
     aOne.mLease.SetYield(ZoneTakeover::kRankYield * rank);
-    if (adoption.NeedsList(mNow) && mNow >= aOne.mTryNext) {
-      aOne.mTryNext = mNow + Millis(200);
+    if (takeover.NeedsList(mNow) && mNow >= aOne.mNextListAt) {
+      aOne.mNextListAt = mNow + Millis(200);
       if (!aOne.mCutFromStore && (mFaultsStopped || !Chance(5))) {
         int entries = 0;
         for (const auto& [name, inside] : mEntries) {
           entries += inside ? 1 : 0;
         }
-        adoption.OnListed(entries, mNow);
+        takeover.OnListed(entries, mNow);
         mListedEmpty[aOne.mName] = entries == 0 ? mNow : TimePoint();
       }
     }
-    aOne.mLease.SetWanted(adoption.MayLead(mNow), mNow);
+    aOne.mLease.SetWanted(takeover.MayLead(mNow), mNow);
   }
 
   // As LeaseLoop does it.
@@ -326,7 +327,7 @@
     mRecord = aWanted;
     mRecord->mRevision = ++mRevision;
     if (aWanted.mHolder[0] == 'o' && aWanted.mHolder != before) {
-      ++mAdoptions;
+      ++mTakeovers;
     }
     return mRevision;
   }
@@ -372,7 +373,7 @@
 
   std::mt19937 mRandom;
   TimePoint mNow = kStart;
-  int mTurn = 0;
+  int mRounds = 0;
   bool mFaultsStopped = false;
   std::vector<std::unique_ptr<Instance>> mInstances;
   std::map<std::string, bool> mEntries;          // whether of the zone
@@ -393,26 +394,26 @@
 // zone's entries stand.
 TEST(EmptyZoneRandom, OneHolderActsAndOutsidersOnlyWhenListIsEmpty)
 {
-  int adoptions = 0;
+  int takeovers = 0;
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-    EmptyZoneModel world(seed);
-    world.Run(Seconds(180));
-    ASSERT_EQ("", world.mFault) << "seed " << seed;
-    adoptions += world.mAdoptions;
+    EmptyZoneModel model(seed);
+    model.Run(Seconds(180));
+    ASSERT_EQ("", model.mFault) << "seed " << seed;
+    takeovers += model.mTakeovers;
   }
-  EXPECT_GT(adoptions, static_cast<int>(kSeeds) / 2);
+  EXPECT_GT(takeovers, static_cast<int>(kSeeds) / 2);
 }
 
 // Guards against servers that nobody leads after the last trouble.
 TEST(EmptyZoneRandom, ZoneIsLedAfterTheLastFault)
 {
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-    EmptyZoneModel world(seed);
-    world.Run(Seconds(90));
-    world.Heal();
-    EXPECT_TRUE(world.RunUntilLed(kMaxLeaderlessTime, world.InsiderLives()))
+    EmptyZoneModel model(seed);
+    model.Run(Seconds(90));
+    model.EndFaults();
+    EXPECT_TRUE(model.RunUntilLed(kMaxLeaderlessTime, model.InsiderLives()))
       << "seed " << seed;
-    ASSERT_EQ("", world.mFault) << "seed " << seed;
+    ASSERT_EQ("", model.mFault) << "seed " << seed;
   }
 }
 
@@ -420,16 +421,16 @@
 TEST(EmptyZoneRandom, TakenOverZoneIsHandedBack)
 {
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-    EmptyZoneModel world(seed);
-    world.Run(Seconds(60));
-    world.Heal();
-    world.Run(Seconds(15));
-    world.EmptyZone();
-    EXPECT_TRUE(world.RunUntilLed(kMaxLeaderlessTime, false))
+    EmptyZoneModel model(seed);
+    model.Run(Seconds(60));
+    model.EndFaults();
+    model.Run(Seconds(15));
+    model.EmptyZone();
+    EXPECT_TRUE(model.RunUntilLed(kMaxLeaderlessTime, false))
       << "seed " << seed;
-    world.Start("in0", true);
-    EXPECT_TRUE(world.RunUntilLed(kMaxHandBackTime, true)) << "seed " << seed;
-    ASSERT_EQ("", world.mFault) << "seed " << seed;
+    model.Start("in0", true);
+    EXPECT_TRUE(model.RunUntilLed(kMaxHandBackTime, true)) << "seed " << seed;
+    ASSERT_EQ("", model.mFault) << "seed " << seed;
   }
 }
 
--- a/tests/property/EntryDecisionsProperty.cpp
+++ b/tests/property/EntryDecisionsProperty.cpp
@@ -63,14 +63,14 @@
   ServerRetryLimits limits{ 0.2, 40, Seconds(10) };
   std::vector<ServerRetryBudget> budgets(kInstances, ServerRetryBudget(limits));
   std::vector<TimePoint> requests;
-  std::vector<TimePoint> repeats;
+  std::vector<TimePoint> retries;
   TimePoint now = kStart;
   for (int i = 0; i < 400; ++i) {
     now += Millis(*rc::gen::inRange(0, 120));
     auto who = *rc::gen::inRange<size_t>(0, kInstances);
     if (*rc::gen::inRange(0, 3) == 0) {
       if (budgets[who].Spend("s", kInstances, now)) {
-        repeats.push_back(now);
+        retries.push_back(now);
       }
     } else {
       budgets[who].OnRequest("s", now);
@@ -82,7 +82,7 @@
           return now - aTime <= Seconds(10);
         }));
     };
-    RC_ASSERT(within(repeats) <= 0.2 * within(requests) + 40);
+    RC_ASSERT(within(retries) <= 0.2 * within(requests) + 40);
   }
 }
 
@@ -334,14 +334,16 @@
   servers.Put(Entry("s2", "a", {}), kStart);
   std::mt19937 random(1);
   servers.Heard("s1", ServerOutcome::Broken, kStart);
-  ServerRequirements wish;
-  wish.mService = "e";
-  wish.mZone = "a";
+  ServerRequirements requirements;
+  requirements.mService = "e";
+  requirements.mZone = "a";
   for (int i = 0; i < 20; ++i) {
-    EXPECT_EQ("s2", servers.Choose(wish, kStart, random).mBackend->mEntry.mId);
+    EXPECT_EQ(
+      "s2", servers.Choose(requirements, kStart, random).mBackend->mEntry.mId);
   }
-  wish.mExcluded = { "s2" };
-  EXPECT_EQ("s1", servers.Choose(wish, kStart, random).mBackend->mEntry.mId);
+  requirements.mExcluded = { "s2" };
+  EXPECT_EQ("s1",
+            servers.Choose(requirements, kStart, random).mBackend->mEntry.mId);
 }
 
 // Requests of other instances count: all send to the one with the fewest.
@@ -352,11 +354,12 @@
   servers.Put(Entry("s2", "a", { "m1" }), kStart);
   servers.PutPeerRequests("peer", { { "s1", { { "m1", 20 } } } });
   std::mt19937 random(1);
-  ServerRequirements wish;
-  wish.mService = "e";
-  wish.mModel = "m1";
-  wish.mZone = "a";
-  EXPECT_EQ("s2", servers.Choose(wish, kStart, random).mBackend->mEntry.mId);
+  ServerRequirements requirements;
+  requirements.mService = "e";
+  requirements.mModel = "m1";
+  requirements.mZone = "a";
+  EXPECT_EQ("s2",
+            servers.Choose(requirements, kStart, random).mBackend->mEntry.mId);
   servers.ForgetPeer("peer");
   EXPECT_EQ(0, servers.Find("s1")->RequestsInFlight());
 }
@@ -369,14 +372,17 @@
   servers.Put(Entry("s1", "a", { "m1", "m2" }), kStart);
   servers.MarkMissing("s1", "m1", "", kStart);
   std::mt19937 random(1);
-  ServerRequirements wish;
-  wish.mService = "e";
-  wish.mModel = "m1";
-  wish.mZone = "a";
-  EXPECT_FALSE(servers.Choose(wish, kStart + Millis(20), random).mBackend);
-  EXPECT_TRUE(servers.Choose(wish, kStart + Seconds(1), random).mBackend);
-  wish.mModel = "m2";
-  EXPECT_TRUE(servers.Choose(wish, kStart + Millis(20), random).mBackend);
+  ServerRequirements requirements;
+  requirements.mService = "e";
+  requirements.mModel = "m1";
+  requirements.mZone = "a";
+  EXPECT_FALSE(
+    servers.Choose(requirements, kStart + Millis(20), random).mBackend);
+  EXPECT_TRUE(
+    servers.Choose(requirements, kStart + Seconds(1), random).mBackend);
+  requirements.mModel = "m2";
+  EXPECT_TRUE(
+    servers.Choose(requirements, kStart + Millis(20), random).mBackend);
 }
 
 // Pulses tell of all servers, notes of one zone's; a server that is listed only
@@ -416,15 +422,15 @@
 
 TEST(DemandTracker, OldDemandDecaysWithinSeconds)
 {
-  DemandTracker log;
+  DemandTracker demand;
   for (int i = 0; i < 80; ++i) {
-    log.Add("old", 1, kStart + Millis(100 * i));
+    demand.Add("old", 1, kStart + Millis(100 * i));
   }
   TimePoint later = kStart + Seconds(24);
   for (int i = 0; i < 20; ++i) {
-    log.Add("new", 1, later);
+    demand.Add("new", 1, later);
   }
-  EXPECT_GT(log.Rate("new", later), log.Rate("old", later));
+  EXPECT_GT(demand.Rate("new", later), demand.Rate("old", later));
 }
 
 } // namespace caraway
--- a/tests/property/LeaseStepProperty.cpp
+++ b/tests/property/LeaseStepProperty.cpp
@@ -76,7 +76,7 @@
   TimePoint lastActed{};
   int64_t lastToken = 0;
   auto chance = [](int aOf) { return *rc::gen::inRange(0, aOf) == 0; };
-  for (int turn = 0; turn < 600; ++turn, now += kStep) {
+  for (int round = 0; round < 600; ++round, now += kStep) {
     for (auto at = late.begin(); at != late.end();) {
       if (at->mAt <= now) {
         object.Write(at->mRecord);
@@ -207,10 +207,10 @@
 {
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
-  LeaseStep life("a", LeaseTimes());
-  Serve(life, object, now);
-  Serve(life, object, now);
-  int64_t token = life.Token();
+  LeaseStep earlier("a", LeaseTimes());
+  Serve(earlier, object, now);
+  Serve(earlier, object, now);
+  int64_t token = earlier.Token();
   LeaseStep next("a", LeaseTimes());
   Serve(next, object, now + Seconds(1));
   Serve(next, object, now + Seconds(1));
@@ -267,9 +267,9 @@
   LeaseStep step("a", LeaseTimes());
   Serve(step, object, now);
   ASSERT_EQ(LeaseAction::Write, step.Due(now));
-  LeaseRecord taking = step.WantedRecord();
+  LeaseRecord acquisition = step.WantedRecord();
   step.Release(now);
-  step.OnWritten(*object.Write(taking), now, now);
+  step.OnWritten(*object.Write(acquisition), now, now);
   Serve(step, object, now);
   EXPECT_TRUE(step.Released());
   EXPECT_FALSE(step.Holds(now));
--- a/tests/property/LeavePlanProperty.cpp
+++ b/tests/property/LeavePlanProperty.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr int kMost = 20000; // ms
+constexpr int kMaxMs = 20000; // ms
 
 Millis
 AnyTime()
 {
-  return Millis(*rc::gen::inRange(0, kMost));
+  return Millis(*rc::gen::inRange(0, kMaxMs));
 }
 
 // Half of them near aEdge, where mistakes are.
--- a/tests/property/WatchStepProperty.cpp
+++ b/tests/property/WatchStepProperty.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Millis kTurn{ 100 };
+constexpr Millis kRound{ 100 };
 
 // An instance as far as its news go.
 struct Reader
@@ -26,7 +26,7 @@
   WatchStep mStep;
   TimePoint mReadAt{};   // last answer of the store
   TimePoint mUpdateAt{}; // of what it knows, by whatever way
-  bool mTurnedAway = false;
+  bool mRejected = false;
   bool mFrozen = false;
 
   bool Reads(TimePoint aNow) const { return !mStep.Follows(aNow); }
@@ -41,7 +41,7 @@
 RunPass(std::vector<Reader>& aReaders, TimePoint aNow, int aLost)
 {
   for (Reader& reader : aReaders) {
-    if (reader.mFrozen || reader.mTurnedAway || !reader.Reads(aNow)) {
+    if (reader.mFrozen || reader.mRejected || !reader.Reads(aNow)) {
       continue;
     }
     reader.mReadAt = aNow;
@@ -71,13 +71,13 @@
     readers.emplace_back(name);
   }
   TimePoint now{ Seconds(1000) };
-  for (int i = 0; i < 120; ++i, now += kTurn) {
+  for (int i = 0; i < 120; ++i, now += kRound) {
     Reader& one = readers[*rc::gen::inRange<size_t>(0, readers.size())];
     if (*rc::gen::inRange(0, 8) == 0) {
       one.mFrozen = !one.mFrozen;
     }
     if (*rc::gen::inRange(0, 8) == 0) {
-      one.mTurnedAway = !one.mTurnedAway;
+      one.mRejected = !one.mRejected;
     }
     RunPass(readers, now, 30);
     for (const Reader& reader : readers) {
@@ -87,9 +87,9 @@
   }
   for (Reader& reader : readers) {
     reader.mFrozen = false;
-    reader.mTurnedAway = false;
+    reader.mRejected = false;
   }
-  for (int i = 0; i < 40; ++i, now += kTurn) {
+  for (int i = 0; i < 40; ++i, now += kRound) {
     RunPass(readers, now, 0);
   }
   int reading = 0;
--- a/tests/property/ZoneTokensProperty.cpp
+++ b/tests/property/ZoneTokensProperty.cpp
@@ -40,7 +40,7 @@
   ZoneMembers mZone;
   bool mAlive = true;
   bool mCutFromStore = false;
-  int mSide = 0; // nodes of different sides don't hear each other
+  int mPartition = 0; // nodes of different sides don't hear each other
   int mRevision = 0;
   bool mRecordedCounted = false;
   TimePoint mListNext{};
@@ -66,7 +66,7 @@
   {
     double most = 0;
     for (TimePoint end = mNow + aTime; mNow < end; mNow += kStep) {
-      Trouble();
+      InjectFault();
       for (auto& node : mNodes) {
         RunPass(*node);
       }
@@ -88,11 +88,11 @@
   }
 
   // No more trouble; who is dead stays dead.
-  void Heal()
+  void EndFaults()
   {
     mFaultsStopped = true;
     for (auto& node : mNodes) {
-      node->mSide = 0;
+      node->mPartition = 0;
       node->mCutFromStore = false;
     }
   }
@@ -125,7 +125,7 @@
     mNodes.push_back(std::make_unique<Node>(aName));
   }
 
-  void Trouble()
+  void InjectFault()
   {
     if (mFaultsStopped) {
       return;
@@ -139,7 +139,7 @@
       any = Node(name);
     }
     if (Chance(200)) {
-      any.mSide = static_cast<int>(mRandom() % 2);
+      any.mPartition = static_cast<int>(mRandom() % 2);
     }
     if (Chance(200)) {
       any.mCutFromStore = !any.mCutFromStore;
@@ -164,9 +164,9 @@
       return;
     }
     mEntries.erase(own);
-    for (auto& mate : mNodes) {
-      if (mate->mAlive && mate->mSide == aNode.mSide) {
-        mate->mZone.OnLeft(aNode.mName);
+    for (auto& peer : mNodes) {
+      if (peer->mAlive && peer->mPartition == aNode.mPartition) {
+        peer->mZone.OnLeft(aNode.mName);
       }
     }
   }
@@ -174,7 +174,7 @@
   static bool Hears(const Node& aOne, const Node& aOther)
   {
     return aOne.mAlive && aOther.mAlive && &aOne != &aOther &&
-           aOne.mSide == aOther.mSide;
+           aOne.mPartition == aOther.mPartition;
   }
 
   void RunPass(Node& aNode)
@@ -190,9 +190,9 @@
       Pulse(aNode);
     }
     for (const std::string& name : aNode.mZone.Unconfirmed()) {
-      for (auto& mate : mNodes) {
-        if (mate->mName == name && Hears(aNode, *mate)) {
-          mate->mZone.OnNewcomer(aNode.mName, mNow);
+      for (auto& peer : mNodes) {
+        if (peer->mName == name && Hears(aNode, *peer)) {
+          peer->mZone.OnNewcomer(aNode.mName, mNow);
           aNode.mZone.OnConfirmed(name);
         }
       }
@@ -201,9 +201,9 @@
 
   void Pulse(Node& aNode)
   {
-    for (auto& mate : mNodes) {
-      if (Hears(*mate, aNode) && !Chance(10)) {
-        mate->mZone.OnHeartbeat(aNode.mName, aNode.mZone.Pulse(mNow), mNow);
+    for (auto& peer : mNodes) {
+      if (Hears(*peer, aNode) && !Chance(10)) {
+        peer->mZone.OnHeartbeat(aNode.mName, aNode.mZone.Pulse(mNow), mNow);
       }
     }
   }
@@ -232,19 +232,19 @@
       aNode.mRecordedCounted = true;
     }
     if (mNow >= aNode.mTryNext) {
-      Forget(aNode);
+      RemoveLost(aNode);
     }
   }
 
   // The answer may be lost, and the call be carried out later.
-  void Forget(Node& aNode)
+  void RemoveLost(Node& aNode)
   {
     const ZoneMembers& zone = aNode.mZone;
-    for (const std::string& mate : zone.All()) {
-      bool mark = zone.MayMark(mate, mNow);
-      if (mark || zone.MayRemove(mate, mNow)) {
+    for (const std::string& peer : zone.All()) {
+      bool mark = zone.MayMark(peer, mNow);
+      if (mark || zone.MayRemove(peer, mNow)) {
         Millis late = Chance(3) ? Millis(mRandom() % 3000) : Millis(0);
-        mLate.push_back({ mNow + late, mate, aNode.mSeen[mate], mark });
+        mLate.push_back({ mNow + late, peer, aNode.mSeen[peer], mark });
         aNode.mListNext = std::min(aNode.mListNext, mNow + Millis(200));
         aNode.mTryNext = mNow + Millis(500);
       }
@@ -320,10 +320,10 @@
   TokenModel(unsigned aSeed, size_t aInstances, const TenantLimit& aLimit)
     : mRandom(aSeed)
     , mLimit(aLimit)
-    , mPurses(aInstances)
+    , mBuckets(aInstances)
   {
     for (size_t i = 0; i < aInstances; ++i) {
-      Make(i);
+      InitBucket(i);
     }
   }
 
@@ -339,17 +339,17 @@
     for (TimePoint end = mNow + aTime; mNow < end; mNow += Millis(1)) {
       due += aAskedPerSecond / 1000;
       while (due > 0) {
-        QueuedTokenRequest want;
-        want.mId = ++mNextId;
-        want.mTokens = size(mRandom) * aMeanTokens;
-        want.mUntil = mNow + Millis(50);
-        due -= want.mTokens;
-        mAsked += want.mTokens;
-        mTokens[want.mId] = want.mTokens;
-        mPurses[where(mRandom)].Wait(want, mNow);
+        QueuedTokenRequest request;
+        request.mId = ++mNextId;
+        request.mTokens = size(mRandom) * aMeanTokens;
+        request.mUntil = mNow + Millis(50);
+        due -= request.mTokens;
+        mAsked += request.mTokens;
+        mTokens[request.mId] = request.mTokens;
+        mBuckets[where(mRandom)].Wait(request, mNow);
       }
-      Loans();
-      for (size_t i = 0; i < mPurses.size(); ++i) {
+      DeliverLoans();
+      for (size_t i = 0; i < mBuckets.size(); ++i) {
         Step(i);
       }
     }
@@ -357,8 +357,8 @@
 
   void Kill(size_t aInstance)
   {
-    mPurses[aInstance] = TenantTokenBucket();
-    Make(aInstance);
+    mBuckets[aInstance] = TenantTokenBucket();
+    InitBucket(aInstance);
   }
 
   double Granted() const { return mGranted; }
@@ -395,20 +395,20 @@
     bool mLost = false;
   };
 
-  void Make(size_t aInstance)
+  void InitBucket(size_t aInstance)
   {
-    double part = 1.0 / static_cast<double>(mPurses.size());
-    mPurses[aInstance].SetPart(mLimit, part, mNow);
+    double part = 1.0 / static_cast<double>(mBuckets.size());
+    mBuckets[aInstance].SetPart(mLimit, part, mNow);
     std::vector<std::string> others;
-    for (size_t i = 1; i < mPurses.size(); ++i) {
-      others.push_back(std::to_string((aInstance + i) % mPurses.size()));
+    for (size_t i = 1; i < mBuckets.size(); ++i) {
+      others.push_back(std::to_string((aInstance + i) % mBuckets.size()));
     }
-    mPurses[aInstance].SetHolders(others);
+    mBuckets[aInstance].SetHolders(others);
   }
 
   void Step(size_t aInstance)
   {
-    TenantBucketStep step = mPurses[aInstance].Step(mNow);
+    TenantBucketStep step = mBuckets[aInstance].Step(mNow);
     for (const TokenPaid& paid : step.mPaid) {
       mGranted += mTokens[paid.mId];
       mGrants.push_back({ mNow, mTokens[paid.mId] });
@@ -423,23 +423,23 @@
     loan.mTo = aInstance;
     loan.mHolder = step.mCall->mHolder;
     loan.mLoan =
-      mPurses[holder].Lend(step.mCall->mTokens, step.mCall->mReserve, mNow);
+      mBuckets[holder].Lend(step.mCall->mTokens, step.mCall->mReserve, mNow);
     loan.mLost = chance(mRandom) < mLost;
     Millis slow = chance(mRandom) < mLost ? Millis(80) : Millis(3);
     loan.mAt = mNow + (loan.mLost ? kLoanLife : slow);
     mLoans.push_back(loan);
   }
 
-  void Loans()
+  void DeliverLoans()
   {
     std::vector<Loan> later;
     for (const Loan& loan : mLoans) {
       if (mNow < loan.mAt) {
         later.push_back(loan);
       } else if (loan.mLost) {
-        mPurses[loan.mTo].OnNoLoan(loan.mHolder, mNow);
+        mBuckets[loan.mTo].OnNoLoan(loan.mHolder, mNow);
       } else {
-        mPurses[loan.mTo].OnLoan(loan.mHolder, loan.mLoan, loan.mAsked, mNow);
+        mBuckets[loan.mTo].OnLoan(loan.mHolder, loan.mLoan, loan.mAsked, mNow);
       }
     }
     mLoans = std::move(later);
@@ -448,7 +448,7 @@
   std::mt19937 mRandom;
   TenantLimit mLimit;
   TimePoint mNow = kStart;
-  std::vector<TenantTokenBucket> mPurses;
+  std::vector<TenantTokenBucket> mBuckets;
   std::vector<Loan> mLoans;
   std::map<uint64_t, double> mTokens;
   std::vector<Grant> mGrants;
@@ -464,8 +464,8 @@
 TEST(ZoneMembersRandom, SpentPartsNeverExceedTheLimit)
 {
   for (unsigned seed = 1; seed <= 300; ++seed) {
-    ZoneModel world(seed);
-    ASSERT_LE(world.Run(Seconds(60)), 1 + 1e-9) << "seed " << seed;
+    ZoneModel model(seed);
+    ASSERT_LE(model.Run(Seconds(60)), 1 + 1e-9) << "seed " << seed;
   }
 }
 
@@ -474,12 +474,12 @@
 TEST(ZoneMembersRandom, LimitIsFullySpendableAfterFaultsEnd)
 {
   for (unsigned seed = 1; seed <= 100; ++seed) {
-    ZoneModel world(seed);
-    world.Run(Seconds(20));
-    world.Heal();
-    world.Run(Seconds(90));
-    if (world.Alive() > 0) {
-      EXPECT_GE(world.Sum(), 1 - 1e-9) << "seed " << seed;
+    ZoneModel model(seed);
+    model.Run(Seconds(20));
+    model.EndFaults();
+    model.Run(Seconds(90));
+    if (model.Alive() > 0) {
+      EXPECT_GE(model.Sum(), 1 - 1e-9) << "seed " << seed;
     }
   }
 }
@@ -490,18 +490,18 @@
   for (unsigned seed = 1; seed <= 40; ++seed) {
     std::mt19937 random(seed);
     TenantLimit limit = Limit(20000, seed % 2 ? 20000 : 45000);
-    TokenModel world(seed, 2 + seed % 7, limit);
-    world.mLost = 0.05 * (seed % 4);
+    TokenModel model(seed, 2 + seed % 7, limit);
+    model.mLost = 0.05 * (seed % 4);
     for (int phase = 0; phase < 6; ++phase) {
       std::vector<double> weights;
       for (size_t i = 0; i < 2 + seed % 7; ++i) {
         weights.push_back(1 + static_cast<double>(random() % 5) * 4);
       }
       double asked = 20000 * (0.3 + random() % 4);
-      world.Run(Millis(700), asked, weights, 900);
-      world.Kill(random() % (2 + seed % 7));
+      model.Run(Millis(700), asked, weights, 900);
+      model.Kill(random() % (2 + seed % 7));
     }
-    ASSERT_LE(world.Excess(), 1) << "seed " << seed;
+    ASSERT_LE(model.Excess(), 1) << "seed " << seed;
   }
 }
 
@@ -516,12 +516,12 @@
                                               { 4, 2, 1, 0, 0, 0, 0 } };
   for (const auto& shape : shapes) {
     for (double load : { 0.8, 1.0, 1.5, 6.0 }) {
-      TokenModel world(7, 7, limit);
-      world.Run(Seconds(2), limit.mRate * load, shape, 900);
-      world.Reset();
-      world.Run(Seconds(5), limit.mRate * load, shape, 900);
-      double may = std::min(world.Asked(), limit.mRate * 5);
-      EXPECT_GE(world.Granted() / may, 0.95) << "load " << load;
+      TokenModel model(7, 7, limit);
+      model.Run(Seconds(2), limit.mRate * load, shape, 900);
+      model.Reset();
+      model.Run(Seconds(5), limit.mRate * load, shape, 900);
+      double may = std::min(model.Asked(), limit.mRate * 5);
+      EXPECT_GE(model.Granted() / may, 0.95) << "load " << load;
     }
   }
 }
@@ -530,11 +530,11 @@
 TEST(TenantTokenBucket, RequestLargerThanAPartIsPaid)
 {
   TenantLimit limit = Limit(20000, 20000);
-  TokenModel world(3, 7, limit);
-  world.Run(Seconds(2), 1, { 1, 0, 0, 0, 0, 0, 0 }, 10);
-  world.Reset();
-  world.Run(Millis(300), 30000, { 1, 0, 0, 0, 0, 0, 0 }, 6000);
-  EXPECT_GE(world.Granted(), 4000);
+  TokenModel model(3, 7, limit);
+  model.Run(Seconds(2), 1, { 1, 0, 0, 0, 0, 0, 0 }, 10);
+  model.Reset();
+  model.Run(Millis(300), 30000, { 1, 0, 0, 0, 0, 0, 0 }, 6000);
+  EXPECT_GE(model.Granted(), 4000);
 }
 
 // A tenant asks for three times its limit, mostly for what is least urgent:
@@ -542,8 +542,8 @@
 TEST(TenantTokenBucket, UrgentRoutesFindTokensInAnOverload)
 {
   TenantLimit limit = Limit(10000, 10000);
-  TenantTokenBucket purse;
-  purse.SetPart(limit, 1, kStart);
+  TenantTokenBucket bucket;
+  bucket.SetPart(limit, 1, kStart);
   std::set<uint64_t> urgent;
   size_t paidUrgent = 0;
   size_t paidRest = 0;
@@ -552,17 +552,17 @@
     TimePoint now = kStart + Millis(ms);
     bool first = ms % 500 == 0;
     for (int i = 0; i < (first ? 2 : 1); ++i) {
-      QueuedTokenRequest want;
-      want.mId = ++id;
-      want.mTokens = 1500;
-      want.mReserve = ReserveFor(i == 0 ? 2 : 0, 2);
-      want.mUntil = now + Millis(50);
-      purse.Wait(want, now);
+      QueuedTokenRequest request;
+      request.mId = ++id;
+      request.mTokens = 1500;
+      request.mReserve = ReserveFor(i == 0 ? 2 : 0, 2);
+      request.mUntil = now + Millis(50);
+      bucket.Wait(request, now);
       if (i > 0) {
         urgent.insert(id);
       }
     }
-    for (const TokenPaid& paid : purse.Step(now).mPaid) {
+    for (const TokenPaid& paid : bucket.Step(now).mPaid) {
       (urgent.count(paid.mId) ? paidUrgent : paidRest) += 1;
     }
   }
@@ -575,17 +575,17 @@
 TEST(TenantTokenBucket, LateRefundNeverExceedsTheBurst)
 {
   TenantLimit limit = Limit(10000, 10000);
-  TenantTokenBucket purse;
-  purse.SetPart(limit, 1, kStart);
+  TenantTokenBucket bucket;
+  bucket.SetPart(limit, 1, kStart);
   TimePoint now = kStart + Seconds(5);
-  QueuedTokenRequest want;
-  want.mId = 1;
-  want.mTokens = 4000;
-  want.mUntil = now;
-  purse.Wait(want, now);
-  ASSERT_EQ(1u, purse.Step(now).mPaid.size());
-  purse.GiveBack(4000, now, now + Seconds(10));
-  EXPECT_LE(purse.Level(now + Seconds(10)), SplitBurst(limit) + 1);
+  QueuedTokenRequest request;
+  request.mId = 1;
+  request.mTokens = 4000;
+  request.mUntil = now;
+  bucket.Wait(request, now);
+  ASSERT_EQ(1u, bucket.Step(now).mPaid.size());
+  bucket.GiveBack(4000, now, now + Seconds(10));
+  EXPECT_LE(bucket.Level(now + Seconds(10)), SplitBurst(limit) + 1);
 }
 
 // Guards against callers who come back together into an overload that goes on:
@@ -593,22 +593,22 @@
 TEST(TenantTokenBucket, RetryTimesOfRefusedRequestsIncrease)
 {
   TenantLimit limit = Limit(10000, 10000);
-  TenantTokenBucket purse;
-  purse.SetPart(limit, 1, kStart);
-  std::vector<Millis> told;
+  TenantTokenBucket bucket;
+  bucket.SetPart(limit, 1, kStart);
+  std::vector<Millis> retryTimes;
   for (uint64_t id = 1; id <= 60; ++id) {
     TimePoint now = kStart + Millis(20 * id);
-    QueuedTokenRequest want;
-    want.mId = id;
-    want.mTokens = 1500;
-    want.mUntil = now;
-    purse.Wait(want, now);
-    for (const TokenRefused& refused : purse.Step(now).mRefused) {
-      told.push_back(refused.mAfter);
+    QueuedTokenRequest request;
+    request.mId = id;
+    request.mTokens = 1500;
+    request.mUntil = now;
+    bucket.Wait(request, now);
+    for (const TokenRefused& refused : bucket.Step(now).mRefused) {
+      retryTimes.push_back(refused.mAfter);
     }
   }
-  ASSERT_GT(told.size(), 10u);
-  EXPECT_GT(told.back(), told.front() + Seconds(1));
+  ASSERT_GT(retryTimes.size(), 10u);
+  EXPECT_GT(retryTimes.back(), retryTimes.front() + Seconds(1));
 }
 
 } // namespace caraway
--- a/tests/unit/LeavePlanTest.cpp
+++ b/tests/unit/LeavePlanTest.cpp
@@ -11,7 +11,7 @@
 const TimePoint kNow = TimePoint(Seconds(1000));
 
 LeavePlan
-Left(Millis aGrace)
+LeavingPlan(Millis aGrace)
 {
   LeaveTimes times;
   times.mGrace = aGrace;
@@ -36,7 +36,7 @@
 // Guards against times that are off by one at the balancer's lag and the end.
 TEST(LeavePlan, BoundsOfTheGrantedTime)
 {
-  LeavePlan plan = Left(Seconds(8));
+  LeavePlan plan = LeavingPlan(Seconds(8));
   EXPECT_TRUE(plan.Leaving());
   EXPECT_EQ(kNow + Millis(7500), plan.End());
   EXPECT_TRUE(plan.ExpectsCallers(kNow + Millis(2499)));
@@ -49,7 +49,7 @@
 // its answer comes before the end.
 TEST(LeavePlan, AnswerBeforeTheEndMayStartAnyTime)
 {
-  LeavePlan plan = Left(Seconds(8));
+  LeavePlan plan = LeavingPlan(Seconds(8));
   TimePoint late = kNow + Millis(7000);
   EXPECT_TRUE(plan.MayStart(late, plan.End(), Millis(0)));
   EXPECT_FALSE(plan.MayStart(late, plan.End() + Millis(1), Millis(0)));
@@ -59,7 +59,7 @@
 // the instance.
 TEST(LeavePlan, LastCallersAreJudgedByUsualTime)
 {
-  LeavePlan plan = Left(Seconds(8));
+  LeavePlan plan = LeavingPlan(Seconds(8));
   TimePoint never = kNow + Seconds(600);
   TimePoint last = kNow + Millis(2499);
   Millis left{ 5001 };
@@ -72,7 +72,7 @@
 // Guards against a short grace that is spent on new callers alone.
 TEST(LeavePlan, ShortGraceIsMostlyForRequestsInFlight)
 {
-  LeavePlan plan = Left(Seconds(3));
+  LeavePlan plan = LeavingPlan(Seconds(3));
   EXPECT_FALSE(plan.ExpectsCallers(kNow + Seconds(1)));
   EXPECT_EQ(kNow + Millis(2500), plan.End());
 }
@@ -81,7 +81,7 @@
 TEST(LeavePlan, NothingStartsAtTheEnd)
 {
   for (Millis grace : { Millis(0), Millis(300), Millis(700), Millis(8000) }) {
-    LeavePlan plan = Left(grace);
+    LeavePlan plan = LeavingPlan(grace);
     TimePoint end = plan.End();
     EXPECT_FALSE(plan.MayStart(end, end, Millis(0))) << grace.count();
     EXPECT_FALSE(plan.MayStart(end, end + Seconds(9), Millis(0)))
@@ -93,14 +93,14 @@
 // Guards against a grace below the margin that puts the end before the signal.
 TEST(LeavePlan, GraceBelowTheMarginEndsAtOnce)
 {
-  LeavePlan plan = Left(Millis(200));
+  LeavePlan plan = LeavingPlan(Millis(200));
   EXPECT_EQ(kNow, plan.End());
 }
 
 // Guards against a plan that goes on beyond a grace that was shortened.
 TEST(LeavePlan, ShorterGraceEndsItSooner)
 {
-  LeavePlan plan = Left(Seconds(8));
+  LeavePlan plan = LeavingPlan(Seconds(8));
   plan.Shorten(Seconds(3));
   EXPECT_EQ(kNow + Millis(2500), plan.End());
   EXPECT_FALSE(plan.ExpectsCallers(kNow + Seconds(1)));
