--- a/src/decide/LeaseStep.cpp
+++ b/src/decide/LeaseStep.cpp
@@ -26,7 +26,7 @@
     return BeginRelease(aNow);
   }
   if (mToken > 0 && aNow >= mExpiresAt) {
-    mToken = 0; // ended unrenewed: only taking it anew counts
+    mToken = 0; // expired: only a new acquisition counts
     mSeen.reset();
   }
   if (mToken > 0) {
@@ -35,7 +35,7 @@
     return LeaseAction::Write;
   }
   if (mHolderHeard && aNow - mLastHeardAt < mTimes.mHolderTimeout) {
-    mSeen.reset(); // somebody lives who holds it
+    mSeen.reset(); // the holder is alive
     mNextActionAt = aNow + mTimes.mRetry;
     return LeaseAction::None;
   }
@@ -53,10 +53,10 @@
   return LeaseAction::Write;
 }
 
-// Whether nobody's orders can be under way but this machine's own: nobody ever
-// held the lease, or this machine's former life did and had waited out the
-// silence. A taking whose answer was lost, or whose process was killed, had
-// not.
+// Whether no other holder's orders can be in progress: the lease was never
+// held, or it was last held by this machine's earlier process, which had waited
+// out the silence. An acquisition whose answer was lost, or whose process was
+// killed, had not.
 bool
 LeaseStep::NoOtherHolderBefore() const
 {
@@ -76,7 +76,7 @@
   return LeaseAction::Write;
 }
 
-// When the lease that was seen may be taken.
+// Earliest time at which the lease last read may be acquired.
 TimePoint
 LeaseStep::TakeableFrom() const
 {
@@ -127,7 +127,7 @@
     return;
   }
   if (mToken == 0) {
-    // Orders of another holder may have left just before its lease ended.
+    // Another holder may have sent orders just before its lease ended.
     mActFrom = NoOtherHolderBefore() ? aNow : aNow + mTimes.mSilence;
   }
   LeaseRecord written = WantedRecord();
@@ -147,8 +147,8 @@
     FinishRelease(aNow);
     return;
   }
-  // A write of this process's own whose answer was lost shows as a conflict
-  // with itself: it keeps its token, under the revision that is told.
+  // A write of this process whose answer was lost shows up as a conflict with
+  // itself. The token is kept, under the revision reported.
   if (mToken > 0 && aRecord && IsOwn(*aRecord) && aRecord->mToken == mToken) {
     mSeen = aRecord;
     mNextActionAt = aNow;
@@ -167,7 +167,7 @@
 {
   mCallPending = false;
   mNextActionAt = aNow + mTimes.mRetry;
-  mReleasing = false; // tried again until it ends by itself
+  mReleasing = false; // retried until the lease expires
 }
 
 void
--- a/src/decide/LeaseStep.h
+++ b/src/decide/LeaseStep.h
@@ -1,10 +1,10 @@
-// LeaseStep.h: who holds a lease that lies in the object store.
+// LeaseStep.h: acquires, renews and releases a lease kept in the object store.
 //
-// The store's conditional update is the only judge. A holder acts until its
-// lease ends by its own clock, counted from when it asked for the renewal. A
-// successor reads the object, waits a whole lease, and replaces that very
-// revision: when that succeeds nobody renewed meanwhile, so the former lease
-// has ended, wherever its holder is.
+// The store's conditional update is the only arbiter. A holder acts until its
+// lease expires by its own clock, counted from when the renewal was sent. A
+// successor reads the object, waits for a whole lease length, and replaces that
+// very revision: if this succeeds, nobody renewed the lease in between, so the
+// earlier lease has expired wherever its holder is.
 #ifndef caraway_decide_LeaseStep_h
 #define caraway_decide_LeaseStep_h
 
@@ -16,35 +16,34 @@
 
 namespace caraway {
 
-// The lease object as the store keeps it.
+// The lease object as stored.
 struct LeaseRecord
 {
-  std::string mHolder;   // "" = given up
-  int64_t mToken = 0;    // rises with each taking
-  int64_t mRevision = 0; // of the object; 0 = there is none
-  // mHolder has waited out the silence after the holder before it.
+  std::string mHolder;   // "" = released
+  int64_t mToken = 0;    // fencing token; rises with each acquisition
+  int64_t mRevision = 0; // of the object; 0 = no object
+  // mHolder has waited out the silence after the previous holder.
   bool mSettled = false;
 };
 
 struct LeaseTimes
 {
-  // Outlives the outages of the store that are usual, so that these don't
-  // stop all orders; a holder that is gone for good costs so much waiting.
+  // Longer than the usual outages of the store, so that these don't stop all
+  // orders. It is also the time lost when a holder is gone for good.
   Millis mLength{ 6000 };
-  Millis mRenew{ 2000 };   // a third: two renewals may fail
-  Millis mRetry{ 300 };    // after a call that failed
-  Millis mSilence{ 3000 }; // after another holder's end, before acting
-  Millis mHolderTimeout{
-    1500
-  };                  // a holder that was heard of so lately is alive
-  Millis mYield{ 0 }; // a free lease is left to others for so long
+  Millis mRenew{ 2000 };   // a third of mLength: two renewals may fail
+  Millis mRetry{ 300 };    // after a failed call
+  Millis mSilence{ 3000 }; // wait after another holder's lease before acting
+  // A holder heard from within this time is alive.
+  Millis mHolderTimeout{ 1500 };
+  Millis mYield{ 0 }; // delay before acquiring a free lease
 };
 
 enum class LeaseAction
 {
   None,
-  Read,  // the object
-  Write, // WantedRecord() under its revision
+  Read,  // the lease object
+  Write, // WantedRecord(), conditional on its revision
 };
 
 class LeaseStep
@@ -52,44 +51,47 @@
 public:
   LeaseStep(std::string aSelf, LeaseTimes aTimes);
 
-  // What is due now; the caller then reports how it ended.
+  // Returns the action that is due. The caller carries it out and reports the
+  // result by one of the On... functions.
   LeaseAction Due(TimePoint aNow);
   LeaseRecord WantedRecord() const;
 
   void OnRead(const std::optional<LeaseRecord>& aRecord, TimePoint aNow);
   void OnWritten(int64_t aRevision, TimePoint aSentAt, TimePoint aNow);
-  // aRecord: the object as it is, when the store told.
+  // aRecord: the current object, if the store returned it.
   void OnConflict(const std::optional<LeaseRecord>& aRecord, TimePoint aNow);
-  // No answer, or a refusal: a write may or may not have been done.
+  // No answer or an error: a write may or may not have been carried out.
   void OnFailed(TimePoint aNow);
-  // Another instance says that it holds the lease.
+  // Another instance announces that it holds the lease.
   void OnClaim(const std::string& aHolder, TimePoint aNow);
 
-  // It says so no longer, and lives: what was read before is outdated.
+  // That instance is alive and no longer announces it: what was read before is
+  // outdated.
   void OnHolderReleased(TimePoint aNow);
 
-  // The record may have changed: it is read again, and whoever holds it still
-  // keeps the time that it was seen to hold it.
+  // The record may have changed and is read again. The time since which its
+  // holder was seen is kept.
   void LookAgain(TimePoint aNow);
 
-  // Whether this instance may take and keep the lease. While not, it acts no
-  // more, gives up what it holds with a last write, and asks for nothing.
+  // Whether this instance may acquire and keep the lease. If not, it stops
+  // acting, releases a held lease with a last write, and makes no calls.
   void SetWanted(bool aWanted, TimePoint aNow);
-  // For good.
+  // Releases the lease for good.
   void Release(TimePoint aNow) { SetWanted(false, aNow); }
-  // A free lease is left to others for so long.
+  // Sets the delay before acquiring a free lease, which gives other candidates
+  // precedence.
   void SetYield(Millis aYield) { mTimes.mYield = aYield; }
 
   bool Holds(TimePoint aNow) const
   {
     return mWanted && mToken > 0 && aNow < mExpiresAt;
   }
-  // Holds it, and the former holder's silence is over.
+  // Holds the lease, and the silence after the previous holder is over.
   bool MayAct(TimePoint aNow) const { return Holds(aNow) && aNow >= mActFrom; }
   int64_t Token() const { return mToken; }
-  // It isn't wanted, and nothing is left to give up.
+  // Not wanted, and nothing is left to release.
   bool Released() const { return !mWanted && !mCallPending && mToken == 0; }
-  // Of the lease as last read; "" = none.
+  // Holder of the lease as last read; "" = none.
   std::string SeenHolder() const { return mSeen ? mSeen->mHolder : ""; }
 
 private:
@@ -104,7 +106,7 @@
   LeaseTimes mTimes;
   std::optional<LeaseRecord> mSeen; // as last read
   TimePoint mSeenAt{};              // when that revision was first read
-  int64_t mToken = 0;               // > 0 while taken by this process
+  int64_t mToken = 0;               // > 0 while held by this process
   TimePoint mExpiresAt{};
   TimePoint mActFrom{};
   TimePoint mNextActionAt{};
@@ -112,8 +114,8 @@
   bool mHolderHeard = false;
   bool mCallPending = false;
   bool mWanted = true;
-  bool mSettled = false;   // as the write under way tells it
-  bool mReleasing = false; // the write under way does
+  bool mSettled = false;   // mSettled of the pending write
+  bool mReleasing = false; // the pending write is a release
   bool mRereadNeeded = false;
 };
 
--- a/src/decide/LeavePlan.cpp
+++ b/src/decide/LeavePlan.cpp
@@ -19,7 +19,7 @@
   if (!mLeaving) {
     return;
   }
-  // With little time granted, most of it is for what is under way.
+  // With a short grace period, most of it is for requests in flight.
   constexpr int kCallersDivisor = 3;
   Millis callers = std::min(mTimes.mBalancerLag, aGrace / kCallersDivisor);
   Millis work = std::max(aGrace - mTimes.mEndMargin, Millis(0));
--- a/src/decide/LeavePlan.h
+++ b/src/decide/LeavePlan.h
@@ -1,4 +1,4 @@
-// LeavePlan.h: what an instance that is told to stop may still begin.
+// LeavePlan.h: what an instance may still start while it shuts down gracefully.
 #ifndef caraway_decide_LeavePlan_h
 #define caraway_decide_LeavePlan_h
 
@@ -8,32 +8,37 @@
 
 struct LeaveTimes
 {
-  Millis mGrace{ 8000 };       // from the signal to the kill; settings
-  Millis mBalancerLag{ 2500 }; // the balancer asks once a second, and needs
-                               // two misses to send nobody here any more
-  Millis mEndMargin{ 500 };    // of the grace, for last answers to go out
+  Millis mGrace{ 8000 }; // from the signal to the kill; setting
+  // The load balancer probes once a second and stops sending callers after two
+  // failed probes.
+  Millis mBalancerLag{ 2500 };
+  // Kept at the end of the grace period for sending last answers.
+  Millis mEndMargin{ 500 };
 };
 
-// Every send of a request passes MayStart: first sends, repeats, streams taken
-// up again, and those that waited. What is begun has its final answer before
-// the instance ends, as far as that can be known.
+// Every send of a request is checked by MayStart(): first sends, retries,
+// resumed streams and queued requests. What is started gets its final answer
+// before the instance exits, as far as that can be predicted.
 class LeavePlan
 {
 public:
   void Begin(TimePoint aNow, const LeaveTimes& aTimes);
-  // The granted time is aGrace now: the end may come sooner, never later.
+  // Sets the grace period to aGrace. The end may only move earlier.
   void Shorten(Millis aGrace);
   bool Leaving() const { return mLeaving; }
 
-  // Callers are still sent here; afterwards tenants' tokens are given away.
+  // The load balancer may still send callers here. Once false, tenants' tokens
+  // are handed over to other instances.
   bool ExpectsCallers(TimePoint aNow) const;
-  // A request may go to a server at aStart. aAnswerBy: it has its final answer
-  // by then, whatever its server does. aUsual: what the like of it takes; zero
-  // when nothing is known.
+  // Whether a request may be sent to a server at aStart. aAnswerBy: time by
+  // which it has its final answer, whatever the server does. aUsual: usual
+  // duration of such requests; 0 = unknown.
   bool MayStart(TimePoint aStart, TimePoint aAnswerBy, Millis aUsual) const;
-  // A stream that its caller has begun to read may go on elsewhere.
+  // Whether a stream that the caller has begun to read may be resumed on
+  // another server.
   bool MayContinue(TimePoint aNow) const;
-  // All that is under way gets its last answer then; max() when not leaving.
+  // Time by which all requests in flight get their final answer; max() when not
+  // leaving.
   TimePoint End() const { return mEnd; }
 
 private:
--- a/src/decide/ZoneMembers.cpp
+++ b/src/decide/ZoneMembers.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kMissedHeartbeats = 3; // of a mate that is silent
+constexpr int kMissedHeartbeats = 3; // of a silent peer
 
 } // namespace
 
@@ -21,7 +21,8 @@
   mSilenceTimeout = std::max(kSilenceTimeout, aInterval * kMissedHeartbeats);
 }
 
-// It may have been forgotten meanwhile, however many it hears afterwards.
+// Its entry may have been removed meanwhile, however many peers it hears from
+// afterwards.
 void
 ZoneMembers::Tick(TimePoint aNow)
 {
@@ -66,7 +67,7 @@
 {
   Tick(aNow);
   if (!mJoined || aAskedAt < mJoinedAt) {
-    return; // it may lack this instance, or those that came with it
+    return; // the list may lack this instance, or peers that joined with it
   }
   std::map<std::string, MemberPeer> peers;
   bool self = false;
@@ -84,14 +85,15 @@
       peer.mMarkedSince = TimePoint();
     } else if (peer.mMarkedSince == TimePoint() ||
                peer.mMarkRevision != entry.mRevision) {
-      peer.mMarkedSince = aNow; // each mark begins a time of its own
+      peer.mMarkedSince = aNow; // each mark starts a new waiting time
     }
     peer.mMarkRevision = entry.mRevision;
     peers[entry.mName] = std::move(peer);
   }
   for (auto& [name, peer] : mZonePeers) {
     if (peer.mAskedAt >= aAskedAt) {
-      peers.try_emplace(name, std::move(peer)); // it came since
+      // Joined since the list was requested.
+      peers.try_emplace(name, std::move(peer));
     }
   }
   mZonePeers = std::move(peers);
@@ -103,7 +105,7 @@
     return;
   }
   if (marked) {
-    return; // written again first, so that no late call removes it
+    return; // the entry is rewritten first, so that no late call removes it
   }
   mSeenAt = aAskedAt;
   UpdateCounted();
@@ -122,8 +124,8 @@
   }
 }
 
-// It may spend as soon as all have confirmed it, so it weighs in majorities
-// from now on.
+// The newcomer may spend as soon as all peers have confirmed it, so it counts
+// in majorities from now on.
 void
 ZoneMembers::OnNewcomer(const std::string& aZonePeer, TimePoint aNow)
 {
@@ -151,7 +153,8 @@
   UpdateCounted();
 }
 
-// Once counted it stays so: whoever comes later asks this instance.
+// Once counted, this instance stays counted: peers that join later ask it for
+// confirmation.
 void
 ZoneMembers::UpdateCounted()
 {
@@ -179,7 +182,7 @@
          !aZonePeer.mHeartbeat.mSilent.count(mSelf);
 }
 
-// Of two, neither is one.
+// Of two instances, neither alone is a majority.
 bool
 ZoneMembers::Majority(TimePoint aNow, Millis aWithin) const
 {
@@ -204,12 +207,13 @@
     std::any_of(mZonePeers.begin(), mZonePeers.end(), [](const auto& aOne) {
       return aOne.second.mMarkedSince != TimePoint();
     });
-  // Early, so that its word is there when it is needed.
+  // Already at half the timeout, so that the list is there when it is needed.
   bool noMajority = !mCounted || !Majority(aNow, mSilenceTimeout / 2);
   return mJoined && !mLeft && (noMajority || removing);
 }
 
-// A majority doesn't hear aZonePeer; of two, this instance doesn't.
+// Whether a majority no longer hears from the peer; with two instances, whether
+// this one doesn't.
 bool
 ZoneMembers::IsLost(const std::string& aZonePeer, TimePoint aNow) const
 {
--- a/src/decide/ZoneTakeover.cpp
+++ b/src/decide/ZoneTakeover.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kMissedHeartbeats = 6; // of an instance that lives
+constexpr int kMissedHeartbeats = 6; // of a live instance
 
 } // namespace
 
@@ -31,7 +31,7 @@
   mListWait = kListInterval;
 }
 
-// A list that was asked for before somebody was heard may lack it.
+// A list requested before an instance was heard from may lack its entry.
 void
 ZoneTakeover::OnListed(int aEntries, TimePoint aAskedAt)
 {
@@ -62,8 +62,9 @@
          aNow - mLastHeardAt >= mSilenceTimeout;
 }
 
-// Those of a higher rank ask later, when nobody before them has taken it, and
-// more seldom: a silent zone costs the store a few calls, however many see it.
+// Candidates of higher rank ask later, after those before them had the chance
+// to take over, and less often: a silent zone costs the store a few calls,
+// however many instances see it.
 bool
 ZoneTakeover::NeedsList(TimePoint aNow) const
 {
--- a/src/decide/ZoneTakeover.h
+++ b/src/decide/ZoneTakeover.h
@@ -1,10 +1,11 @@
-// ZoneTakeover.h: whether this instance, of another zone, leads a zone's
-// servers in the place of instances that the zone has no more.
+// ZoneTakeover.h: whether this instance, of another zone, leads the servers of
+// a zone that has no instance left.
 //
-// A zone is empty when the store's own list shows no instance of it. Silence
-// alone says nothing: a zone that is cut off is silent, and its entries stand.
-// The zone's ordinary lease decides who leads it, so two never do; this only
-// keeps outsiders from trying while the zone may have somebody of its own.
+// A zone is empty if the store's own list shows no instance of it. Silence
+// alone proves nothing: a zone that is cut off is silent, but its entries
+// remain. The zone's ordinary lease decides who leads it, so two instances
+// never do; the checks here only keep outsiders from trying while the zone may
+// have an instance of its own.
 #ifndef caraway_decide_ZoneTakeover_h
 #define caraway_decide_ZoneTakeover_h
 
@@ -15,52 +16,57 @@
 class ZoneTakeover
 {
 public:
-  // A fleet that starts shows zones without instances that are about to come.
+  // While a fleet starts, zones appear without the instances that are about to
+  // join.
   static constexpr Millis kStartupDelay{ 10000 };
-  // Without word of its instances for so long a zone may be empty.
+  // A zone may be empty after this time without a heartbeat of its instances.
   static constexpr Millis kSilenceTimeout{ 1500 };
-  // Lists that show no instance are that far apart at least.
+  // Minimum time between the first and the last list that show no instance.
   static constexpr Millis kEmptyConfirmTime{ 1000 };
-  // Between lists; while the zone is led here, there is less haste. Where
-  // instances are listed and silent, twice as long each time up to the last.
+  // Interval between lists. It is longer while the zone is led by this
+  // instance. While instances are listed but silent, it doubles up to the
+  // maximum.
   static constexpr Millis kListInterval{ 1000 };
   static constexpr Millis kLeaderListInterval{ 2000 };
   static constexpr Millis kMaxListInterval{ 10000 };
-  // An older list proves nothing.
+  // An older list is not relied on.
   static constexpr Millis kMaxListAge{ 6000 };
-  // Each candidate asks for lists later than those before it, by so many pulses
-  // of one instance apiece, or so long.
+  // Each candidate requests lists later than those ranked before it, by this
+  // number of heartbeat intervals or this time per rank, whichever is longer.
   static constexpr int kRankDelayHeartbeats = 2;
   static constexpr Millis kRankDelay{ 500 };
-  // It leaves a free lease to them for so long apiece.
+  // Delay per rank before acquiring a free lease.
   static constexpr Millis kRankYield{ 300 };
 
   // aNow: this instance's start.
   explicit ZoneTakeover(TimePoint aNow);
 
-  // Pulses of one instance come so often.
+  // Sets the interval of one instance's heartbeats.
   void SetHeartbeatInterval(Millis aInterval);
-  // How many living outsiders come before this one.
+  // Number of live outsiders that rank before this one.
   void SetRank(int aRank) { mRank = aRank; }
 
-  // An instance of the zone that isn't leaving was heard.
+  // A heartbeat of an instance of the zone that isn't leaving.
   void OnInstanceHeard(TimePoint aNow);
-  // One was heard that leaves: its entry is about to go.
+  // A heartbeat of an instance that is leaving: its entry is about to be
+  // removed.
   void OnLeaving() { mListWait = kListInterval; }
-  // The store showed so many instances of the zone to a call of aAskedAt.
+  // The store listed aEntries instances of the zone to a call started at
+  // aAskedAt.
   void OnListed(int aEntries, TimePoint aAskedAt);
-  // Another outsider leads the zone, or this one does.
+  // Another outsider leads the zone, or (OnLedHere) this instance does.
   void OnLedByOther(TimePoint aNow);
   void OnLedHere(bool aLedHere) { mLedHere = aLedHere; }
 
-  // No instance of it was heard lately: rank and holder matter.
+  // No instance of the zone was heard from recently, so rank and lease holder
+  // matter.
   bool Silent(TimePoint aNow) const;
-  // A fresh list is needed, to lead or to go on.
+  // A fresh list is needed, to start or continue leading.
   bool NeedsList(TimePoint aNow) const;
-  // This instance may take the zone's lease, and keep it.
+  // This instance may acquire and keep the zone's lease.
   bool MayLead(TimePoint aNow) const;
 
-  int Entries() const { return mEntries; } // as last listed; -1 = never
+  int Entries() const { return mEntries; } // as last listed; -1 = never listed
   int Rank() const { return mRank; }
   TimePoint ListedAt() const { return mListedAt; }
   TimePoint HeardAt() const { return mLastHeardAt; }
@@ -71,7 +77,7 @@
   TimePoint mStart;
   TimePoint mLastHeardAt;
   TimePoint mListedAt{};
-  TimePoint mEmptySince{}; // none = not empty
+  TimePoint mEmptySince{}; // zero = not empty
   TimePoint mLedByOtherAt{};
   int mEntries = -1;
   int mRank = 0;
