--- a/src/decide/HeadroomHistory.cpp
+++ b/src/decide/HeadroomHistory.cpp
@@ -37,9 +37,9 @@
 void
 HeadroomHistory::ForgetBefore(TimePoint aTime)
 {
-  // The entry before the cut may be the least for a reservation made between
-  // it and the next one; a dropped entry at worst gives back too little when
-  // the reservation is older than what is kept.
+  // The dropped entry may be the minimum for a reservation made between it and
+  // the next entry. At worst, a reservation older than what is kept gets too
+  // small a refund.
   while (!mEntries.empty() && mEntries.front().mAt < aTime) {
     mEntries.pop_front();
   }
--- a/src/decide/HeadroomHistory.h
+++ b/src/decide/HeadroomHistory.h
@@ -1,4 +1,5 @@
-// HeadroomHistory.h: how far a bucket was from full, since any moment.
+// HeadroomHistory.h: a token bucket's minimum distance from full, since any
+// given time.
 #ifndef caraway_decide_HeadroomHistory_h
 #define caraway_decide_HeadroomHistory_h
 
@@ -8,20 +9,21 @@
 
 namespace caraway {
 
-// A reservation that turns out too large is given back when the request
-// ends, perhaps a minute later. Giving all of it back would let more through
-// than the burst: meanwhile the bucket may have been full, and what dripped
-// over the brim is gone. Had only the true cost been taken at the start, the
-// level now would be higher by no more than the least headroom since then.
-// So that is the most that is given back, and the window bound stays exact.
+// A reservation that turns out too large is refunded when the request ends,
+// perhaps a minute later. A full refund would allow more than the burst:
+// meanwhile the bucket may have been full, and the tokens that overflowed are
+// lost. Had only the actual cost been taken at the start, the level would now
+// be higher by no more than the minimum headroom since then. That minimum
+// therefore limits the refund, which keeps the bound of every window exact.
 class HeadroomHistory
 {
 public:
-  // The bucket had aHeadroom tokens to its brim at aNow.
+  // The bucket was aHeadroom tokens below its burst at aNow.
   void Record(TimePoint aNow, double aHeadroom);
-  // Least headroom noted at or after aSince.
+  // Minimum headroom recorded at or after aSince.
   double MinSince(TimePoint aSince) const;
-  // A refund of aTokens raised the level: every earlier headroom counts less.
+  // A refund of aTokens raised the level, which reduces every recorded
+  // headroom.
   void Lower(double aTokens);
   void ForgetBefore(TimePoint aTime);
   size_t Size() const { return mEntries.size(); }
@@ -32,8 +34,8 @@
     TimePoint mAt;
     double mHeadroom;
   };
-  // Increasing in time and in headroom: an entry followed by a smaller one is
-  // never the least again and is dropped.
+  // Increasing in time and in headroom: an entry followed by a smaller one
+  // can't be the minimum again and is dropped.
   std::deque<Entry> mEntries;
 };
 
--- a/src/decide/RateSplit.cpp
+++ b/src/decide/RateSplit.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-// A part holds a few usual requests, or it couldn't pay one by itself.
+// Minimum size of a part: a few usual requests, so that it can pay one without
+// borrowing.
 constexpr double kMinPartTokens = 4000;
 constexpr double kMinPartRequests = 4;
 
-// Left by the least urgent routes; those between leave less. Small, so that a
-// burst of one route alone still finds most of its tenant's burst.
+// Reserve kept by the least urgent routes; more urgent ones keep less. Small,
+// so that a burst on a single route still finds most of its tenant's burst.
 constexpr double kReserve = 0.25;
 
-// Of a burst, at least so much is split.
+// Minimum share of the burst that is split.
 constexpr double kMinSplitShare = 0.5;
 
 } // namespace
--- a/src/decide/RateSplit.h
+++ b/src/decide/RateSplit.h
@@ -1,9 +1,9 @@
-// RateSplit.h: how a tenant's rate and burst are split between instances.
+// RateSplit.h: splits a tenant's rate and burst into parts, one per instance.
 //
-// Each zone has an even part, whatever becomes of the others, so that one that
-// is cut off goes on with it. In a zone it is split between as many instances
-// as it makes useful parts for, by rendezvous hash; those who lack tokens
-// borrow from those who have them.
+// Each zone has an equal part, whatever the state of the others, so that a zone
+// that is cut off continues with it. Within a zone it is split between as many
+// instances as it makes useful parts for, chosen by rendezvous hashing;
+// instances that lack tokens borrow from those that have them.
 #ifndef caraway_decide_RateSplit_h
 #define caraway_decide_RateSplit_h
 
@@ -15,32 +15,31 @@
 
 namespace caraway {
 
-// Borrowed tokens are spent or put into a bucket within this of being asked
-// for. Until then they are in no bucket, while the lender's fills again.
+// Borrowed tokens must be spent or put into a bucket within this time after the
+// request. Until then they are in no bucket, while the lender's bucket refills.
 inline constexpr Millis kLoanLife{ 50 };
 
-// The burst that is split: what loans may add to it is taken off.
+// The burst to split: aLimit's burst less what loans may add to it.
 double
 SplitBurst(const TenantLimit& aLimit);
 
-// Which of aMembers, the instances of a zone, hold a part. Never none, unless
-// there are no members.
+// The members of a zone that hold a part. Never empty unless aMembers is.
 std::vector<std::string>
 HoldersOf(const TenantLimit& aLimit,
           size_t aZones,
           const std::vector<std::string>& aMembers);
 
-// aSelf's part of the limit, 0 to 1; aMembers are those of its own zone.
+// aSelf's part of the limit, 0 to 1. aMembers: instances of its own zone.
 double
 PartOf(const TenantLimit& aLimit,
        size_t aZones,
        const std::vector<std::string>& aMembers,
        const std::string& aSelf);
 
-// The part of the burst that a stream leaves for more urgent ones of its
-// tenant. A tenant that asks for more than its limit would otherwise spend it
-// on whatever comes first, mostly on what is least urgent; so its urgent routes
-// find tokens while the others wait.
+// Share of the burst that routes of aPriority leave for more urgent ones of the
+// tenant. A tenant in overload would otherwise spend its limit in order of
+// arrival, mostly on the least urgent requests; with the reserve, its urgent
+// routes find tokens while the others wait.
 double
 ReserveFor(int aPriority, int aLeastUrgent);
 
--- a/src/decide/TenantTokenBucket.cpp
+++ b/src/decide/TenantTokenBucket.cpp
@@ -9,35 +9,37 @@
 
 namespace {
 
-// Demand and income are taken over about a second.
+// Averaging time in seconds for demand and paid tokens.
 constexpr double kAveragingSeconds = 1.0;
 
-// A lender keeps what its own callers will ask for in so many seconds, up to a
-// part of its bucket.
+// A lender keeps the expected demand of its own callers for this many seconds,
+// up to this share of its bucket.
 constexpr double kKeepSeconds = 0.25;
 constexpr double kMaxKept = 0.5;
 
-// Smaller loans, as a part of what is asked for, aren't worth their message.
+// Smaller loans, as a share of the tokens asked for, aren't worth a message.
 constexpr double kMinLoanShare = 0.1;
 
-// A holder that has nothing is asked again within these.
+// Bounds of the time after which a holder without spare tokens is asked again.
 constexpr Millis kMinAskInterval{ 40 };
 constexpr Millis kMaxAskInterval{ 300 };
 
+// A holder that doesn't answer isn't asked again for this time.
 constexpr Millis kSilentHolderPause{ 1000 };
 
-// Between two calls; a tenant far beyond its limit asks no more than that.
+// Minimum time between two loan calls, so that a tenant far above its limit
+// doesn't flood the other holders.
 constexpr Millis kMinCallInterval{ 2 };
 
-// Of a burst that can be gathered at most; a request that costs more owes the
-// rest, so that it can pass at all.
+// Maximum share of the burst that one request gathers; a request that costs
+// more overdraws the bucket by the rest, so that it can pass at all.
 constexpr double kMaxGathered = 0.5;
 
-// Told to who is refused, at least and at most.
+// Bounds of the retry-after time of a refused request.
 constexpr Millis kMinRetryAfter{ 100 };
 constexpr Millis kMaxRetryAfter{ 30000 };
 
-// Of the rate, for those who are refused in an overload.
+// Minimum share of the rate assumed for refused requests in an overload.
 constexpr double kMinPaceShare = 0.05;
 
 double
@@ -135,7 +137,7 @@
   return sum;
 }
 
-// The most urgent first, then in order of arrival.
+// Smallest reserve (most urgent) first, then in order of arrival.
 void
 TenantTokenBucket::Wait(const QueuedTokenRequest& aRequest, TimePoint aNow)
 {
@@ -161,7 +163,8 @@
   }
 }
 
-// What wasn't spent in time goes into the bucket, as far as it has room.
+// Borrowed tokens that weren't spent in time go into the bucket, as far as they
+// fit.
 void
 TenantTokenBucket::DepositBorrowed(TimePoint aNow)
 {
@@ -199,7 +202,7 @@
       mBorrowedTokens.erase(mBorrowedTokens.begin());
     }
   }
-  // Binary rounding may leave the level a hair below what was compared.
+  // Rounding may leave the level slightly below what was compared.
   left = std::min(left, level);
   if (left > 0 && mBucket.Take(left, aNow)) {
     paid.mSources.push_back({ "", left });
@@ -211,10 +214,10 @@
   return paid;
 }
 
-// Those who are refused are told of one place after the other, at the pace at
-// which tokens come beyond what is asked for anew. In an overload that is far
-// away: who came back then would only take the tokens of those who can still be
-// served in time.
+// Refused requests get successive retry-after times, spaced at the rate at
+// which tokens exceed the new demand. In an overload these are far away: an
+// earlier retry would only take tokens from requests that can still be served
+// in time.
 TokenRefused
 TenantTokenBucket::Refuse(const QueuedTokenRequest& aRequest, TimePoint aNow)
 {
@@ -230,7 +233,8 @@
   return { aRequest.mId, std::max(after, kMinRetryAfter) };
 }
 
-// The own part can pay the first who waits, nothing being borrowed.
+// Time at which the first waiting request can be paid from the own part,
+// without further loans.
 TimePoint
 TenantTokenBucket::OwnTokensAt(TimePoint aNow) const
 {
@@ -298,7 +302,7 @@
                           : std::min(OwnTokensAt(aNow), nextLoanAt);
   std::deque<QueuedTokenRequest> waiting;
   for (const QueuedTokenRequest& request : mWaiting) {
-    // What is known to come too late is told at once.
+    // A request that can't be paid in time is refused at once.
     if (aNow >= request.mUntil || payableAt > request.mUntil) {
       step.mRefused.push_back(Refuse(request, aNow));
     } else {
--- a/src/decide/TenantTokenBucket.h
+++ b/src/decide/TenantTokenBucket.h
@@ -1,12 +1,13 @@
-// TenantTokenBucket.h: one tenant's tokens at one instance: its own part, what
-// it borrows, who waits for them.
+// TenantTokenBucket.h: one tenant's tokens at one instance: its own part,
+// borrowed tokens, and the requests waiting for tokens.
 //
-// The load it answers: a tenant's callers keep connections, so that its demand
-// reaches few instances and moves between them, while each instance holds an
-// even part of the limit. A request that the own part can't pay borrows from
-// the other holders, one after the other, and lasts a moment meanwhile. Lenders
-// keep what their own callers are likely to ask for. What nobody has is
-// refused at once, with the time at which it should be there.
+// The load that it is designed for: a tenant's callers keep their connections,
+// so its demand reaches few instances and moves between them, while each
+// instance holds an equal part of the limit. A request that the own part can't
+// pay waits briefly while the instance borrows from the other holders, one
+// after the other. Lenders keep what their own callers are likely to ask for.
+// If no holder has spare tokens, the request is refused at once, with the time
+// at which its tokens should be available.
 #ifndef caraway_decide_TenantTokenBucket_h
 #define caraway_decide_TenantTokenBucket_h
 
@@ -25,11 +26,11 @@
 {
   uint64_t mId = 0;
   double mTokens = 0;
-  double mReserve = 0; // of the burst, to be left for more urgent ones
-  TimePoint mUntil{};  // it waits no longer
+  double mReserve = 0; // share of the burst left for more urgent requests
+  TimePoint mUntil{};  // refused if not paid by then
 };
 
-// Tokens that were taken from a holder's bucket.
+// Tokens taken from one holder's bucket.
 struct TokenSource
 {
   std::string mHolder; // "" = this instance
@@ -45,10 +46,10 @@
 struct TokenRefused
 {
   uint64_t mId = 0;
-  Millis mAfter{ 0 }; // when its tokens should be there
+  Millis mAfter{ 0 }; // retry-after time
 };
 
-// A holder is to be asked for tokens; OnLoan() or OnNoLoan() ends it.
+// A loan to request from a holder; completed by OnLoan() or OnNoLoan().
 struct TokenLoanCall
 {
   std::string mHolder;
@@ -59,7 +60,7 @@
 struct TokenLoan
 {
   double mTokens = 0; // 0 = none
-  Millis mAfter{ 0 }; // it may have some then
+  Millis mAfter{ 0 }; // when the holder may have spare tokens
 };
 
 struct TenantBucketStep
@@ -67,24 +68,24 @@
   std::vector<TokenPaid> mPaid;
   std::vector<TokenRefused> mRefused;
   std::optional<TokenLoanCall> mCall;
-  std::optional<TimePoint>
-    mNextStepAt; // Step() again by then; none = nobody waits
+  // Call Step() by then; none = nothing waits.
+  std::optional<TimePoint> mNextStepAt;
 };
 
 class TenantTokenBucket
 {
 public:
-  // aPart of aLimit is this instance's from now on.
+  // Sets this instance's part of aLimit, from aNow on.
   void SetPart(const TenantLimit& aLimit, double aPart, TimePoint aNow);
-  // Whom to ask, the nearest first.
+  // Holders to borrow from, nearest first.
   void SetHolders(std::vector<std::string> aHolders);
 
   void Wait(const QueuedTokenRequest& aRequest, TimePoint aNow);
-  // Its caller has left; harmless when it isn't waiting.
+  // The request's caller disconnected; no effect if it isn't waiting.
   void Forget(uint64_t aId);
   TenantBucketStep Step(TimePoint aNow);
 
-  // aHolder was asked at aAskedAt.
+  // Answer to a loan call made at aAskedAt.
   void OnLoan(const std::string& aHolder,
               const TokenLoan& aLoan,
               TimePoint aAskedAt,
@@ -92,11 +93,11 @@
   void OnNoLoan(const std::string& aHolder, TimePoint aNow);
 
   TokenLoan Lend(double aTokens, double aReserve, TimePoint aNow);
-  // What was taken here at aTakenAt isn't used.
+  // aTokens that were taken here at aTakenAt weren't used.
   void GiveBack(double aTokens, TimePoint aTakenAt, TimePoint aNow);
-  // Tokens that another holder has given away.
+  // Adds tokens that another holder handed over.
   void Add(double aTokens, TimePoint aNow);
-  // Everything, for another holder: this one stops spending.
+  // Takes all tokens, to hand them over: this holder stops spending.
   double Empty(TimePoint aNow);
 
   bool Waiting() const { return !mWaiting.empty(); }
@@ -107,11 +108,11 @@
   {
     std::string mHolder;
     double mTokens = 0;
-    TimePoint mUntil{}; // to be spent or banked by then
+    TimePoint mUntil{}; // must be spent or put into mBucket by then
   };
   void CountDemand(double aTokens, TimePoint aNow);
-  double Demand(TimePoint aNow) const;   // tokens a second
-  double PaidRate(TimePoint aNow) const; // tokens a second that were paid here
+  double Demand(TimePoint aNow) const;   // tokens per second
+  double PaidRate(TimePoint aNow) const; // tokens per second paid here
   double RequiredTokens(const QueuedTokenRequest& aRequest) const;
   double ReservedTokens(double aReserve) const;
   double Borrowed() const;
@@ -125,18 +126,18 @@
   TenantLimit mLimit;
   double mPart = 0;
   TokenBucket mBucket{ 0, 0, TimePoint() };
-  bool mInitialized = false; // mBucket began to fill
+  bool mInitialized = false; // mBucket has been created
   std::deque<QueuedTokenRequest> mWaiting;
   std::vector<BorrowedTokens> mBorrowedTokens;
   std::vector<std::string> mHolders;
   std::map<std::string, TimePoint> mAskNext; // by holder
   bool mLoanCallPending = false;
-  TimePoint mCallNext{}; // paces what a flood of refusals asks
+  TimePoint mCallNext{}; // limits loan calls when many requests are refused
   double mDemand = 0;    // decaying sum
   TimePoint mDemandAt{};
-  double mPaidTokens = 0; // decaying sum of what was paid here
+  double mPaidTokens = 0; // decaying sum
   TimePoint mPaidTokensAt{};
-  TimePoint mPromisedUntil{}; // tokens that refused requests were told of
+  TimePoint mPromisedUntil{}; // latest retry time given to a refused request
 };
 
 } // namespace caraway
--- a/src/decide/TokenBucket.cpp
+++ b/src/decide/TokenBucket.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Reservations live no longer than a request may; an older refund is lost.
+// Requests, and so their reservations, last no longer than this; an older
+// refund is lost.
 constexpr Seconds kRefundWindow{ 300 };
 
 double
@@ -32,8 +33,8 @@
   return std::min(mBurst, mLevel + mRate * SecondsBetween(mAt, aNow));
 }
 
-// The time only goes forward: an event handed in late must not accrue the
-// same second twice.
+// Time only moves forward here: an event reported late must not accrue the same
+// second twice.
 void
 TokenBucket::Accrue(TimePoint aNow)
 {
@@ -49,7 +50,7 @@
     return false;
   }
   mHeadroom.ForgetBefore(mAt - kRefundWindow);
-  // The level is highest just before it is taken from.
+  // The level is highest just before tokens are taken.
   mHeadroom.Record(mAt, mBurst - mLevel);
   mLevel -= aTokens;
   return true;
@@ -63,8 +64,9 @@
   if (!refundable || aTokens <= 0) {
     return 0;
   }
-  // The headroom noted at the very moment of taking is from before it: from
-  // then on the level was lower by what was taken, so it doesn't bind.
+  // The headroom recorded at the moment of taking describes the level before
+  // it. From then on the level was lower by what was taken, so that entry
+  // doesn't limit the refund.
   double least = mHeadroom.MinSince(aTakenAt + TimePoint::duration(1));
   double counted = std::min({ aTokens, least, mBurst - mLevel });
   counted = std::max(0.0, counted);
@@ -78,7 +80,8 @@
 {
   Accrue(aNow);
   double added = std::clamp(aTokens, 0.0, mBurst - mLevel);
-  mHeadroom.Lower(added); // what was taken before can't come back above it
+  // Earlier reservations can't be refunded above this level.
+  mHeadroom.Lower(added);
   mLevel += added;
   return added;
 }
@@ -103,7 +106,7 @@
 {
   Accrue(aNow);
   if (aBurst > mBurst) {
-    // Headroom from before was measured to the old, lower brim.
+    // Earlier headroom was measured against the smaller burst.
     mHeadroom.Record(mAt, std::max(0.0, mBurst - mLevel));
   }
   mRate = aRate;
--- a/src/decide/TokenBucket.h
+++ b/src/decide/TokenBucket.h
@@ -1,4 +1,4 @@
-// TokenBucket.h: rate and burst of one holder, with exact refunds.
+// TokenBucket.h: token bucket of one holder, with exact refunds.
 #ifndef caraway_decide_TokenBucket_h
 #define caraway_decide_TokenBucket_h
 
@@ -6,35 +6,36 @@
 
 namespace caraway {
 
-// In every window, what it hands out less what was given back unused stays at
-// or under burst + rate x length.
+// In every window, the tokens taken less the unused ones given back are at most
+// burst + rate x length.
 class TokenBucket
 {
 public:
-  // Empty at aNow: a holder that restarts must not begin with a burst that
-  // its former life may have spent just before.
+  // Starts empty at aNow: a restarted holder may have spent a full burst just
+  // before its restart.
   TokenBucket(double aRate, double aBurst, TimePoint aNow);
 
-  // All of aTokens, or nothing.
+  // Takes all of aTokens or none.
   bool Take(double aTokens, TimePoint aNow);
-  // aTokens of what was taken at aTakenAt weren't used. Returns how many of
-  // them count again; see HeadroomHistory.
+  // aTokens of those taken at aTakenAt weren't used. Returns how many of them
+  // are credited; see HeadroomHistory.
   double GiveBack(double aTokens, TimePoint aTakenAt, TimePoint aNow);
-  // Tokens that another bucket gave away. Returns what fits under the brim.
+  // Adds tokens from another bucket. Returns how many fit under the burst.
   double Add(double aTokens, TimePoint aNow);
-  // Used more than was taken: the level goes below zero and is paid for by
-  // the next seconds.
+  // Charges tokens used beyond those taken. The level may fall below zero and
+  // is refilled by the rate.
   void Overdraw(double aTokens, TimePoint aNow);
 
-  // Starts from aLevel, left behind by a holder that has stopped spending.
+  // Starts from aLevel, left by a holder that has stopped spending.
   void Fill(double aLevel, TimePoint aNow);
 
-  // Less is in force at once. More accrues from now on, from the level there.
+  // A smaller rate or burst applies at once; a larger one accrues from the
+  // current level.
   void Resize(double aRate, double aBurst, TimePoint aNow);
 
   double Level(TimePoint aNow) const;
-  // Until aTokens would be there, nothing else being taken; negative when
-  // they never will.
+  // Time until aTokens are available if nothing else is taken; negative =
+  // never.
   Millis Until(double aTokens, TimePoint aNow) const;
   double Burst() const { return mBurst; }
   double Rate() const { return mRate; }
@@ -42,11 +43,11 @@
 private:
   void Accrue(TimePoint aNow);
 
-  double mRate;  // tokens a second
+  double mRate;  // tokens per second
   double mBurst; // tokens
   double mLevel = 0;
   TimePoint mAt;
-  TimePoint mStartTime; // what was taken before came from another bucket
+  TimePoint mStartTime; // tokens taken before it came from another bucket
   HeadroomHistory mHeadroom;
 };
 
