--- a/include/caraway/BootClock.h
+++ b/include/caraway/BootClock.h
@@ -1,4 +1,5 @@
-// BootClock.h: monotonic time that goes on while the machine is suspended.
+// BootClock.h: monotonic clock that keeps counting while the machine is
+// suspended.
 #ifndef caraway_BootClock_h
 #define caraway_BootClock_h
 
@@ -6,10 +7,10 @@
 
 namespace caraway {
 
-// The steady clock stands still during a suspend: a holder that wakes up
-// would take its lease for fresh and act beside its successor. This clock
-// counts that time, so that every lease, deadline and age is judged right on
-// the first look after waking.
+// The steady clock stops during a suspend: after a resume, a lease holder would
+// take its lease for valid and act beside its successor. This clock counts the
+// suspended time, so that leases, deadlines and ages are correct at the first
+// check after a resume.
 class BootClock : public Clock
 {
 public:
--- a/include/caraway/Clock.h
+++ b/include/caraway/Clock.h
@@ -1,4 +1,4 @@
-// Clock.h: the one source of time. Tests pause and advance it.
+// Clock.h: the only source of time; tests replace it by PausedClock.
 #ifndef caraway_Clock_h
 #define caraway_Clock_h
 
@@ -6,8 +6,8 @@
 
 namespace caraway {
 
-// The runtime's clock. Everything outside src/decide asks this object;
-// src/decide is handed the time and never asks.
+// Code outside src/decide reads the time from this object. Functions in
+// src/decide get the time as an argument and never read a clock.
 class Clock
 {
 public:
--- a/include/caraway/ConfigSnapshot.h
+++ b/include/caraway/ConfigSnapshot.h
@@ -1,4 +1,4 @@
-// ConfigSnapshot.h: one whole configuration, immutable once made.
+// ConfigSnapshot.h: one complete configuration, immutable once built.
 #ifndef caraway_ConfigSnapshot_h
 #define caraway_ConfigSnapshot_h
 
@@ -17,7 +17,7 @@
 
 struct ConfigSnapshot
 {
-  int64_t mRevision = 0; // 0 = none yet; only ever grows on an instance
+  int64_t mRevision = 0; // 0 = none yet; never decreases on an instance
   std::map<std::string, Profile> mProfiles;
   std::map<std::string, Tenant> mTenants;
   std::map<std::string, TenantKey> mKeys; // by id
--- a/include/caraway/EndpointSpec.h
+++ b/include/caraway/EndpointSpec.h
@@ -1,4 +1,4 @@
-// EndpointSpec.h: a back end, as operators declare it.
+// EndpointSpec.h: a back end as declared by operators.
 #ifndef caraway_EndpointSpec_h
 #define caraway_EndpointSpec_h
 
@@ -10,7 +10,7 @@
 enum class EndpointKind
 {
   Engine,  // loads models on order
-  Service, // plain service, routed to as it is
+  Service, // plain service that requests are routed to
 };
 
 struct EndpointSpec
@@ -21,8 +21,8 @@
   std::string mAddress; // ip:port
   EndpointKind mKind = EndpointKind::Engine;
   int64_t mMemory = 0;         // bytes for models; engines only
-  bool mChecksFencing = false; // refuses old fencing numbers
-  int mSlots = 8;              // requests it serves at a time
+  bool mChecksFencing = false; // refuses orders with an old fencing number
+  int mSlots = 8;              // concurrent requests
 };
 
 } // namespace caraway
--- a/include/caraway/ErrorKind.h
+++ b/include/caraway/ErrorKind.h
@@ -1,5 +1,6 @@
-// ErrorKind.h: the closed list of error kinds, and the table from kind to
-// answer. A new way to fail is a new row here, never a string elsewhere.
+// ErrorKind.h: the closed list of error kinds, and the table that maps each
+// kind to an answer. A new kind of failure is a new row of the table, never a
+// string elsewhere.
 #ifndef caraway_ErrorKind_h
 #define caraway_ErrorKind_h
 
@@ -41,20 +42,20 @@
   Internal,
 };
 
-// One row of the table: how a kind is told to a caller.
+// One row of the table: the answer to a caller for one kind.
 struct ErrorAnswer
 {
   ErrorKind mKind;
-  const char* mName;  // stable word in the problem document's type
-  const char* mTitle; // one sentence for people
+  const char* mName;  // stable name in the problem document's type
+  const char* mTitle; // one sentence for humans
   int mStatus;        // HTTP status
   RunState mRun;      // default; a failure may carry a weaker one
-  Millis mRetryAfter; // default; 0 = coming back won't help
+  Millis mRetryAfter; // default; 0 = a retry won't help
 };
 
 const ErrorAnswer&
 ErrorAnswerOf(ErrorKind aKind);
-// Kind by its stable name; Internal when the name isn't on the list.
+// Kind of a stable name; Internal if the name isn't in the table.
 ErrorKind
 ErrorKindOf(const char* aName);
 
--- a/include/caraway/Failure.h
+++ b/include/caraway/Failure.h
@@ -1,4 +1,4 @@
-// Failure.h: the one error object that LEAF carries.
+// Failure.h: the error object carried by LEAF results.
 #ifndef caraway_Failure_h
 #define caraway_Failure_h
 
@@ -11,12 +11,12 @@
 struct Failure
 {
   ErrorKind mKind = ErrorKind::Internal;
-  std::string mDetail;              // for people; never a key or a body
-  RunState mRun = RunState::NotRun; // what is known about the work
-  Millis mRetryAfter{ 0 };          // 0 = coming back won't help
+  std::string mDetail; // for humans; never contains a key or a body
+  RunState mRun = RunState::NotRun; // whether the request has run
+  Millis mRetryAfter{ 0 };          // 0 = a retry won't help
 };
 
-// A failure with the run state and the retry time of its kind's row.
+// Builds a failure with the run state and the retry time of its kind.
 Failure
 FailureOf(ErrorKind aKind, std::string aDetail);
 
--- a/include/caraway/ModelSpec.h
+++ b/include/caraway/ModelSpec.h
@@ -1,4 +1,4 @@
-// ModelSpec.h: a model or adapter that profiles may name.
+// ModelSpec.h: a model or adapter that profiles may refer to.
 #ifndef caraway_ModelSpec_h
 #define caraway_ModelSpec_h
 
@@ -10,9 +10,9 @@
 struct ModelSpec
 {
   std::string mName;
-  std::string mVersion; // a new version is another replica
+  std::string mVersion; // a new version is a different replica
   std::string mBase;    // "" for a model; the model's name for an adapter
-  int64_t mBytes = 0;   // accelerator memory that a replica takes
+  int64_t mBytes = 0;   // accelerator memory of a replica
 };
 
 } // namespace caraway
--- a/include/caraway/PausedClock.h
+++ b/include/caraway/PausedClock.h
@@ -1,4 +1,4 @@
-// PausedClock.h: a clock that stands still until it is advanced.
+// PausedClock.h: clock for tests that only moves when advanced.
 #ifndef caraway_PausedClock_h
 #define caraway_PausedClock_h
 
--- a/include/caraway/Profile.h
+++ b/include/caraway/Profile.h
@@ -1,4 +1,5 @@
-// Profile.h: what operators change, and callers name.
+// Profile.h: a named set of serving parameters; operators maintain profiles,
+// callers refer to them by name.
 #ifndef caraway_Profile_h
 #define caraway_Profile_h
 
@@ -11,17 +12,18 @@
 
 struct Profile
 {
-  std::string mName;    // what callers send as `model`
-  std::string mTenant;  // owner; "" = every tenant
+  std::string mName;    // sent by callers as `model`
+  std::string mTenant;  // owner; "" = all tenants
   std::string mModel;   // "" for a plain service
   std::string mAdapter; // "" = none
-  std::string mService; // endpoint group of a service
+  std::string mService; // endpoint group of a plain service
   RequestClass mClass = RequestClass::Interactive;
-  Millis mFirstToken{ 1400 }; // time to first token, warm
-  Millis mColdStart{ 30000 }; // first token when a load waits
-  Millis mAnswer{ 60000 };    // whole answer
-  bool mRepeatable = true;    // false: at most once
-  int mMaxTokens = 512;       // tokens generated at most
+  Millis mFirstToken{ 1400 }; // time to first token if the model is loaded
+  // Time to first token if the request waits for a load.
+  Millis mColdStart{ 30000 };
+  Millis mAnswer{ 60000 }; // time to the complete answer
+  bool mRepeatable = true; // false = at most once
+  int mMaxTokens = 512;    // limit on generated tokens
 };
 
 } // namespace caraway
--- a/include/caraway/RequestClass.h
+++ b/include/caraway/RequestClass.h
@@ -1,4 +1,4 @@
-// RequestClass.h: how urgent a kind of work is.
+// RequestClass.h: urgency classes of requests.
 #ifndef caraway_RequestClass_h
 #define caraway_RequestClass_h
 
@@ -6,11 +6,11 @@
 
 namespace caraway {
 
-// Lower is served first.
+// Lower values are served first.
 enum class RequestClass
 {
-  Urgent,      // bulletins, orders: late is worthless
-  Interactive, // chat with a person waiting
+  Urgent,      // bulletins, orders: useless when late
+  Interactive, // chat with a user waiting
   Batch,       // briefings: may wait, must not be lost
 };
 
@@ -18,7 +18,7 @@
 
 const char*
 RequestClassName(RequestClass aClass);
-// False when aName is no class; aOut is then left alone.
+// Returns false, without changing aOut, if aName is no class.
 bool
 RequestClassParse(const std::string& aName, RequestClass& aOut);
 
--- a/include/caraway/Result.h
+++ b/include/caraway/Result.h
@@ -1,4 +1,4 @@
-// Result.h: errors travel as LEAF results that carry a Failure.
+// Result.h: LEAF results whose error object is a Failure.
 #ifndef caraway_Result_h
 #define caraway_Result_h
 
@@ -16,7 +16,8 @@
 template<class T>
 using Result = leaf::result<T>;
 
-// Raises aKind with the retry time and run state of its row.
+// Returns an error of aKind with the retry time and run state of its row in the
+// table.
 inline leaf::error_id
 Fail(ErrorKind aKind, std::string aDetail)
 {
@@ -29,9 +30,9 @@
   return leaf::new_error(std::move(aFailure));
 }
 
-// Runs aTry (a callable returning Result<T>) and returns its value, or the
-// Failure it raised. LEAF loads error objects only inside a handling scope;
-// this is that scope for callers that look at the failure as a value.
+// Calls aTry, which returns a Result<T>, and returns its value or its Failure.
+// LEAF loads error objects only inside a handling scope; this is such a scope,
+// for callers that handle the failure as a value.
 template<class Try>
 auto
 Outcome(Try&& aTry)
@@ -51,8 +52,7 @@
     [] { return Either(FailureOf(ErrorKind::Internal, "unknown error")); });
 }
 
-// The same for a callable returning Result<void>: the Failure it raised, if
-// any.
+// The same for a callable that returns Result<void>: its Failure, if any.
 template<class Try>
 std::optional<Failure>
 FailureIn(Try&& aTry)
--- a/include/caraway/RunState.h
+++ b/include/caraway/RunState.h
@@ -1,4 +1,4 @@
-// RunState.h: what a refusal says about the work it refuses.
+// RunState.h: what an error answer states about whether the request has run.
 #ifndef caraway_RunState_h
 #define caraway_RunState_h
 
@@ -6,9 +6,9 @@
 
 enum class RunState
 {
-  NotRun,     // no byte of the request was ever offered to an endpoint
-  Ran,        // it ran, and this answer says how it ended
-  MayHaveRun, // bytes were offered and the outcome can't be known
+  NotRun,     // no byte of the request was offered to an endpoint
+  Ran,        // it ran, and the answer states its outcome
+  MayHaveRun, // bytes were offered, and the outcome can't be known
 };
 
 const char*
--- a/include/caraway/Tenant.h
+++ b/include/caraway/Tenant.h
@@ -1,4 +1,4 @@
-// Tenant.h: a team, with its fleet-wide rate.
+// Tenant.h: a team and its fleet-wide rate limit.
 #ifndef caraway_Tenant_h
 #define caraway_Tenant_h
 
@@ -9,7 +9,7 @@
 struct Tenant
 {
   std::string mName;
-  double mRate = 0;  // tokens a second over all instances together
+  double mRate = 0;  // tokens per second, over all instances
   double mBurst = 0; // tokens
 };
 
--- a/include/caraway/TenantKey.h
+++ b/include/caraway/TenantKey.h
@@ -1,4 +1,4 @@
-// TenantKey.h: a caller's key, as the system keeps it: a digest only.
+// TenantKey.h: a caller's key; the system stores only its digest.
 #ifndef caraway_TenantKey_h
 #define caraway_TenantKey_h
 
@@ -8,9 +8,9 @@
 
 struct TenantKey
 {
-  std::string mId; // what operators name to withdraw it
+  std::string mId; // by which operators revoke it
   std::string mTenant;
-  std::string mDigest; // SHA-256 of the key, hex
+  std::string mDigest; // SHA-256 of the key, hexadecimal
 };
 
 } // namespace caraway
--- a/include/caraway/Time.h
+++ b/include/caraway/Time.h
@@ -1,4 +1,4 @@
-// Time.h: the types every signature that holds a time uses.
+// Time.h: time types used by all interfaces.
 #ifndef caraway_Time_h
 #define caraway_Time_h
 
@@ -10,12 +10,12 @@
 using Micros = std::chrono::microseconds;
 using Seconds = std::chrono::seconds;
 
-// Monotonic: leases, deadlines and buckets. Goes on while a process is
-// stopped, so that a thawed holder sees how long it was away.
+// Monotonic time, for leases, deadlines and token buckets. It advances while a
+// process is stopped, so that a resumed holder sees how long it was paused.
 using TimePoint = std::chrono::steady_clock::time_point;
 
-// Calendar time: only for what people read and for records kept at the
-// platform. Never compared between instances to decide anything.
+// Calendar time, for log output and for records stored on the platform.
+// Decisions never compare it between instances.
 using WallTime = std::chrono::system_clock::time_point;
 
 } // namespace caraway
