--- a/tests/property/EmptyZoneProperty.cpp
+++ b/tests/property/EmptyZoneProperty.cpp
@@ -1,6 +1,7 @@
-// A zone's lease over insiders that come and go and outsiders that take their
-// place: one acts at a time, nobody from outside while the zone may live, and
-// after the last trouble somebody leads within a stated time.
+// Model test of a zone's lease, with insiders that come and go and outsiders
+// that take over: one holder acts at a time, no outsider acts while the zone
+// may have an instance of its own, and the zone is led again within a stated
+// time after the last fault.
 
 #include <gtest/gtest.h>
 
@@ -22,7 +23,7 @@
 
 constexpr Millis kStep{ 50 };
 
-// From the last trouble until somebody acts: a list in its backoff or the time
+// From the last fault until a holder acts: a list in its backoff, or the delay
 // after a start (10 s), two lists, a whole lease (6 s), the yields of ranks,
 // and the silence (3 s).
 constexpr Millis kMaxLeaderlessTime{ 24000 };
@@ -51,17 +52,18 @@
   bool mLeaving = false;
   bool mListed = false; // its entry was written
   bool mCutFromStore = false;
-  int mPartition = 0; // instances of different sides don't hear each other
+  // Instances of different partitions can't reach each other.
+  int mPartition = 0;
   TimePoint mFrozenUntil{};
   TimePoint mNextListAt{};
   TimePoint mEndsAt{};
-  // When it last heard each, and whether that one claimed the lease.
+  // By peer: time of its last heartbeat, and whether it claimed the lease.
   std::map<std::string, std::pair<TimePoint, bool>> mHeard;
   std::string mLastClaimant;
   TimePoint mRecheckAt{};
 };
 
-// A zone, its lease, outsiders, and whatever befalls them.
+// A zone, its lease, outsiders, and injected faults.
 class EmptyZoneModel
 {
 public:
@@ -91,8 +93,8 @@
     }
   }
 
-  // Until somebody acts, and an insider where one lives; false when nobody does
-  // in time.
+  // Runs until an insider (aInside) or an outsider acts; false if none does in
+  // time.
   bool RunUntilLed(Millis aWithin, bool aInside)
   {
     for (TimePoint end = mNow + aWithin; mNow < end;) {
@@ -107,8 +109,8 @@
     return false;
   }
 
-  // No more trouble. Entries of the dead are removed, as their zone would have
-  // done it; an insider that still lives stays where it is.
+  // Ends all faults. Entries of dead instances are removed, as their zone would
+  // do; a live insider stays where it is.
   void EndFaults()
   {
     mFaultsStopped = true;
@@ -125,7 +127,7 @@
     }
   }
 
-  // All insiders leave by their word.
+  // All insiders shut down gracefully.
   void EmptyZone()
   {
     for (auto& one : mInstances) {
@@ -170,7 +172,7 @@
       any.mFrozenUntil = mNow + Millis(mRandom() % 9000);
     }
     if (any.mAlive && Chance(400)) {
-      any.mAlive = false; // killed: its entry stands
+      any.mAlive = false; // killed: its entry remains
     }
     if (any.mAlive && any.mInside && Chance(80)) {
       Leave(any);
@@ -269,7 +271,7 @@
     aOne.mLease.SetWanted(takeover.MayLead(mNow), mNow);
   }
 
-  // As LeaseLoop does it.
+  // Same as in LeaseLoop.
   void ObserveHolder(Instance& aOne)
   {
     if (aOne.mLease.Released()) {
@@ -305,7 +307,7 @@
       aOne.mLease.OnRead(mRecord, mNow);
     } else if (action == LeaseAction::Write) {
       LeaseRecord wanted = aOne.mLease.WantedRecord();
-      if (lost) { // done now, later or never, and not answered
+      if (lost) { // carried out now, later or never, and not answered
         if (Chance(2)) {
           mLate.push_back({ mNow + Millis(mRandom() % 8000), wanted });
         }
@@ -376,8 +378,9 @@
   int mRounds = 0;
   bool mFaultsStopped = false;
   std::vector<std::unique_ptr<Instance>> mInstances;
-  std::map<std::string, bool> mEntries;          // whether of the zone
-  std::map<std::string, TimePoint> mListedEmpty; // by who last read it so
+  std::map<std::string, bool> mEntries; // whether it belongs to the zone
+  // By reader; when it last listed no instance.
+  std::map<std::string, TimePoint> mListedEmpty;
   std::optional<LeaseRecord> mRecord;
   int64_t mRevision = 0;
   std::deque<std::pair<TimePoint, LeaseRecord>> mLate;
@@ -390,8 +393,8 @@
 
 } // namespace
 
-// Guards against two who order, and against an outsider that orders while the
-// zone's entries stand.
+// Guards against two holders that act at once, and against an outsider that
+// acts while the zone's entries remain.
 TEST(EmptyZoneRandom, OneHolderActsAndOutsidersOnlyWhenListIsEmpty)
 {
   int takeovers = 0;
@@ -404,7 +407,7 @@
   EXPECT_GT(takeovers, static_cast<int>(kSeeds) / 2);
 }
 
-// Guards against servers that nobody leads after the last trouble.
+// Guards against servers without a leader after the last fault.
 TEST(EmptyZoneRandom, ZoneIsLedAfterTheLastFault)
 {
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
@@ -417,7 +420,7 @@
   }
 }
 
-// Guards against a zone that is adopted and not handed back.
+// Guards against a zone that is taken over and not handed back.
 TEST(EmptyZoneRandom, TakenOverZoneIsHandedBack)
 {
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
--- a/tests/property/EntryDecisionsProperty.cpp
+++ b/tests/property/EntryDecisionsProperty.cpp
@@ -1,5 +1,5 @@
-// The entry instance's decisions on a paused clock: budgets, limits, where a
-// model goes and which server gets a request.
+// The entry instance's decisions on a paused clock: retry budgets, load limits,
+// placement, and the choice of a server.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -53,8 +53,8 @@
 
 } // namespace
 
-// Instances with any traffic of their own, the same moment or not: repeats of
-// all together stay under ratio times requests plus slack in every window.
+// Instances with independent traffic: the retries of all of them stay within
+// ratio x requests + slack in every window.
 RC_GTEST_PROP(ServerRetryBudgetRandom,
               AllInstancesTogetherStayWithinTheLimit,
               ())
@@ -86,8 +86,8 @@
   }
 }
 
-// Guards against more loads from the weight store than it allows, each zone
-// beginning its part in the same seconds.
+// Guards against more loads from the weight store than its rate allows, when
+// each zone starts its part in the same seconds.
 TEST(StoreLoadTracker, ZoneKeepsToItsPartOfTheRate)
 {
   StoreLoadTracker loads;
@@ -98,14 +98,15 @@
     if (loads.Wait(now) == Millis(0)) {
       std::string server = std::to_string(begun++);
       loads.Began(server, Millis(10), now);
-      loads.Ended(server, false, now); // at once, so that only the rate binds
+      loads.Ended(server, false, now); // at once, so that only the rate limits
     }
   }
   EXPECT_EQ(8, begun);
 }
 
-// Guards against servers that load from the store for seconds while models wait
-// that lie on their disks: of six, one does.
+// Guards against loads from the store that occupy servers for seconds while
+// models wait whose copies are on these servers' disks: of six servers, one may
+// load from the store.
 TEST(StoreLoadTracker, MostServersOfAZoneStayFree)
 {
   StoreLoadTracker small;
@@ -119,8 +120,9 @@
   EXPECT_EQ(Millis(0), large.Wait(kStart));
 }
 
-// Guards against loads that slow each other down: a store that carries two at
-// full speed is found out, and zones that hear of each other share it.
+// Guards against loads that slow each other down: the tracker finds that the
+// store serves two at full speed, and zones that report their loads share that
+// capacity.
 TEST(StoreLoadTracker, LearnsTheStoreCapacity)
 {
   StoreLoadTracker loads;
@@ -149,8 +151,8 @@
   EXPECT_EQ(Millis(0), loads.Wait(now));
 }
 
-// A rare model goes where its copy lies, unless that server is busy for longer
-// than the difference; what yields is what is asked for least.
+// A rare model is loaded where its copy is, unless that server is busy for
+// longer than the difference; the model with the least demand is evicted.
 TEST(PlacementPlan, ModelIsLoadedWhereItsCopyIs)
 {
   ServerView servers;
@@ -185,9 +187,9 @@
   EXPECT_TRUE(ChoosePlacement(Engine(), "m9", servers, facts));
 }
 
-// A burst for rare models: each load ends, and the next one begins on the same
-// server before those who waited at other instances have been sent there. By
-// the counts of what is under way nobody uses the model that has just come.
+// Guards against evicting a model that was just loaded. In a burst for rare
+// models, the next load starts on the same server before the requests that
+// waited at other instances have been sent there, so the model appears unused.
 TEST(PlacementPlan, RecentlyLoadedModelIsNotEvicted)
 {
   ServerView servers;
@@ -204,8 +206,8 @@
             ChoosePlacement(Engine(), "m9", servers, facts)->mEvict);
 }
 
-// An entry names a copy in memory that may be gone already; the disk is what
-// the load's time is expected by.
+// An entry may list a copy in memory that is already gone; the load time is
+// estimated by the copy on disk.
 TEST(PlacementPlan, CopyOnDiskGoesBeforeCopyInMemory)
 {
   BackendEntry entry = Entry("s1", "a", {}, { "m9" });
@@ -217,8 +219,9 @@
   EXPECT_EQ(WeightSource::Store, SourceOf(*servers.Find("s1"), "m7"));
 }
 
-// A copy lies here, on a server that loads something else for another second,
-// and in another zone on an idle one: that zone is asked. Its queue counts too.
+// A server of this zone has a copy but is busy for another second, and an idle
+// server of another zone has one too: that zone is chosen, as long as its queue
+// is short.
 TEST(ZoneChoice, IdleServerOfOtherZoneGoesBeforeBusyLocalOne)
 {
   ZoneOffer here{ "a", 6, 0, Millis(780 + 900) };
@@ -232,9 +235,9 @@
   EXPECT_EQ("", ChooseZone({}, "a"));
 }
 
-// Two zones take up the same rare model at the same moment and hear of each
-// other, before or after they have begun: never do both drop it, and only when
-// both have begun do both load it.
+// Two zones queue the same rare model at the same moment and receive each
+// other's claims, before or after the start of their loads: never do both drop
+// the load, and only if both have started do both load.
 TEST(LoadClaims, TwoZonesNeverBothDropALoad)
 {
   using Mine = LoadClaims::Mine;
@@ -245,16 +248,17 @@
   EXPECT_TRUE(b.OnClaim("m", "a", false, expected, Mine::Queued));
   EXPECT_FALSE(a.Elsewhere("m", kStart));
   EXPECT_TRUE(b.Elsewhere("m", kStart));
-  // It didn't come: whoever is asked may take it up.
+  // The load is overdue: any zone that is asked may load the model.
   EXPECT_FALSE(b.Elsewhere("m", expected + Seconds(1)));
-  // The second by name has begun: the first, which hasn't, leaves it.
+  // The zone that sorts second has started; the first, which hasn't, drops its
+  // load.
   EXPECT_TRUE(a.OnClaim("n", "b", true, expected, Mine::Queued));
   EXPECT_FALSE(b.OnClaim("n", "a", false, expected, Mine::Begun));
   EXPECT_FALSE(a.OnClaim("o", "b", true, expected, Mine::Begun));
 }
 
-// The only server of a model is full, partly with others' requests: while they
-// are refused there, servers elsewhere have room.
+// Guards against requests refused by the full server of a popular model, which
+// also serves other models, while servers elsewhere have memory free.
 TEST(PlacementPlan, ModelOnFullServersNeedsAReplicaNow)
 {
   ServerView servers;
@@ -268,12 +272,14 @@
     servers.Began("s1", i < 10 ? "m1" : "m2");
   }
   EXPECT_EQ(ReplicaNeed::Now, need("b", 3));
-  EXPECT_EQ(ReplicaNeed::None, need("a", 3));   // the other zone has fewer
-  EXPECT_EQ(ReplicaNeed::None, need("b", 0.3)); // a rare one waits there
+  // The other zone has fewer replicas.
+  EXPECT_EQ(ReplicaNeed::None, need("a", 3));
+  // Requests for a rare model wait.
+  EXPECT_EQ(ReplicaNeed::None, need("b", 0.3));
 }
 
 // Guards against a second replica that waits for the weight store in one zone
-// while another has the weights on a disk.
+// while another zone has the weights on a disk.
 TEST(PlacementPlan, ReplicaGoesToAZoneThatHasACopy)
 {
   ServerView servers;
@@ -291,8 +297,8 @@
   EXPECT_EQ(ReplicaNeed::None, need("a"));
 }
 
-// A burst for rare models, and the only servers of a model asked for twenty
-// times a second are gone: it is late for those who ask, and still goes first.
+// Guards against a popular model that waits behind a burst for rare ones: it is
+// late for its first request already, and is still loaded first.
 TEST(LoadPriority, PopularModelGoesBeforeABurstOfRareOnes)
 {
   LoadPriorityFacts rare;
@@ -306,7 +312,7 @@
   popular.mNeedBy = kStart + Millis(700);
   TimePoint now = kStart + Millis(600);
   EXPECT_LT(RankLoad(popular, now), RankLoad(rare, now));
-  // A further replica of it can wait, and so can a rare one that is late.
+  // An extra replica of it can wait, and so can a rare model that is late.
   LoadPriorityFacts replica = popular;
   replica.mAsked = false;
   EXPECT_LT(RankLoad(rare, now), RankLoad(replica, now));
@@ -325,8 +331,8 @@
   EXPECT_FALSE(FitsBeside(Engine(), servers.Find("s1")->mModels, "m4", ""));
 }
 
-// A server that fails is avoided, and used again when it is the only one: a
-// zone isn't emptied by suspicion.
+// A failing server is avoided, and used if it is the only one left: suspicion
+// must not empty a zone.
 TEST(ServerView, FailingServerIsUsedWhenNoOtherIsLeft)
 {
   ServerView servers;
@@ -346,7 +352,7 @@
             servers.Choose(requirements, kStart, random).mBackend->mEntry.mId);
 }
 
-// Requests of other instances count: all send to the one with the fewest.
+// Requests of other instances count: the server with the fewest is chosen.
 TEST(ServerView, PeerRequestsCount)
 {
   ServerView servers;
@@ -364,8 +370,8 @@
   EXPECT_EQ(0, servers.Find("s1")->RequestsInFlight());
 }
 
-// A request was told that its model isn't there: for a moment it isn't sent to
-// the same server again, whatever that server is believed to hold.
+// Guards against sending a request again to the server that has just reported
+// its model as missing, whatever that server is assumed to hold.
 TEST(ServerView, ServerSuspectedMissingTheModelIsSkipped)
 {
   ServerView servers;
@@ -385,8 +391,9 @@
     servers.Choose(requirements, kStart + Millis(20), random).mBackend);
 }
 
-// Pulses tell of all servers, notes of one zone's; a server that is listed only
-// now has what was told of it before. Nothing is counted twice or stays.
+// Heartbeats report counts for all servers, messages those of one zone; a
+// server that is listed later gets the counts reported before. Nothing is
+// counted twice or left behind.
 TEST(ServerView, PeerRequestsAreCountedOnce)
 {
   ServerView servers;
@@ -405,7 +412,7 @@
   EXPECT_EQ(0, servers.Find("s1")->RequestsInFlight());
 }
 
-// A server that starts again under its id holds nothing of before.
+// A server that restarts under its id holds nothing from before.
 TEST(ServerView, RestartDiscardsEarlierState)
 {
   ServerView servers;
--- a/tests/property/LeaseStepProperty.cpp
+++ b/tests/property/LeaseStepProperty.cpp
@@ -1,5 +1,5 @@
-// A lease in the object store has one holder at a time, whatever becomes of
-// calls, pauses and processes.
+// A lease in the object store has one holder at a time, whatever happens to
+// calls and processes.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -15,13 +15,13 @@
 
 constexpr Millis kStep{ 50 };
 
-// The object and the writes on their way to it.
+// The lease object in the store.
 struct LeaseObject
 {
   std::optional<LeaseRecord> mRecord;
   int64_t mRevision = 0;
 
-  // The new revision, or nothing when the condition doesn't hold.
+  // The new revision, or nullopt if the condition doesn't hold.
   std::optional<int64_t> Write(const LeaseRecord& aWanted)
   {
     int64_t now = mRecord ? mRecord->mRevision : 0;
@@ -34,7 +34,7 @@
   }
 };
 
-// One of them leaves a free lease to the others.
+// Candidate "c" leaves a free lease to the others.
 LeaseTimes
 TimesOf(const std::string& aName)
 {
@@ -90,7 +90,7 @@
     if (chance(150)) {
       unlucky.mPausedUntil = now + Millis(*rc::gen::inRange(100, 9000));
     }
-    if (chance(250)) { // killed, and started again under the same name
+    if (chance(250)) { // killed, and restarted under the same name
       unlucky = Candidate(unlucky.mName);
     }
     for (Candidate& candidate : candidates) {
@@ -117,7 +117,7 @@
         }
       } else if (action == LeaseAction::Write) {
         LeaseRecord wanted = step.WantedRecord();
-        if (chance(8)) { // done now or later, and not answered
+        if (chance(8)) { // carried out now or later, and not answered
           late.push_back({ now + Millis(*rc::gen::inRange(0, 8000)), wanted });
           step.OnFailed(now);
         } else if (auto revision = object.Write(wanted)) {
@@ -149,8 +149,8 @@
 
 } // namespace
 
-// The holder leaves and gives the lease up. Another one that had read it
-// before takes it at the next look, not after a whole lease.
+// Guards against waiting for a whole lease after a release: another instance
+// that had read the lease before acquires it at its next check.
 TEST(LeaseStep, LeaseGivenUpIsTakenSoon)
 {
   LeaseObject object;
@@ -176,8 +176,9 @@
   EXPECT_TRUE(second.MayAct(now + LeaseTimes().mSilence));
 }
 
-// Guards against a taking whose answer was lost, and which is then taken for a
-// former life's lease: orders of the holder before may still be under way.
+// Guards against an acquisition whose answer was lost and which is then taken
+// for an earlier process's lease: orders of the previous holder may still be in
+// progress.
 TEST(LeaseStep, UnansweredAcquisitionStillWaitsOutTheSilence)
 {
   LeaseObject object;
@@ -202,7 +203,8 @@
   EXPECT_TRUE(second.MayAct(now + Millis(300) + LeaseTimes().mSilence));
 }
 
-// A machine's next life takes its own lease back at once, under a new token.
+// A restarted process reacquires its machine's lease at once, under a new
+// token.
 TEST(LeaseStep, OwnLeaseIsTakenBackAtOnce)
 {
   LeaseObject object;
@@ -218,8 +220,8 @@
   EXPECT_GT(next.Token(), token);
 }
 
-// Both see the same free lease; the weaker one waits, hears who took it, and
-// makes no call for it.
+// Both see the same free lease; the one with a yield waits, hears who acquired
+// it, and makes no call for it.
 TEST(LeaseStep, LeaseYieldLetsOthersTakeAFreeLease)
 {
   TimePoint now{ Seconds(1000) };
@@ -237,8 +239,8 @@
   EXPECT_EQ(LeaseAction::Write, alone.Due(now + Millis(400)));
 }
 
-// Guards against a release that is forgotten because a renewal was on its way:
-// the zone would have no holder until the lease ends by itself.
+// Guards against a release that is lost because a renewal was in flight: the
+// zone would have no holder until the lease expires.
 TEST(LeaseStep, ReleaseDuringARenewalStillGivesItUp)
 {
   LeaseObject object;
@@ -258,8 +260,8 @@
   EXPECT_EQ("", object.mRecord->mHolder);
 }
 
-// Guards against an instance that leaves and takes the lease after all, because
-// its write was on its way.
+// Guards against an instance that leaves and acquires the lease after all,
+// because its write was in flight.
 TEST(LeaseStep, ReleaseDuringAnAcquisitionGivesItUp)
 {
   LeaseObject object;
@@ -276,7 +278,8 @@
   EXPECT_EQ("", object.mRecord->mHolder);
 }
 
-// Guards against a release that clears another's lease, which was being read.
+// Guards against a release that clears another holder's lease, while the record
+// was being read.
 TEST(LeaseStep, ReleaseDuringAReadingLeavesOthersAlone)
 {
   LeaseObject object;
--- a/tests/property/LeavePlanProperty.cpp
+++ b/tests/property/LeavePlanProperty.cpp
@@ -17,7 +17,7 @@
   return Millis(*rc::gen::inRange(0, kMaxMs));
 }
 
-// Half of them near aEdge, where mistakes are.
+// Half of the points are near aEdge, where mistakes are likely.
 TimePoint
 AnyPoint(TimePoint aFrom, TimePoint aEdge)
 {
@@ -27,9 +27,9 @@
 
 } // namespace
 
-// Guards against a request that is begun for the end to cut: whatever may start
-// has its answer before the end, or is one of the last callers' and usually
-// fits; at or after the end nothing starts.
+// Guards against a request that the instance's exit cuts off: whatever may
+// start has its answer before the end, or belongs to the last callers and
+// usually fits; at or after the end nothing starts.
 RC_GTEST_PROP(LeavePlan, WhatStartsHasItsAnswerBeforeTheEnd, ())
 {
   TimePoint now = TimePoint(Seconds(1000));
@@ -57,8 +57,8 @@
   }
 }
 
-// Guards against an instance that still lets callers in and doesn't know it:
-// once they are no longer expected, they never are again.
+// Guards against an instance that admits callers without expecting them: once
+// callers are no longer expected, they never are again.
 RC_GTEST_PROP(LeavePlan, CallersAreExpectedFirstOnly, ())
 {
   TimePoint now = TimePoint(Seconds(1000));
--- a/tests/property/ServerInventoryProperty.cpp
+++ b/tests/property/ServerInventoryProperty.cpp
@@ -1,6 +1,6 @@
-// A server, orders that are carried out late, reports from the past, holders in
-// turn: never is more ordered than fits, and each safeguard of the account is
-// one that a run needs.
+// Model test with a server, orders that are carried out late, outdated reports
+// and successive lease holders: no more is ever ordered than fits, and leaving
+// out any safeguard makes the test fail.
 
 #include <gtest/gtest.h>
 
@@ -19,12 +19,12 @@
 constexpr size_t kAdapterCapacity = 3;
 constexpr Millis kStep{ 50 };
 
-// What a holder leaves out.
+// The safeguard that a holder leaves out.
 enum class OmittedSafeguard
 {
   None,
-  IdleReport,   // takes the report of a busy server for settled
-  PendingUnload // counts the accepted unload of an adapter in use as done
+  IdleReport,   // accepts the report of a busy server as settled
+  PendingUnload // counts the accepted unload of an adapter in use as finished
 };
 
 EngineSpec
@@ -78,7 +78,7 @@
   {
     TimePoint mAt{};
     ModelOrder mOrder;
-    bool mFromLostHolder = false; // holder, which is lost
+    bool mFromLostHolder = false; // sent by a holder that was lost
   };
   bool Chance(int aOneIn) { return mRandom() % unsigned(aOneIn) == 0; }
   std::string AnyModel() { return "m" + std::to_string(mRandom() % 8); }
@@ -110,8 +110,8 @@
     }
   }
 
-  // An order of a lost holder that outlives the server's life as well isn't
-  // played: nobody who is left knows of it.
+  // Orders of a lost holder don't outlive a restart in this model: no remaining
+  // holder knows of them.
   void Restart()
   {
     mDelayed.erase(std::remove_if(mDelayed.begin(),
@@ -130,7 +130,7 @@
     mInventory.Restart(mStartTime);
   }
 
-  // Accepted, and whether it is done at once.
+  // Whether the order is accepted, and whether it is finished at once.
   std::pair<bool, bool> CarryOut(const ModelOrder& aOrder)
   {
     if (mBusy || aOrder.mOrders != mOrders) {
@@ -178,12 +178,12 @@
     }
   }
 
-  // ---- The holder
+  // ---- The lease holder
 
   void Act()
   {
     if (Chance(60)) {
-      mInventory.Forget(); // another holder
+      mInventory.Forget(); // a new holder
     } else if (Chance(60)) {
       LoseHolder();
     }
@@ -202,7 +202,7 @@
     Send(order);
   }
 
-  // One that was lost with an order under way; the next one takes over.
+  // A holder is lost with an order in progress, and the next one takes over.
   void LoseHolder()
   {
     ServerInventory other(mStartTime);
@@ -245,7 +245,7 @@
 
   void Send(const ModelOrder& aOrder)
   {
-    if (Chance(8)) { // its answer is lost, and it comes late or never
+    if (Chance(8)) { // the answer is lost; the order arrives late or never
       mInventory.OnUnanswered(aOrder, mNow);
       if (Chance(2)) {
         mDelayed.push_back({ mNow + Millis(mRandom() % 4000), aOrder, false });
@@ -294,22 +294,22 @@
 
 } // namespace
 
-// Guards against a load beyond a server's room, which fails all that runs
-// there.
+// Guards against a load beyond a server's memory, which fails all requests that
+// run there.
 TEST(ServerInventoryRandom, NeverMoreThanFits)
 {
   EXPECT_EQ(0, CountOverCapacityLoads(OmittedSafeguard::None, 2000));
 }
 
-// Guards against a model test that can't find anything: it finds the room
-// overrun when a safeguard is left out.
+// Guards against a model test that can't detect anything: without a safeguard
+// it must find loads beyond the server's capacity.
 TEST(ServerInventoryRandom, EachSafeguardIsNeeded)
 {
   EXPECT_GT(CountOverCapacityLoads(OmittedSafeguard::IdleReport, 200), 0);
   EXPECT_GT(CountOverCapacityLoads(OmittedSafeguard::PendingUnload, 200), 0);
 }
 
-// Guards against an account that goes back by a report from before an order.
+// Guards against an inventory that is reset by a report older than an order.
 TEST(ServerInventory, ReportOlderThanAnOrderIsIgnored)
 {
   ServerInventory inventory(1);
@@ -327,8 +327,8 @@
   EXPECT_FALSE(inventory.OnReport(report));
 }
 
-// Guards against a load that was ordered of a server's former life, arrives at
-// its next one, and finds its room given away.
+// Guards against a load ordered before a server's restart that arrives after
+// it, when its memory has been given away.
 TEST(ServerInventory, MemoryIsReservedForOrdersFromBeforeARestart)
 {
   ServerInventory inventory(1);
@@ -350,8 +350,8 @@
                    TimePoint() + ServerInventory::kMaxOrderDelay + Seconds(1)));
 }
 
-// Guards against requests sent for seconds to a model that a server still
-// loads, its copy on disk having gone.
+// Guards against requests sent for seconds to a model that a server is still
+// loading because its copy on disk was gone.
 TEST(ServerInventory, LoadStillPendingIsNotUsable)
 {
   ServerInventory inventory(1);
--- a/tests/property/TokenBucketProperty.cpp
+++ b/tests/property/TokenBucketProperty.cpp
@@ -6,10 +6,9 @@
 
 namespace caraway {
 
-// What the caller sees: a tenant that reserves much and uses little is let in
-// again sooner. What goes wrong without the headroom log: the bucket fills to
-// the brim meanwhile, the refund comes on top of the refill, and two bursts
-// go through in one moment.
+// Guards against refunds that exceed the limit. A tenant that reserves much and
+// uses little is refunded; if the bucket filled up meanwhile, a refund on top
+// of the refill would let two bursts through at once.
 RC_GTEST_PROP(TokenBucket, NoWindowExceedsTheLimitAfterRefunds, ())
 {
   const double rate = 10;
@@ -21,7 +20,7 @@
     size_t mSpend;
     double mReserved;
   };
-  std::vector<WindowSpend> spends; // by what was used in the end
+  std::vector<WindowSpend> spends; // tokens used in the end
   std::vector<Held> held;
   int steps = *rc::gen::inRange(1, 60);
   for (int i = 0; i < steps; ++i) {
--- a/tests/property/WatchStepProperty.cpp
+++ b/tests/property/WatchStepProperty.cpp
@@ -1,4 +1,5 @@
-// Who of a zone reads the list of servers from the store, and who is told.
+// Which instances of a zone read the list of servers from the store, and which
+// follow another instance.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -14,7 +15,7 @@
 
 constexpr Millis kRound{ 100 };
 
-// An instance as far as its news go.
+// An instance and the age of what it knows.
 struct Reader
 {
   explicit Reader(const std::string& aName)
@@ -25,7 +26,7 @@
   std::string mName;
   WatchStep mStep;
   TimePoint mReadAt{};   // last answer of the store
-  TimePoint mUpdateAt{}; // of what it knows, by whatever way
+  TimePoint mUpdateAt{}; // of its knowledge, read or received
   bool mRejected = false;
   bool mFrozen = false;
 
@@ -36,7 +37,8 @@
   }
 };
 
-// All read what they may, and tell what they read; aLost: of a hundred notes.
+// One round: all that should read do so and publish it. aLost: percentage of
+// messages lost.
 void
 RunPass(std::vector<Reader>& aReaders, TimePoint aNow, int aLost)
 {
@@ -61,9 +63,9 @@
 
 } // namespace
 
-// Instances freeze, the store turns some away, notes are lost: whoever isn't
-// frozen and relies on another has news younger than the bound; the others
-// read. In calm one is left that reads, the first by name.
+// Instances freeze, the store rejects some, and messages are lost: an instance
+// that isn't frozen and follows another has an update younger than the bound;
+// the others read. Without faults one reader is left, the first by name.
 RC_GTEST_PROP(WatchStepRandom, UpdatesAreFreshAndOneReadsWithoutFaults, ())
 {
   std::vector<Reader> readers;
@@ -105,14 +107,15 @@
   EXPECT_LT(WatchRank(0.25, "a"), WatchRank(0.25, "b"));
 }
 
-// Guards against one instance of many that leads its zone and reads for it.
+// Guards against one instance that leads its zone and also reads for it, while
+// others idle.
 TEST(WatchStep, LeaderComesLastAmongEquals)
 {
   EXPECT_LT(WatchRank(0.25, "b"), WatchRank(0.25, "a", true));
   EXPECT_LT(WatchRank(0.5, "a", true), WatchRank(0.25, "b"));
 }
 
-// Guards against a teller that is lost to its followers when its rank changes.
+// Guards against followers that lose their reader when its rank changes.
 TEST(WatchStep, ReaderIsFollowedAcrossRankChanges)
 {
   TimePoint now{ Seconds(1000) };
@@ -122,7 +125,8 @@
   EXPECT_FALSE(step.OnTold(WatchRank(0.25, "b", true), now, now, now));
 }
 
-// Two that read hear each other at the same moment: one of them goes on.
+// Two readers receive each other's updates at the same moment: one of them
+// keeps reading.
 TEST(WatchStep, TwoReadersDoNotFollowEachOther)
 {
   TimePoint now{ Seconds(1000) };
@@ -132,11 +136,12 @@
   EXPECT_TRUE(second.OnTold("a", now, now, now));
   EXPECT_FALSE(first.Follows(now));
   EXPECT_TRUE(second.Follows(now));
-  // What was sent before it stopped comes late.
+  // An update sent before the second one stopped arrives late.
   EXPECT_FALSE(first.OnTold("b", now - Millis(50), now, now));
 }
 
-// Guards against a reader that can't keep up and prefers its own old news.
+// Guards against a reader that can't keep up and prefers its own outdated
+// reads.
 TEST(WatchStep, StaleOwnUpdateYieldsToFreshOne)
 {
   TimePoint now{ Seconds(1000) };
--- a/tests/property/ZoneTokensProperty.cpp
+++ b/tests/property/ZoneTokensProperty.cpp
@@ -1,5 +1,5 @@
-// A tenant's limit over instances that come, go, are cut off and lend to each
-// other: never exceeded, and reachable wherever it is asked for.
+// A tenant's limit over instances that join, leave, are cut off and lend to
+// each other: never exceeded, and fully usable wherever the demand is.
 
 #include <gtest/gtest.h>
 
@@ -19,7 +19,7 @@
 
 const TimePoint kStart{ Seconds(1000) };
 
-// ---- Who may spend
+// ---- Membership
 
 struct StoreEntry
 {
@@ -40,7 +40,7 @@
   ZoneMembers mZone;
   bool mAlive = true;
   bool mCutFromStore = false;
-  int mPartition = 0; // nodes of different sides don't hear each other
+  int mPartition = 0; // nodes of different partitions can't reach each other
   int mRevision = 0;
   bool mRecordedCounted = false;
   TimePoint mListNext{};
@@ -48,7 +48,7 @@
   std::map<std::string, int> mSeen; // revisions, as listed
 };
 
-// A zone of instances, its store, and whatever befalls them.
+// A zone of instances, its store, and injected faults.
 class ZoneModel
 {
 public:
@@ -61,7 +61,7 @@
     }
   }
 
-  // The largest sum of the parts that are spent at any moment.
+  // Returns the largest sum of parts that may be spent at one time.
   double Run(Millis aTime)
   {
     double most = 0;
@@ -87,7 +87,7 @@
     return sum;
   }
 
-  // No more trouble; who is dead stays dead.
+  // Ends all faults; dead instances stay dead.
   void EndFaults()
   {
     mFaultsStopped = true;
@@ -115,7 +115,7 @@
     TimePoint mAt{};
     std::string mName;
     int mRevision = 0;
-    bool mMark = false; // else it removes
+    bool mMark = false; // false = remove
   };
 
   bool Chance(unsigned aOneIn) { return mRandom() % aOneIn == 0; }
@@ -134,7 +134,7 @@
     if (Chance(100)) {
       any.mAlive = false; // killed
     }
-    if (!any.mAlive && Chance(40)) { // under the same name, with nothing
+    if (!any.mAlive && Chance(40)) { // restarted without state
       std::string name = any.mName;
       any = Node(name);
     }
@@ -152,7 +152,7 @@
     }
   }
 
-  // Its mates are told once the store has removed its entry.
+  // Its peers are notified once the store has removed its entry.
   void Leave(Node& aNode)
   {
     aNode.mZone.Leave();
@@ -236,7 +236,7 @@
     }
   }
 
-  // The answer may be lost, and the call be carried out later.
+  // Marks and removes entries. Some calls are carried out late.
   void RemoveLost(Node& aNode)
   {
     const ZoneMembers& zone = aNode.mZone;
@@ -293,7 +293,7 @@
   bool mFaultsStopped = false;
 };
 
-// ---- What is spent
+// ---- Tokens
 
 TenantLimit
 Limit(double aRate, double aBurst)
@@ -312,8 +312,7 @@
   double mTokens = 0;
 };
 
-// Instances with a part each, and loans between them that take their time or
-// are lost.
+// Instances with a part each, and loans between them that are delayed or lost.
 class TokenModel
 {
 public:
@@ -327,7 +326,7 @@
     }
   }
 
-  // aWeights: how much of the demand each instance has.
+  // aWeights: each instance's share of the demand.
   void Run(Millis aTime,
            double aAskedPerSecond,
            const std::vector<double>& aWeights,
@@ -365,13 +364,13 @@
   double Asked() const { return mAsked; }
   void Reset() { mGranted = mAsked = 0; }
 
-  // Most tokens above rate and burst in any span.
+  // Maximum excess of tokens over rate and burst in any window.
   double Excess() const
   {
     double excess = -mLimit.mBurst;
     double lowest = 0;
     double sum = 0;
-    // Sum of a span less its rate, by running minimum.
+    // Sum of a window less its rate, by running minimum.
     for (const Grant& grant : mGrants) {
       double rate = mLimit.mRate *
                     std::chrono::duration<double>(grant.mAt - kStart).count();
@@ -459,8 +458,9 @@
 
 } // namespace
 
-// Guards against two that count different mates and together spend more than
-// the zone's part: through kills, cuts, planned ends and late calls.
+// Guards against instances that count different peers and together spend more
+// than the zone's part, through kills, partitions, planned shutdowns and late
+// calls.
 TEST(ZoneMembersRandom, SpentPartsNeverExceedTheLimit)
 {
   for (unsigned seed = 1; seed <= 300; ++seed) {
@@ -469,8 +469,8 @@
   }
 }
 
-// Guards against parts that stay idle: with all cuts healed and the dead
-// forgotten, everything is spent by somebody.
+// Guards against parts that stay unused: once all partitions have healed and
+// the dead instances are removed, the whole limit can be spent.
 TEST(ZoneMembersRandom, LimitIsFullySpendableAfterFaultsEnd)
 {
   for (unsigned seed = 1; seed <= 100; ++seed) {
@@ -484,7 +484,7 @@
   }
 }
 
-// Guards against tokens spent twice on their way between instances.
+// Guards against tokens that are spent twice while they move between instances.
 TEST(TenantTokenBucketRandom, NeverAboveTheLimit)
 {
   for (unsigned seed = 1; seed <= 40; ++seed) {
@@ -505,9 +505,9 @@
   }
 }
 
-// A tenant's callers keep connections to a few instances of seven, and ask for
-// up to six times the limit. In touch and past the first second, 0.95 of what
-// it asks for and may have is let in.
+// A tenant's callers keep connections to a few of seven instances and ask for
+// up to six times the limit. With all instances connected and past the first
+// two seconds, 0.95 of what is asked for and allowed is granted.
 TEST(TenantTokenBucket, LimitIsReachedWhereverItIsAskedFor)
 {
   TenantLimit limit = Limit(30000, 45000);
@@ -526,7 +526,7 @@
   }
 }
 
-// Guards against a large request that no single part could ever pay.
+// Guards against refusing a large request that no single part can pay.
 TEST(TenantTokenBucket, RequestLargerThanAPartIsPaid)
 {
   TenantLimit limit = Limit(20000, 20000);
@@ -537,8 +537,8 @@
   EXPECT_GE(model.Granted(), 4000);
 }
 
-// A tenant asks for three times its limit, mostly for what is least urgent:
-// its urgent requests still find tokens.
+// A tenant asks for three times its limit, mostly on its least urgent routes:
+// its urgent requests still get tokens.
 TEST(TenantTokenBucket, UrgentRoutesFindTokensInAnOverload)
 {
   TenantLimit limit = Limit(10000, 10000);
@@ -570,8 +570,8 @@
   EXPECT_GT(paidRest, 60u);
 }
 
-// Guards against refunds that let more run than the limit: what is given back
-// late counts only as far as the bucket didn't spill meanwhile.
+// Guards against refunds that exceed the limit: a late refund counts only as
+// far as the bucket didn't overflow meanwhile.
 TEST(TenantTokenBucket, LateRefundNeverExceedsTheBurst)
 {
   TenantLimit limit = Limit(10000, 10000);
@@ -588,8 +588,8 @@
   EXPECT_LE(bucket.Level(now + Seconds(10)), SplitBurst(limit) + 1);
 }
 
-// Guards against callers who come back together into an overload that goes on:
-// the more are refused, the later they are told to return.
+// Guards against callers that retry all at once during an overload: each
+// further refusal gets a later retry-after time.
 TEST(TenantTokenBucket, RetryTimesOfRefusedRequestsIncrease)
 {
   TenantLimit limit = Limit(10000, 10000);
--- a/tests/support/RandomChoices.h
+++ b/tests/support/RandomChoices.h
@@ -1,4 +1,5 @@
-// RandomChoices.h: random bytes that a model's decisions are taken from.
+// RandomChoices.h: random choices of a model test, drawn from a shrinkable
+// sequence of bytes.
 #ifndef caraway_tests_RandomChoices_h
 #define caraway_tests_RandomChoices_h
 
@@ -8,7 +9,7 @@
 
 namespace caraway {
 
-// rapidcheck shrinks the bytes, and with them the story they tell.
+// rapidcheck shrinks the bytes, and with them the sequence of events.
 class RandomChoices
 {
 public:
--- a/tests/support/Window.h
+++ b/tests/support/Window.h
@@ -1,4 +1,5 @@
-// Window.h: the most that any window went over a rate and burst.
+// Window.h: maximum excess of spent tokens over a rate and burst, over all
+// windows.
 #ifndef caraway_tests_Window_h
 #define caraway_tests_Window_h
 
@@ -15,7 +16,7 @@
   double mTokens;
 };
 
-// Above zero: some window had more than burst + rate x length. aSpends in
+// Positive if some window had more than burst + rate x length. aSpends is in
 // order of time.
 inline double
 WindowExcess(const std::vector<WindowSpend>& aSpends,
@@ -23,7 +24,8 @@
              double aBurst)
 {
   double worst = -aBurst;
-  // Running form of the largest sum over i <= j of tokens less rate x time.
+  // Running maximum over all i <= j of the tokens spent from i to j, less rate
+  // x time.
   double run = 0;
   for (size_t j = 0; j < aSpends.size(); ++j) {
     if (j > 0) {
--- a/tests/unit/LeavePlanTest.cpp
+++ b/tests/unit/LeavePlanTest.cpp
@@ -1,4 +1,4 @@
-// What a leaving instance may begin, at the borders of its times.
+// What a leaving instance may start, at the bounds of its times.
 
 #include <gtest/gtest.h>
 
@@ -33,7 +33,7 @@
   EXPECT_EQ(TimePoint::max(), plan.End());
 }
 
-// Guards against times that are off by one at the balancer's lag and the end.
+// Guards against off-by-one errors at the balancer's lag and at the end.
 TEST(LeavePlan, BoundsOfTheGrantedTime)
 {
   LeavePlan plan = LeavingPlan(Seconds(8));
@@ -45,8 +45,8 @@
   EXPECT_FALSE(plan.MayContinue(kNow + Millis(7500)));
 }
 
-// Guards against a request that its time bounds, and that is sent away though
-// its answer comes before the end.
+// Guards against refusing a request whose deadline puts its answer before the
+// end.
 TEST(LeavePlan, AnswerBeforeTheEndMayStartAnyTime)
 {
   LeavePlan plan = LeavingPlan(Seconds(8));
@@ -55,7 +55,7 @@
   EXPECT_FALSE(plan.MayStart(late, plan.End() + Millis(1), Millis(0)));
 }
 
-// Guards against a request begun among the last callers that usually outlasts
+// Guards against starting a request of the last callers that usually outlasts
 // the instance.
 TEST(LeavePlan, LastCallersAreJudgedByUsualTime)
 {
@@ -69,7 +69,7 @@
   EXPECT_FALSE(plan.MayStart(last + Millis(1), never, Millis(0)));
 }
 
-// Guards against a short grace that is spent on new callers alone.
+// Guards against a short grace period that is spent on new callers alone.
 TEST(LeavePlan, ShortGraceIsMostlyForRequestsInFlight)
 {
   LeavePlan plan = LeavingPlan(Seconds(3));
@@ -77,7 +77,7 @@
   EXPECT_EQ(kNow + Millis(2500), plan.End());
 }
 
-// Guards against a start at the end itself, where the last answers go out.
+// Guards against a start at the end itself, when the last answers are sent.
 TEST(LeavePlan, NothingStartsAtTheEnd)
 {
   for (Millis grace : { Millis(0), Millis(300), Millis(700), Millis(8000) }) {
@@ -90,14 +90,15 @@
   }
 }
 
-// Guards against a grace below the margin that puts the end before the signal.
+// Guards against a grace period below the margin that puts the end before the
+// signal.
 TEST(LeavePlan, GraceBelowTheMarginEndsAtOnce)
 {
   LeavePlan plan = LeavingPlan(Millis(200));
   EXPECT_EQ(kNow, plan.End());
 }
 
-// Guards against a plan that goes on beyond a grace that was shortened.
+// Guards against a plan that extends beyond a shortened grace period.
 TEST(LeavePlan, ShorterGraceEndsItSooner)
 {
   LeavePlan plan = LeavingPlan(Seconds(8));
@@ -108,7 +109,7 @@
   EXPECT_EQ(kNow + Millis(2500), plan.End());
 }
 
-// Guards against an instance in service that a look at its settings ends.
+// Guards against a reload of the settings that ends an instance in service.
 TEST(LeavePlan, InServiceNothingIsShortened)
 {
   LeavePlan plan;
--- a/tests/unit/RunTimeEstimatesTest.cpp
+++ b/tests/unit/RunTimeEstimatesTest.cpp
@@ -1,4 +1,4 @@
-// What is known of how long requests take.
+// Estimates of how long requests take, by route.
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 
 } // namespace
 
-// Guards against a route of which nothing is known that counts as slow.
+// Guards against an unknown route that counts as slow.
 TEST(RunTimeEstimates, UnknownRouteIsZero)
 {
   RunTimeEstimates times;
@@ -22,7 +22,7 @@
   EXPECT_EQ(Millis(0), times.UsualTime(kRoute));
 }
 
-// Guards against a first run that counts for nothing.
+// Guards against a first run that is ignored.
 TEST(RunTimeEstimates, FirstRunAlreadyCounts)
 {
   RunTimeEstimates times;
@@ -30,7 +30,8 @@
   EXPECT_LE(Millis(1000), times.UsualTime(kRoute));
 }
 
-// Guards against an estimate that doesn't narrow where runs are alike.
+// Guards against an estimate that doesn't narrow when all runs take the same
+// time.
 TEST(RunTimeEstimates, EqualRunsConvergeToTheirDuration)
 {
   RunTimeEstimates times;
@@ -41,7 +42,7 @@
   EXPECT_GE(Millis(1001), times.UsualTime(kRoute));
 }
 
-// Guards against an estimate that half of the runs outlast.
+// Guards against an estimate that half of the runs exceed.
 TEST(RunTimeEstimates, FewRunsTakeLonger)
 {
   RunTimeEstimates times;
@@ -55,7 +56,7 @@
   EXPECT_GE(kRuns / 10, over);
 }
 
-// Guards against a route that became slower and still counts as quick.
+// Guards against a route that became slower and still counts as fast.
 TEST(RunTimeEstimates, FollowsARouteThatBecomesSlower)
 {
   RunTimeEstimates times;
@@ -68,7 +69,7 @@
   EXPECT_LE(Millis(5000), times.UsualTime(kRoute));
 }
 
-// Guards against one slow run that makes a quick route count as slow for long.
+// Guards against one slow run that makes a fast route count as slow for long.
 TEST(RunTimeEstimates, SlowOutlierIsForgottenWithinTenRuns)
 {
   RunTimeEstimates times;
@@ -82,7 +83,7 @@
   EXPECT_GE(Millis(5000), times.UsualTime(kRoute));
 }
 
-// Guards against routes of old configurations that stay for ever.
+// Guards against routes of old configurations that are kept forever.
 TEST(RunTimeEstimates, RoutesAreBounded)
 {
   RunTimeEstimates times;
