--- a/tests/property/EmptyZoneProperty.cpp
+++ b/tests/property/EmptyZoneProperty.cpp
@@ -211,7 +211,7 @@
       aOne.mListed = true;
     }
     if (mRounds % kHeartbeatSteps == 0) {
-      Pulse(aOne);
+      SendHeartbeat(aOne);
     }
     if (!aOne.mInside) {
       UpdateTakeover(aOne);
@@ -220,7 +220,7 @@
     Serve(aOne);
   }
 
-  void Pulse(Instance& aFrom)
+  void SendHeartbeat(Instance& aFrom)
   {
     for (auto& to : mInstances) {
       if (to->mAlive && to.get() != &aFrom &&
--- a/tests/property/ZoneTokensProperty.cpp
+++ b/tests/property/ZoneTokensProperty.cpp
@@ -187,7 +187,7 @@
       UseStore(aNode);
     }
     if ((mNow - kStart) / kStep % kHeartbeatSteps == 0) {
-      Pulse(aNode);
+      SendHeartbeat(aNode);
     }
     for (const std::string& name : aNode.mZone.Unconfirmed()) {
       for (auto& peer : mNodes) {
@@ -199,7 +199,7 @@
     }
   }
 
-  void Pulse(Node& aNode)
+  void SendHeartbeat(Node& aNode)
   {
     for (auto& peer : mNodes) {
       if (Hears(*peer, aNode) && !Chance(10)) {
