--- a/src/decide/ClaimStep.cpp
+++ b/src/decide/ClaimStep.cpp
@@ -67,7 +67,7 @@
 ClaimAction
 OnClaimHeld(ClaimState& aState, int64_t aVersion, TimePoint aNow)
 {
-  aState.mMine = true;
+  aState.mHoldsClaim = true;
   aState.mVersion = aVersion;
   return ForwardOrder(aState, aNow);
 }
@@ -108,7 +108,7 @@
   if (aNow >= aState.mDeadline) {
     return Refuse(aState, ErrorKind::OutcomePending);
   }
-  aState.mPhase = ClaimPhase::Asking;
+  aState.mPhase = ClaimPhase::QueryingCreator;
   aState.mVersion = aEvent.mVersion;
   ClaimAction action = Make(ClaimActionKind::QueryCreator);
   action.mPeer = record.mCreator;
@@ -134,7 +134,7 @@
 }
 
 ClaimAction
-OnAsking(ClaimState& aState, const ClaimEvent& aEvent, TimePoint aNow)
+OnQueryingCreator(ClaimState& aState, const ClaimEvent& aEvent, TimePoint aNow)
 {
   switch (aEvent.mKind) {
     case ClaimEventKind::PeerAnswered:
@@ -154,7 +154,7 @@
 }
 
 ClaimAction
-OnHandingOn(ClaimState& aState, const ClaimEvent& aEvent, TimePoint aNow)
+OnForwarding(ClaimState& aState, const ClaimEvent& aEvent, TimePoint aNow)
 {
   switch (aEvent.mKind) {
     case ClaimEventKind::Answered:
@@ -186,10 +186,10 @@
     case ClaimPhase::Claiming:
     case ClaimPhase::Rereading:
       return OnClaiming(aState, aEvent, aNow);
-    case ClaimPhase::Asking:
-      return OnAsking(aState, aEvent, aNow);
+    case ClaimPhase::QueryingCreator:
+      return OnQueryingCreator(aState, aEvent, aNow);
     case ClaimPhase::Forwarding:
-      return OnHandingOn(aState, aEvent, aNow);
+      return OnForwarding(aState, aEvent, aNow);
     case ClaimPhase::StoringAnswer:
       // Kept or not, the answer is the caller's. Until it is kept, this
       // instance vouches for it to whoever asks.
--- a/src/decide/ClaimStep.h
+++ b/src/decide/ClaimStep.h
@@ -70,11 +70,11 @@
 enum class ClaimPhase
 {
   Idle,
-  Claiming,      // a write of ours may take effect at any time
-  Rereading,     // re-reading after an unclear write
-  Asking,        // another attempt holds the claim
-  Forwarding,    // we hold it; bytes may be out
-  StoringAnswer, // the answer is here, being stored
+  Claiming,        // a write of ours may take effect at any time
+  Rereading,       // re-reading after an unclear write
+  QueryingCreator, // another attempt holds the claim
+  Forwarding,      // we hold it; bytes may be out
+  StoringAnswer,   // the answer is here, being stored
   Releasing,
   Done,
 };
@@ -89,8 +89,8 @@
   int mPlatformRetriesLeft = 4; // unclear platform answers put up with
 
   ClaimPhase mPhase = ClaimPhase::Idle;
-  int64_t mVersion = 0; // of the claim, once ours
-  bool mMine = false;   // the stored claim holds our nonce
+  int64_t mVersion = 0;     // of the claim, once ours
+  bool mHoldsClaim = false; // the stored claim holds our nonce
   ClaimAnswer mAnswer;
   ErrorKind mReleaseError = ErrorKind::NoEndpoint;
 };
--- a/src/decide/LoadPlan.cpp
+++ b/src/decide/LoadPlan.cpp
@@ -67,7 +67,7 @@
     bool busy =
       !seen || seen->mActive > 0 || seen->mIdle < aParameters.mMinIdle;
     // Gone for good only after minutes; no room for this request.
-    bool lingers = !aCandidate.mRecord.mChecksFencing && !replica.mSettled;
+    bool lingers = !aCandidate.mRecord.mChecksFencing && !replica.mAcknowledged;
     if (replica.mState != ReplicaState::Ready || busy || lingers ||
         HasAdapters(aCandidate.mRecord, replica.mName)) {
       continue;
--- a/src/decide/PlacementRecord.h
+++ b/src/decide/PlacementRecord.h
@@ -22,10 +22,10 @@
   std::string mBase; // "" for a model
   int64_t mBytes = 0;
   ReplicaState mState = ReplicaState::Loading;
-  int64_t mFencingToken = 0; // number its last order carries
-  std::string mDecision;     // id of the decision, drawn by the decider
-  int mLoadOrdersSent = 1;   // load orders that may have been sent for it
-  bool mSettled = false;     // the only one sent was answered
+  int64_t mFencingToken = 0;  // number its last order carries
+  std::string mDecision;      // id of the decision, drawn by the decider
+  int mLoadOrdersSent = 1;    // load orders that may have been sent for it
+  bool mAcknowledged = false; // the only one sent was answered
 };
 
 // One per engine, replaced as a whole by conditional update. That update is
--- a/src/decide/PlacementStep.cpp
+++ b/src/decide/PlacementStep.cpp
@@ -40,12 +40,12 @@
 ProvablyGone(const PlacementRecord& aRecord,
              const PlacedReplica& aReplica,
              const EngineReport& aReport,
-             const std::set<std::string>& aPast)
+             const std::set<std::string>& aExpired)
 {
   if (aRecord.mChecksFencing) {
     return aReport.mHighestFencingToken >= aReplica.mFencingToken;
   }
-  return aReplica.mSettled || aPast.count(aReplica.mDecision) != 0;
+  return aReplica.mAcknowledged || aExpired.count(aReplica.mDecision) != 0;
 }
 
 bool
@@ -74,13 +74,13 @@
 bool
 ObserveGone(PlacementRecord& aRecord,
             const EngineReport& aReport,
-            const std::set<std::string>& aPast)
+            const std::set<std::string>& aExpired)
 {
   size_t before = aRecord.mReplicas.size();
   auto gone = [&](const PlacedReplica& aReplica) {
     return aReplica.mState == ReplicaState::Unloading &&
            !FindReported(aReport, aReplica) &&
-           ProvablyGone(aRecord, aReplica, aReport, aPast);
+           ProvablyGone(aRecord, aReplica, aReport, aExpired);
   };
   aRecord.mReplicas.erase(
     std::remove_if(aRecord.mReplicas.begin(), aRecord.mReplicas.end(), gone),
@@ -177,7 +177,7 @@
         replica.mState == ReplicaState::Loading) {
       replica.mFencingToken = ++aRecord.mFencingToken;
       ++replica.mLoadOrdersSent;
-      replica.mSettled = false;
+      replica.mAcknowledged = false;
       return true;
     }
   }
@@ -188,9 +188,9 @@
 PlacementAcknowledge(PlacementRecord& aRecord, const std::string& aDecision)
 {
   for (PlacedReplica& replica : aRecord.mReplicas) {
-    if (replica.mDecision == aDecision && !replica.mSettled &&
+    if (replica.mDecision == aDecision && !replica.mAcknowledged &&
         replica.mLoadOrdersSent == 1) {
-      replica.mSettled = true;
+      replica.mAcknowledged = true;
       return true;
     }
   }
@@ -200,13 +200,13 @@
 bool
 PlacementObserve(PlacementRecord& aRecord,
                  const EngineReport& aReport,
-                 const std::set<std::string>& aPast)
+                 const std::set<std::string>& aExpired)
 {
   bool changed = false;
   for (PlacedReplica& replica : aRecord.mReplicas) {
     changed = ObserveReplica(aRecord, replica, aReport) || changed;
   }
-  changed = ObserveGone(aRecord, aReport, aPast) || changed;
+  changed = ObserveGone(aRecord, aReport, aExpired) || changed;
   return ChargeUnexpected(aRecord, aReport) || changed;
 }
 
--- a/src/decide/PlacementStep.h
+++ b/src/decide/PlacementStep.h
@@ -57,13 +57,13 @@
 PlacementAcknowledge(PlacementRecord& aRecord, const std::string& aDecision);
 
 // Takes in what the engine says: ready, gone, unexpected. The report must be
-// younger than the record. aPast: decisions whose replica has been going for
+// younger than the record. aExpired: decisions whose replica has been going for
 // longer than any order takes to arrive, by the caller's own clock. True when
 // the record changed and should be stored.
 bool
 PlacementObserve(PlacementRecord& aRecord,
                  const EngineReport& aReport,
-                 const std::set<std::string>& aPast = {});
+                 const std::set<std::string>& aExpired = {});
 
 } // namespace caraway
 
--- a/src/own/PlacementCodec.cpp
+++ b/src/own/PlacementCodec.cpp
@@ -48,7 +48,7 @@
     replica.mFencingToken = entry["fence"].asInt64();
     replica.mDecision = entry["decision"].asString();
     replica.mLoadOrdersSent = entry["copies"].asInt();
-    replica.mSettled = entry["settled"].asBool();
+    replica.mAcknowledged = entry["settled"].asBool();
     record.mReplicas.push_back(replica);
   }
   return record;
@@ -73,7 +73,7 @@
     entry["fence"] = Json::Int64(replica.mFencingToken);
     entry["decision"] = replica.mDecision;
     entry["copies"] = replica.mLoadOrdersSent;
-    entry["settled"] = replica.mSettled;
+    entry["settled"] = replica.mAcknowledged;
     json["replicas"].append(entry);
   }
   return json;
--- a/tests/property/ClaimProperty.cpp
+++ b/tests/property/ClaimProperty.cpp
@@ -194,7 +194,7 @@
       refused || aAttempt.mAction.mKind == ClaimActionKind::FinishAnswer;
     if (refused && aAttempt.mAction.mRun == RunState::NotRun) {
       RC_ASSERT(aAttempt.mRuns == 0);
-      RC_ASSERT(aAttempt.mState.mMine);
+      RC_ASSERT(aAttempt.mState.mHoldsClaim);
     }
     if (aAttempt.mAction.mKind == ClaimActionKind::FinishAnswer) {
       RC_ASSERT(mRuns == 1);
