--- a/src/decide/ClaimRecord.h
+++ b/src/decide/ClaimRecord.h
@@ -1,4 +1,4 @@
-// ClaimRecord.h: what the platform keeps about one non-repeatable order.
+// ClaimRecord.h: the stored claim of one non-repeatable order.
 #ifndef caraway_decide_ClaimRecord_h
 #define caraway_decide_ClaimRecord_h
 
@@ -8,10 +8,10 @@
 
 enum class ClaimRecordState
 {
-  Claimed,  // its creator alone may hand the order on
-  Released, // its creator gave up before any byte went out
-  Answered, // the endpoint's answer is kept here
-  Lost,     // handed on, and its outcome can't be known
+  Claimed,  // only its creator may forward the order
+  Released, // its creator gave up before any byte was sent
+  Answered, // the endpoint's answer is stored in mAnswer
+  Lost,     // forwarded; the outcome can't be determined
 };
 
 struct ClaimAnswer
@@ -19,16 +19,16 @@
   int mStatus = 0;
   std::string mContentType;
   std::string mBody;
-  bool mKept = true; // false: too large to keep; only the status is
+  bool mKept = true; // false: body too large to store, only mStatus is kept
 };
 
 struct ClaimRecord
 {
   ClaimRecordState mState = ClaimRecordState::Claimed;
-  std::string mBodyDigest; // another body under the same key is refused
-  std::string mCreator;    // incarnation that may hand it on
-  std::string mNonce;      // of the creator's attempt
-  ClaimAnswer mAnswer;     // when Answered
+  std::string mBodyDigest; // a different body under the same key is refused
+  std::string mCreator;    // incarnation that may forward the order
+  std::string mNonce;      // identifies the creator's attempt
+  ClaimAnswer mAnswer;     // set when Answered
 };
 
 } // namespace caraway
--- a/src/decide/ClaimStep.cpp
+++ b/src/decide/ClaimStep.cpp
@@ -42,8 +42,8 @@
   return action;
 }
 
-// Last look at the clock before bytes go out: an attempt that was paused
-// here comes back after its caller was told the time had passed.
+// Checks the deadline last before bytes are sent: an attempt that was paused
+// here may resume after its caller has been told that the deadline passed.
 ClaimAction
 ForwardOrder(ClaimState& aState, TimePoint aNow)
 {
@@ -72,9 +72,9 @@
   return ForwardOrder(aState, aNow);
 }
 
-// This attempt hands nothing on any more, also when a create of ours takes
-// effect later. But an earlier attempt elsewhere may have run the order, and
-// the platform alone could tell: so this is never "not run".
+// Once refused, this attempt forwards nothing, even if its create takes effect
+// later. An earlier attempt elsewhere may have run the order, though, and only
+// the platform knows: so the refusal never claims "not run".
 ClaimAction
 OnPlatformError(ClaimState& aState, ClaimActionKind aNext, TimePoint aNow)
 {
@@ -125,8 +125,8 @@
     case ClaimEventKind::Standing:
       return OnCurrentRecord(aState, aEvent, aNow);
     case ClaimEventKind::Absent:
-      // Our create may still be on its way; a second one with the same nonce
-      // can't harm, whichever of the two is taken.
+      // The first create may still be in flight. A second one with the same
+      // nonce is harmless, whichever of the two takes effect.
       return Claim(aState, 0);
     default:
       return OnPlatformError(aState, ClaimActionKind::Read, aNow);
@@ -191,8 +191,8 @@
     case ClaimPhase::Forwarding:
       return OnForwarding(aState, aEvent, aNow);
     case ClaimPhase::StoringAnswer:
-      // Kept or not, the answer is the caller's. Until it is kept, this
-      // instance vouches for it to whoever asks.
+      // The caller gets the answer whether or not it could be stored. Until
+      // it is stored, this instance reports it to peers that query the nonce.
       return Answer(aState, aState.mAnswer, false);
     case ClaimPhase::Releasing:
       return Refuse(aState, aState.mReleaseError);
--- a/src/decide/ClaimStep.h
+++ b/src/decide/ClaimStep.h
@@ -1,10 +1,10 @@
-// ClaimStep.h: at most once, as a pure step.
+// ClaimStep.h: at-most-once execution as a pure state machine.
 //
-// One attempt at one non-repeatable order by one instance. The driver does
-// what the action says and feeds back what happened. The fence is the
-// platform's conditional create: an order is handed on only by the attempt
-// whose nonce the stored claim holds, and a stored claim changes hands only
-// when its holder has said for good that it won't hand the order on.
+// Describes one attempt at one non-repeatable order by one instance. The
+// driver carries out each action and reports the result as an event. Mutual
+// exclusion rests on the platform's conditional create: only the attempt whose
+// nonce is in the stored claim forwards the order, and a stored claim is taken
+// over only after its holder has stated for good that it won't forward.
 #ifndef caraway_decide_ClaimStep_h
 #define caraway_decide_ClaimStep_h
 
@@ -18,45 +18,45 @@
 
 enum class ClaimActionKind
 {
-  Create,       // conditional create with our nonce
-  TakeOver,     // conditional replace of mVersion with our nonce
+  Create,       // conditional create with this attempt's nonce
+  TakeOver,     // conditional replace of mVersion with this attempt's nonce
   Read,         // read the claim again
-  QueryCreator, // ask mPeer about mNonce; may wait a little there
-  ForwardOrder, // offer the order to an endpoint, once
+  QueryCreator, // ask mPeer for the status of mNonce; may block briefly there
+  ForwardOrder, // send the order to an endpoint, once
   StoreAnswer,  // conditional replace: Answered
   StoreLost,    // conditional replace: Lost; then finish anyway
   Release,      // conditional replace: Released; then finish anyway
-  FinishAnswer, // give mAnswer to the caller
-  FinishRefuse, // refuse with mError; mRun is true of this order
+  FinishAnswer, // return mAnswer to the caller
+  FinishRefuse, // refuse with mError; mRun says whether the order ran
 };
 
 struct ClaimAction
 {
   ClaimActionKind mKind = ClaimActionKind::FinishRefuse;
-  int64_t mVersion = 0; // TakeOver, Keep*, Release
+  int64_t mVersion = 0; // TakeOver, Store*, Release
   std::string mPeer;    // QueryCreator: incarnation
   std::string mNonce;   // QueryCreator
   ErrorKind mError = ErrorKind::Internal;
   RunState mRun = RunState::NotRun;
   ClaimAnswer mAnswer;
-  bool mReplayed = false; // mAnswer was kept by an earlier call
+  bool mReplayed = false; // mAnswer was stored by an earlier call
 };
 
 enum class ClaimEventKind
 {
   Start,
-  Written,      // our conditional write is in force at mVersion
-  Standing,     // another record stands: mRecord at mVersion
-  Absent,       // no record
-  NoPlatform,   // no answer; a write may have taken effect or still may
-  PeerRunning,  // the creator is still at it
-  PeerGaveUp,   // the creator will never hand it on
+  Written,      // the attempt's conditional write took effect at mVersion
+  Standing,     // another record is stored: mRecord at mVersion
+  Absent,       // no record is stored
+  NoPlatform,   // platform did not answer; a write may take effect, even later
+  PeerRunning,  // the creator is still working on the order
+  PeerGaveUp,   // the creator will never forward it
   PeerAnswered, // the creator has the answer: mRecord.mAnswer
-  PeerLost,     // the creator handed it on and doesn't know the outcome
-  PeerUnknown,  // unreachable, or of another life
-  NotOffered,   // no byte went out; mEndpointsLeft tells if others may do
-  Answered,     // whole answer: mRecord.mAnswer
-  AnswerLost,   // offered, no whole answer
+  PeerLost,     // the creator forwarded it and doesn't know the outcome
+  PeerUnknown,  // unreachable, or restarted since
+  NotOffered,   // no byte was sent; mEndpointsLeft: others can be tried
+  Answered,     // complete answer in mRecord.mAnswer
+  AnswerLost,   // sent, but no complete answer arrived
 };
 
 struct ClaimEvent
@@ -70,11 +70,11 @@
 enum class ClaimPhase
 {
   Idle,
-  Claiming,        // a write of ours may take effect at any time
-  Rereading,       // re-reading after an unclear write
+  Claiming,        // a claim write may take effect at any time
+  Rereading,       // reading again after a write of unknown outcome
   QueryingCreator, // another attempt holds the claim
-  Forwarding,      // we hold it; bytes may be out
-  StoringAnswer,   // the answer is here, being stored
+  Forwarding,      // the claim is held; bytes may have been sent
+  StoringAnswer,   // the answer has arrived and is being stored
   Releasing,
   Done,
 };
@@ -82,21 +82,21 @@
 struct ClaimState
 {
   // Set by the driver before Start.
-  std::string mSelf;  // our incarnation
-  std::string mNonce; // drawn for this attempt
+  std::string mSelf;  // incarnation of this instance
+  std::string mNonce; // random, unique to this attempt
   std::string mBodyDigest;
-  TimePoint mDeadline{};        // no handing on after it
-  int mPlatformRetriesLeft = 4; // unclear platform answers put up with
+  TimePoint mDeadline{};        // the order is not forwarded after it
+  int mPlatformRetriesLeft = 4; // platform errors tolerated
 
   ClaimPhase mPhase = ClaimPhase::Idle;
-  int64_t mVersion = 0;     // of the claim, once ours
-  bool mHoldsClaim = false; // the stored claim holds our nonce
+  int64_t mVersion = 0;     // of the claim, once held
+  bool mHoldsClaim = false; // the stored claim has mNonce
   ClaimAnswer mAnswer;
   ErrorKind mReleaseError = ErrorKind::NoEndpoint;
 };
 
-// What this attempt tells another instance that asks about its nonce. The
-// answer GaveUp is final: the attempt's state never leaves Done after it.
+// Status of this attempt as reported to an instance that queries its nonce.
+// GaveUp is final: the attempt's phase never leaves Done after it.
 enum class ClaimAttemptStatus
 {
   Running,
--- a/src/decide/PlacementRecord.h
+++ b/src/decide/PlacementRecord.h
@@ -1,4 +1,4 @@
-// PlacementRecord.h: what is decided about one engine's memory.
+// PlacementRecord.h: the stored placement decisions for one engine's memory.
 #ifndef caraway_decide_PlacementRecord_h
 #define caraway_decide_PlacementRecord_h
 
@@ -10,9 +10,9 @@
 
 enum class ReplicaState
 {
-  Loading,   // decided; its order may or may not have gone out
-  Ready,     // seen loaded at the engine
-  Unloading, // decided to go; its bytes stay charged until it is seen gone
+  Loading,   // decided; its load order may or may not have been sent
+  Ready,     // the engine reported it loaded
+  Unloading, // to be evicted; its bytes stay charged until it is reported gone
 };
 
 struct PlacedReplica
@@ -22,20 +22,20 @@
   std::string mBase; // "" for a model
   int64_t mBytes = 0;
   ReplicaState mState = ReplicaState::Loading;
-  int64_t mFencingToken = 0;  // number its last order carries
-  std::string mDecision;      // id of the decision, drawn by the decider
-  int mLoadOrdersSent = 1;    // load orders that may have been sent for it
-  bool mAcknowledged = false; // the only one sent was answered
+  int64_t mFencingToken = 0;  // token of its latest order
+  std::string mDecision;      // random id of the decision
+  int mLoadOrdersSent = 1;    // upper bound
+  bool mAcknowledged = false; // the only load order sent was answered
 };
 
-// One per engine, replaced as a whole by conditional update. That update is
-// the fence: what isn't in the stored record is not ordered.
+// One record per engine, always replaced as a whole by conditional update.
+// An order is sent only for what the stored record contains.
 struct PlacementRecord
 {
   std::string mEndpoint;
   int64_t mMemory = 0;
   bool mChecksFencing = false;
-  int64_t mFencingToken = 0; // highest number given out
+  int64_t mFencingToken = 0; // highest token issued
   std::vector<PlacedReplica> mReplicas;
 };
 
--- a/src/decide/PlacementStep.cpp
+++ b/src/decide/PlacementStep.cpp
@@ -31,11 +31,12 @@
   return nullptr;
 }
 
-// Can no load order bring it back? An engine that checks refuses every order
-// below the number it has taken. One that ignores the numbers takes any copy
-// that still arrives; there it is gone for good only if the one copy ever sent
-// was answered, or after the longest time an order can take. Until then it
-// stays charged, and a replica that does come back is one the record has.
+// Whether no load order can bring the replica back. An engine that checks
+// fencing refuses every order below the highest token it has accepted. One that
+// ignores fencing accepts any copy that still arrives; there the replica is
+// gone for good only if the single copy ever sent was answered, or after the
+// longest time an order can take. Until then it stays charged, so that one that
+// does come back is in the record.
 bool
 ProvablyGone(const PlacementRecord& aRecord,
              const PlacedReplica& aReplica,
@@ -62,8 +63,8 @@
     return false;
   }
   if (aReplica.mState == ReplicaState::Ready && !seen) {
-    // The engine lost it (it was restarted, say). Take it off in order, so
-    // that its bytes are given out again only when it can't come back.
+    // The engine lost the replica, for example by a restart. Unload it
+    // regularly, so that its bytes are reused only once it can't come back.
     aReplica.mState = ReplicaState::Unloading;
     aReplica.mFencingToken = ++aRecord.mFencingToken;
     return true;
@@ -88,8 +89,8 @@
   return aRecord.mReplicas.size() != before;
 }
 
-// A replica that nobody decided takes memory all the same. Charge it as soon
-// as it is seen, and have it unloaded.
+// Charges replicas that the engine reports and the record doesn't have, since
+// they use memory all the same, and marks them for unloading.
 bool
 ChargeUnexpected(PlacementRecord& aRecord, const EngineReport& aReport)
 {
--- a/src/decide/PlacementStep.h
+++ b/src/decide/PlacementStep.h
@@ -1,10 +1,10 @@
-// PlacementStep.h: changes to a placement record, as pure steps.
+// PlacementStep.h: changes to a placement record, as pure functions.
 //
-// A step changes a copy; the driver stores the copy by conditional update
-// and acts only when that took effect. Bytes are charged from the decision
-// to load until the replica was *seen* gone, so that at every moment the
-// engine holds no more than the record says, and the record no more than
-// the memory.
+// Each function changes a copy; the driver stores the copy by conditional
+// update and sends orders only if the update took effect. Bytes are charged
+// from the decision to load until the engine reports the replica gone, so that
+// the engine never holds more than the record charges, nor the record more
+// than the engine's memory.
 #ifndef caraway_decide_PlacementStep_h
 #define caraway_decide_PlacementStep_h
 
@@ -34,32 +34,35 @@
               const std::string& aName,
               const std::string& aVersion);
 
-// False, and nothing changed, when it doesn't fit or is there already in any
-// state. Nothing is ordered before the changed record is stored.
+// Adds the replica in state Loading. False, and nothing changed, when it
+// doesn't fit or is in the record already, in any state. No order may be sent
+// before the changed record is stored.
 bool
 PlacementDecideLoad(PlacementRecord& aRecord, const PlacementLoad& aLoad);
 
-// Gives the replica a new fencing number and charges it until it is seen
-// gone for good. False when it isn't there or is going already.
+// Gives the replica a new fencing token and keeps it charged until it is
+// provably gone. False when it isn't in the record or is unloading already.
 bool
 PlacementDecideUnload(PlacementRecord& aRecord,
                       const std::string& aName,
                       const std::string& aVersion);
 
-// To be stored before the load order of a decision is sent once more: counts
-// the copy and gives it a new number. False when it isn't loading any more.
+// Counts another load order of a decision and gives it a new fencing token.
+// Must be stored before the order is sent again. False when the replica isn't
+// loading any more.
 bool
 PlacementResend(PlacementRecord& aRecord, const std::string& aDecision);
 
-// The load order of aDecision was answered. Settles it only if no second copy
-// has ever been allowed: that one may still be on its way.
+// Records that the load order of aDecision was answered. Has an effect only if
+// no second copy was ever allowed, since that copy may still be in flight.
 bool
 PlacementAcknowledge(PlacementRecord& aRecord, const std::string& aDecision);
 
-// Takes in what the engine says: ready, gone, unexpected. The report must be
-// younger than the record. aExpired: decisions whose replica has been going for
-// longer than any order takes to arrive, by the caller's own clock. True when
-// the record changed and should be stored.
+// Applies an engine report: replicas that became ready, are gone or were never
+// decided. The report must be younger than the record. aExpired: decisions
+// whose replica has been unloading for longer than any order can take to
+// arrive, by the caller's own clock. True when the record changed and should
+// be stored.
 bool
 PlacementObserve(PlacementRecord& aRecord,
                  const EngineReport& aReport,
