--- a/src/decide/HomeZone.cpp
+++ b/src/decide/HomeZone.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 void
-Count(HomeZoneState& aState,
-      const HomeZoneParameters& aParameters,
-      TimePoint aNow)
+CountRequest(HomeZoneState& aState,
+             const HomeZoneParameters& aParameters,
+             TimePoint aNow)
 {
   using Seconds = std::chrono::duration<double>;
   double passed =
-    Seconds(aNow - aState.mCounted) / Seconds(aParameters.mWindow);
+    Seconds(aNow - aState.mCountedAt) / Seconds(aParameters.mWindow);
   aState.mCount = aState.mCount * std::exp(-passed) + 1;
-  aState.mCounted = aNow;
+  aState.mCountedAt = aNow;
 }
 
 } // namespace
@@ -28,20 +28,20 @@
               const HomeZoneParameters& aParameters,
               TimePoint aNow)
 {
-  Count(aState, aParameters, aNow);
+  CountRequest(aState, aParameters, aNow);
   // Whoever waits here was sent here because the home failed; sending others
   // away meanwhile would load a second replica there.
-  if (aView.mHome || aView.mServing || aView.mWaiting ||
+  if (aView.mIsHome || aView.mServing || aView.mWaiting ||
       aNow < aState.mServeLocallyUntil) {
-    return HomeZoneAction::Here;
+    return HomeZoneAction::Local;
   }
   bool begun = aState.mLoadBegun != TimePoint{} &&
                aNow - aState.mLoadBegun < aParameters.mLoadInterval;
-  if (aState.mCount >= aParameters.mBusy && !begun) {
+  if (aState.mCount >= aParameters.mBusyThreshold && !begun) {
     aState.mLoadBegun = aNow;
     return HomeZoneAction::RemoteAndLoad;
   }
-  return HomeZoneAction::Away;
+  return HomeZoneAction::Remote;
 }
 
 void
@@ -49,7 +49,7 @@
                const HomeZoneParameters& aParameters,
                TimePoint aNow)
 {
-  aState.mServeLocallyUntil = aNow + aParameters.mFailed;
+  aState.mServeLocallyUntil = aNow + aParameters.mHomeRetryDelay;
 }
 
 std::string
--- a/src/decide/HomeZone.h
+++ b/src/decide/HomeZone.h
@@ -17,9 +17,11 @@
 
 struct HomeZoneParameters
 {
-  double mBusy = 60; // requests in mWindow that are worth a replica
+  double mBusyThreshold = 60; // requests in mWindow that are worth a replica
   Millis mWindow{ 60000 };
-  Millis mFailed{ 10000 }; // after the home failed, before it is asked again
+  Millis mHomeRetryDelay{
+    10000
+  }; // after the home failed, before it is asked again
   Millis mLoadInterval{ 60000 }; // between loads begun for a busy zone
 };
 
@@ -27,22 +29,22 @@
 struct HomeZoneState
 {
   double mCount = 0; // requests, each fading within mWindow
-  TimePoint mCounted{};
+  TimePoint mCountedAt{};
   TimePoint mServeLocallyUntil{}; // the home has failed
   TimePoint mLoadBegun{};         // for a busy zone
 };
 
 struct HomeZoneView
 {
-  bool mHome = true;     // this zone is the home, or reaches no other
+  bool mIsHome = true;   // this zone is the home, or reaches no other
   bool mServing = false; // a replica here is ready
   bool mWaiting = false; // requests wait here for one
 };
 
 enum class HomeZoneAction
 {
-  Here,          // serve, and load if need be
-  Away,          // at the home
+  Local,         // serve, and load if need be
+  Remote,        // at the home
   RemoteAndLoad, // at the home until the load that is to begin here has ended
 };
 
--- a/src/decide/LoadGate.cpp
+++ b/src/decide/LoadGate.cpp
@@ -11,8 +11,8 @@
 {
   auto& entries = aGate.mEntries;
   for (auto entry = entries.begin(); entry != entries.end();) {
-    bool unseen = aNow - entry->second.mSeen > aGate.mParameters.mLease;
-    entry = unseen ? entries.erase(entry) : std::next(entry);
+    bool expired = aNow - entry->second.mLastPolled > aGate.mParameters.mLease;
+    entry = expired ? entries.erase(entry) : std::next(entry);
   }
 }
 
@@ -25,73 +25,77 @@
 
 // How many wait before aEntry?
 int
-Before(const LoadGate& aGate, const LoadGateEntry& aEntry)
+CountAhead(const LoadGate& aGate, const LoadGateEntry& aEntry)
 {
-  int before = 0;
+  int ahead = 0;
   for (const auto& other : aGate.mEntries) {
     bool earlier =
       !other.second.mHasPermit &&
       EffectiveArrival(aGate, other.second) < EffectiveArrival(aGate, aEntry);
-    before += earlier ? 1 : 0;
+    ahead += earlier ? 1 : 0;
   }
-  return before;
+  return ahead;
 }
 
 // A load takes seconds, so that whoever is far behind need not ask often: a
 // hundred that wait would ask one instance a thousand times a second.
 Millis
-PollInterval(const LoadGate& aGate, const LoadGateEntry& aEntry, int aBefore)
+PollInterval(const LoadGate& aGate, const LoadGateEntry& aEntry, int aAhead)
 {
-  constexpr Millis kSoon{ 100 };
-  constexpr Millis kForEach{ 50 };
-  constexpr int kPartOfLease = 3; // two answers may be lost
-  Millis most = aGate.mParameters.mLease / kPartOfLease;
-  return aEntry.mHasPermit ? most : std::min(most, kSoon + aBefore * kForEach);
+  constexpr Millis kMinPoll{ 100 };
+  constexpr Millis kPollPerLoadAhead{ 50 };
+  constexpr int kPollsPerLease = 3; // two answers may be lost
+  Millis longest = aGate.mParameters.mLease / kPollsPerLease;
+  return aEntry.mHasPermit
+           ? longest
+           : std::min(longest, kMinPoll + aAhead * kPollPerLoadAhead);
 }
 
 } // namespace
 
 LoadGate::LoadGate(LoadGateParameters aParameters, TimePoint aNow)
   : mParameters(aParameters)
-  , mStarts(aParameters.mStartsPerSecond, aParameters.mStartsPerSecond, aNow)
+  , mStartBucket(aParameters.mStartsPerSecond,
+                 aParameters.mStartsPerSecond,
+                 aNow)
 {
-  mStarts.Fill(aParameters.mStartsPerSecond, aNow);
+  mStartBucket.Fill(aParameters.mStartsPerSecond, aNow);
 }
 
 int
 LoadGateAdmitted(const LoadGate& aGate)
 {
-  int inside = 0;
+  int admitted = 0;
   for (const auto& entry : aGate.mEntries) {
-    inside += entry.second.mHasPermit ? 1 : 0;
+    admitted += entry.second.mHasPermit ? 1 : 0;
   }
-  return inside;
+  return admitted;
 }
 
 LoadGateReply
 LoadGateAcquire(LoadGate& aGate,
-                const LoadGateRequest& aQuestion,
+                const LoadGateRequest& aRequest,
                 TimePoint aNow)
 {
   DropExpired(aGate, aNow);
-  auto added = aGate.mEntries.emplace(aQuestion.mId, LoadGateEntry());
+  auto added = aGate.mEntries.emplace(aRequest.mId, LoadGateEntry());
   LoadGateEntry& entry = added.first->second;
   if (added.second) {
     entry.mArrived = aNow;
-    entry.mClass = aQuestion.mClass;
+    entry.mClass = aRequest.mClass;
   }
-  entry.mSeen = aNow;
-  entry.mClass = std::min(entry.mClass, aQuestion.mClass);
-  entry.mHasPermit = entry.mHasPermit || aQuestion.mInside;
-  int before = Before(aGate, entry);
+  entry.mLastPolled = aNow;
+  entry.mClass = std::min(entry.mClass, aRequest.mClass);
+  entry.mHasPermit = entry.mHasPermit || aRequest.mAlreadyAdmitted;
+  int ahead = CountAhead(aGate, entry);
   if (!entry.mHasPermit) {
     bool urgent = entry.mClass == RequestClass::Urgent;
-    int places =
-      aGate.mParameters.mAtOnce + (urgent ? aGate.mParameters.mUrgentExtra : 0);
-    entry.mHasPermit = LoadGateAdmitted(aGate) < places && before == 0 &&
-                       aGate.mStarts.Take(1, aNow);
+    int limit = aGate.mParameters.mMaxConcurrent +
+                (urgent ? aGate.mParameters.mUrgentExtra : 0);
+    entry.mHasPermit = LoadGateAdmitted(aGate) < limit && ahead == 0 &&
+                       aGate.mStartBucket.Take(1, aNow);
   }
-  return { entry.mHasPermit, PollInterval(aGate, entry, before) };
+  return { entry.mHasPermit, PollInterval(aGate, entry, ahead) };
 }
 
 void
--- a/src/decide/LoadGate.h
+++ b/src/decide/LoadGate.h
@@ -21,7 +21,7 @@
 
 struct LoadGateParameters
 {
-  int mAtOnce = 4;             // that the store gives full speed
+  int mMaxConcurrent = 4;      // that the store gives full speed
   double mStartsPerSecond = 5; // that the store takes
   // An urgent load is let in above mAtOnce by so many: it is slowed a little
   // by the others and them by it, where waiting would cost it a whole load.
@@ -40,7 +40,7 @@
 {
   RequestClass mClass = RequestClass::Interactive;
   TimePoint mArrived{};
-  TimePoint mSeen{}; // last asked
+  TimePoint mLastPolled{}; // last asked
   bool mHasPermit = false;
 };
 
@@ -49,7 +49,7 @@
   explicit LoadGate(LoadGateParameters aParameters, TimePoint aNow);
 
   LoadGateParameters mParameters;
-  TokenBucket mStarts;
+  TokenBucket mStartBucket;
   std::map<std::string, LoadGateEntry> mEntries; // by the load's id
 };
 
@@ -57,7 +57,8 @@
 {
   std::string mId;                                 // of the load
   RequestClass mClass = RequestClass::Interactive; // may grow more urgent
-  bool mInside = false; // another gate let it in before; counted, not stopped
+  bool mAlreadyAdmitted =
+    false; // another gate let it in before; counted, not stopped
 };
 
 struct LoadGateReply
@@ -69,7 +70,7 @@
 // Idempotent: an answer may be lost.
 LoadGateReply
 LoadGateAcquire(LoadGate& aGate,
-                const LoadGateRequest& aQuestion,
+                const LoadGateRequest& aRequest,
                 TimePoint aNow);
 void
 LoadGateRelease(LoadGate& aGate, const std::string& aId);
--- a/src/decide/LoadPlan.cpp
+++ b/src/decide/LoadPlan.cpp
@@ -16,9 +16,9 @@
 };
 
 bool
-IsCachedIn(const std::vector<std::string>& aPlaces, const std::string& aName)
+IsCachedIn(const std::vector<std::string>& aCached, const std::string& aName)
 {
-  return std::find(aPlaces.begin(), aPlaces.end(), aName) != aPlaces.end();
+  return std::find(aCached.begin(), aCached.end(), aName) != aCached.end();
 }
 
 double
@@ -57,9 +57,9 @@
 
 // Longest idle first, until there is room.
 Eviction
-Evictable(const LoadCandidate& aCandidate,
-          int64_t aBytes,
-          const LoadPlanParameters& aParameters)
+ChooseEvictions(const LoadCandidate& aCandidate,
+                int64_t aBytes,
+                const LoadPlanParameters& aParameters)
 {
   std::vector<std::pair<Millis, PlacedReplica>> idle;
   for (const PlacedReplica& replica : aCandidate.mRecord.mReplicas) {
@@ -86,9 +86,10 @@
     }
     free += entry.second.mBytes;
     double idleFor = static_cast<double>(entry.first.count());
-    double free1 = static_cast<double>(aParameters.mFreeEvictionIdle.count());
+    double freeAfter =
+      static_cast<double>(aParameters.mFreeEvictionIdle.count());
     eviction.mCost +=
-      aParameters.mRemoteCost * std::max(0.0, 1 - idleFor / free1);
+      aParameters.mRemoteCost * std::max(0.0, 1 - idleFor / freeAfter);
     eviction.mReplicas.push_back(entry.second);
   }
   eviction.mEnough = free >= aBytes;
@@ -110,10 +111,10 @@
                   Millis aBase,
                   const LoadPlanParameters& aParameters)
 {
-  double part =
+  double fraction =
     SourceCost(aReport, aName, aParameters) / aParameters.mRemoteCost;
   return Millis(
-    static_cast<int64_t>(static_cast<double>(aBase.count()) * part));
+    static_cast<int64_t>(static_cast<double>(aBase.count()) * fraction));
 }
 
 LoadPlan
@@ -130,21 +131,22 @@
     if (!candidate.mReachable) {
       continue;
     }
-    const PlacedReplica* there =
+    const PlacedReplica* placed =
       PlacementFind(candidate.mRecord, aName, aVersion);
-    if (there && there->mState != ReplicaState::Unloading) {
+    if (placed && placed->mState != ReplicaState::Unloading) {
       return { static_cast<int>(i), {}, true };
     }
-    if (there) {
+    if (placed) {
       continue;
     }
-    Eviction eviction = Evictable(candidate, aBytes, aParameters);
+    Eviction eviction = ChooseEvictions(candidate, aBytes, aParameters);
     if (!eviction.mEnough) {
       continue;
     }
-    constexpr double kPerActive = 0.02;
+    constexpr double kCostPerActiveRequest = 0.02;
     double cost = SourceCost(candidate.mReport, aName, aParameters) +
-                  eviction.mCost + kPerActive * candidate.mReport.mActive;
+                  eviction.mCost +
+                  kCostPerActiveRequest * candidate.mReport.mActive;
     if (plan.mCandidate < 0 || cost < best) {
       plan.mCandidate = static_cast<int>(i);
       plan.mEvict = eviction.mReplicas;
--- a/src/decide/RetrySchedule.cpp
+++ b/src/decide/RetrySchedule.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 // A caller's timer and the way here may add this much.
-constexpr Millis kLate{ 1500 };
+constexpr Millis kLateTolerance{ 1500 };
 constexpr size_t kMaxRetriesPerTenant = 2000; // of a tenant; memory
 constexpr double kInitialReturnRate = 0.5;    // of them come
-constexpr double kLearn = 0.1;
+constexpr double kReturnRateWeight = 0.1;
 
 } // namespace
 
@@ -20,81 +20,82 @@
                    double aTokens,
                    TimePoint aDue)
 {
-  Line& line = mLines[aTenant];
-  if (line.mDue.size() < kMaxRetriesPerTenant &&
-      line.mRequestDigest[aRequestDigest].insert(aDue).second) {
-    line.mDue.emplace(aDue, std::make_pair(aRequestDigest, aTokens));
+  TenantRetries& tenant = mTenants[aTenant];
+  if (tenant.mDue.size() < kMaxRetriesPerTenant &&
+      tenant.mDueByDigest[aRequestDigest].insert(aDue).second) {
+    tenant.mDue.emplace(aDue, std::make_pair(aRequestDigest, aTokens));
   }
 }
 
 std::optional<TimePoint>
-RetrySchedule::Due(const std::string& aTenant, uint64_t aRequestDigest) const
+RetrySchedule::FirstDue(const std::string& aTenant,
+                        uint64_t aRequestDigest) const
 {
-  auto line = mLines.find(aTenant);
-  if (line == mLines.end()) {
+  auto tenant = mTenants.find(aTenant);
+  if (tenant == mTenants.end()) {
     return std::nullopt;
   }
-  auto known = line->second.mRequestDigest.find(aRequestDigest);
-  return known == line->second.mRequestDigest.end()
+  auto known = tenant->second.mDueByDigest.find(aRequestDigest);
+  return known == tenant->second.mDueByDigest.end()
            ? std::nullopt
            : std::optional<TimePoint>(*known->second.begin());
 }
 
 void
-RetrySchedule::Use(const std::string& aTenant, uint64_t aRequestDigest)
+RetrySchedule::Consume(const std::string& aTenant, uint64_t aRequestDigest)
 {
-  Learn(aTenant, true);
-  Line& line = mLines[aTenant];
+  UpdateReturnRate(aTenant, true);
+  TenantRetries& tenant = mTenants[aTenant];
   auto range =
-    line.mDue.equal_range(*line.mRequestDigest[aRequestDigest].begin());
+    tenant.mDue.equal_range(*tenant.mDueByDigest[aRequestDigest].begin());
   for (auto one = range.first; one != range.second; ++one) {
     if (one->second.first == aRequestDigest) {
-      line.mDue.erase(one);
+      tenant.mDue.erase(one);
       break;
     }
   }
-  line.EraseFirst(aRequestDigest);
-  if (line.mDue.empty()) {
-    mLines.erase(aTenant);
+  tenant.EraseFirst(aRequestDigest);
+  if (tenant.mDue.empty()) {
+    mTenants.erase(aTenant);
   }
 }
 
 void
-RetrySchedule::Line::EraseFirst(uint64_t aRequestDigest)
+RetrySchedule::TenantRetries::EraseFirst(uint64_t aRequestDigest)
 {
-  auto alike = mRequestDigest.find(aRequestDigest);
-  alike->second.erase(alike->second.begin());
-  if (alike->second.empty()) {
-    mRequestDigest.erase(alike);
+  auto digest = mDueByDigest.find(aRequestDigest);
+  digest->second.erase(digest->second.begin());
+  if (digest->second.empty()) {
+    mDueByDigest.erase(digest);
   }
 }
 
 void
-RetrySchedule::Learn(const std::string& aTenant, bool aCame)
+RetrySchedule::UpdateReturnRate(const std::string& aTenant, bool aReturned)
 {
-  double& came =
+  double& rate =
     mReturnRates.emplace(aTenant, kInitialReturnRate).first->second;
-  came += kLearn * ((aCame ? 1.0 : 0.0) - came);
+  rate += kReturnRateWeight * ((aReturned ? 1.0 : 0.0) - rate);
 }
 
 double
 RetrySchedule::ReturnProbability(const std::string& aTenant) const
 {
-  if (mLines.count(aTenant) == 0) {
+  if (mTenants.count(aTenant) == 0) {
     return 0;
   }
-  auto came = mReturnRates.find(aTenant);
-  return came == mReturnRates.end() ? kInitialReturnRate : came->second;
+  auto rate = mReturnRates.find(aTenant);
+  return rate == mReturnRates.end() ? kInitialReturnRate : rate->second;
 }
 
 double
 RetrySchedule::Sum(const std::string& aTenant,
-                   const Line& aLine,
+                   const TenantRetries& aRetries,
                    TimePoint aUntil) const
 {
   double tokens = 0;
-  for (auto one = aLine.mDue.begin();
-       one != aLine.mDue.end() && one->first < aUntil;
+  for (auto one = aRetries.mDue.begin();
+       one != aRetries.mDue.end() && one->first < aUntil;
        ++one) {
     tokens += one->second.second;
   }
@@ -104,35 +105,36 @@
 double
 RetrySchedule::Tokens(const std::string& aTenant, TimePoint aUntil) const
 {
-  auto line = mLines.find(aTenant);
-  return line == mLines.end() ? 0 : Sum(aTenant, line->second, aUntil);
+  auto tenant = mTenants.find(aTenant);
+  return tenant == mTenants.end() ? 0 : Sum(aTenant, tenant->second, aUntil);
 }
 
 double
 RetrySchedule::OthersTokens(const std::string& aTenant,
                             TimePoint aUntil,
-                            double aMostOfEach) const
+                            double aMaxPerTenant) const
 {
   double tokens = 0;
-  for (const auto& line : mLines) {
-    if (line.first != aTenant) {
-      tokens += std::min(Sum(line.first, line.second, aUntil), aMostOfEach);
+  for (const auto& tenant : mTenants) {
+    if (tenant.first != aTenant) {
+      tokens +=
+        std::min(Sum(tenant.first, tenant.second, aUntil), aMaxPerTenant);
     }
   }
   return tokens;
 }
 
 void
-RetrySchedule::Forget(TimePoint aNow)
+RetrySchedule::Expire(TimePoint aNow)
 {
-  for (auto line = mLines.begin(); line != mLines.end();) {
-    auto& due = line->second.mDue;
-    while (!due.empty() && due.begin()->first < aNow - kLate) {
-      Learn(line->first, false);
-      line->second.EraseFirst(due.begin()->second.first);
+  for (auto tenant = mTenants.begin(); tenant != mTenants.end();) {
+    auto& due = tenant->second.mDue;
+    while (!due.empty() && due.begin()->first < aNow - kLateTolerance) {
+      UpdateReturnRate(tenant->first, false);
+      tenant->second.EraseFirst(due.begin()->second.first);
       due.erase(due.begin());
     }
-    line = due.empty() ? mLines.erase(line) : std::next(line);
+    tenant = due.empty() ? mTenants.erase(tenant) : std::next(tenant);
   }
 }
 
--- a/src/decide/RetrySchedule.h
+++ b/src/decide/RetrySchedule.h
@@ -28,10 +28,10 @@
            double aTokens,
            TimePoint aDue);
   // When the first of those alike was told to come.
-  std::optional<TimePoint> Due(const std::string& aTenant,
-                               uint64_t aRequestDigest) const;
+  std::optional<TimePoint> FirstDue(const std::string& aTenant,
+                                    uint64_t aRequestDigest) const;
   // It has come: its room is its own now.
-  void Use(const std::string& aTenant, uint64_t aRequestDigest);
+  void Consume(const std::string& aTenant, uint64_t aRequestDigest);
   // How likely the tenant's callers come when they were told to, as learnt; 0
   // when none is told to. Room is kept by this part only: callers that never
   // come back must not leave the engines idle.
@@ -40,23 +40,23 @@
   double Tokens(const std::string& aTenant, TimePoint aUntil) const;
   double OthersTokens(const std::string& aTenant,
                       TimePoint aUntil,
-                      double aMostOfEach) const;
+                      double aMaxPerTenant) const;
   // Those that didn't come: their room is free again.
-  void Forget(TimePoint aNow);
+  void Expire(TimePoint aNow);
 
 private:
-  struct Line
+  struct TenantRetries
   {
     std::multimap<TimePoint, std::pair<uint64_t, double>> mDue; // like, tokens
-    std::map<uint64_t, std::set<TimePoint>> mRequestDigest;     // when due
+    std::map<uint64_t, std::set<TimePoint>> mDueByDigest;       // when due
     void EraseFirst(uint64_t aRequestDigest);
   };
   double Sum(const std::string& aTenant,
-             const Line& aLine,
+             const TenantRetries& aRetries,
              TimePoint aUntil) const;
-  void Learn(const std::string& aTenant, bool aCame);
+  void UpdateReturnRate(const std::string& aTenant, bool aReturned);
 
-  std::map<std::string, Line> mLines; // by tenant
+  std::map<std::string, TenantRetries> mTenants; // by tenant
   std::map<std::string, double>
     mReturnRates; // part that came, learnt; by tenant
 };
--- a/src/decide/WaitQueue.cpp
+++ b/src/decide/WaitQueue.cpp
@@ -10,7 +10,7 @@
 
 constexpr Millis kMinRetry{ 200 };
 constexpr Millis kMaxRetry{ 120000 };
-constexpr Millis kEarly{ 200 }; // what a caller's timer may be off by
+constexpr Millis kEarlyTolerance{ 200 }; // what a caller's timer may be off by
 constexpr double kArrivalWindowSeconds = 10; // seconds
 constexpr double kUnlimited = std::numeric_limits<double>::max();
 
@@ -32,8 +32,8 @@
 WaitQueue::Size() const
 {
   size_t size = 0;
-  for (const ClassQueue& one : mClasses) {
-    size += one.mSize;
+  for (const ClassQueue& classQueue : mClasses) {
+    size += classQueue.mSize;
   }
   return size;
 }
@@ -41,9 +41,9 @@
 RequestClass
 WaitQueue::MostUrgent() const
 {
-  for (int one = 0; one < kRequestClassCount - 1; ++one) {
-    if (mClasses[one].mSize > 0) {
-      return static_cast<RequestClass>(one);
+  for (int index = 0; index < kRequestClassCount - 1; ++index) {
+    if (mClasses[index].mSize > 0) {
+      return static_cast<RequestClass>(index);
     }
   }
   return RequestClass::Batch;
@@ -55,27 +55,28 @@
 double
 WaitQueue::TokensAhead(const QueuedRequest& aItem, TimePoint aUntil) const
 {
-  int own = static_cast<int>(aItem.mClass);
+  int ownClass = static_cast<int>(aItem.mClass);
   double work = 0;
-  for (int i = 0; i < own; ++i) {
-    for (const auto& line : mClasses[i].mLines) {
-      work += line.second.mTokens;
+  for (int i = 0; i < ownClass; ++i) {
+    for (const auto& tenantQueue : mClasses[i].mTenantQueues) {
+      work += tenantQueue.second.mTokens;
     }
     work += mClasses[i].mRetrySchedule.OthersTokens("", aUntil, kUnlimited);
   }
-  const Lines& lines = mClasses[own].mLines;
-  auto line = lines.find(aItem.mTenant);
-  double mine = line == lines.end() ? 0 : line->second.mTokens;
-  const RetrySchedule& returns = mClasses[own].mRetrySchedule;
-  mine += returns.Tokens(aItem.mTenant, aUntil);
-  work += mine;
-  for (const auto& other : lines) {
+  const TenantQueues& tenantQueues = mClasses[ownClass].mTenantQueues;
+  auto tenantQueue = tenantQueues.find(aItem.mTenant);
+  double ownTokens =
+    tenantQueue == tenantQueues.end() ? 0 : tenantQueue->second.mTokens;
+  const RetrySchedule& retries = mClasses[ownClass].mRetrySchedule;
+  ownTokens += retries.Tokens(aItem.mTenant, aUntil);
+  work += ownTokens;
+  for (const auto& other : tenantQueues) {
     if (other.first != aItem.mTenant) {
-      work += std::min(other.second.mTokens, mine + aItem.mTokens);
+      work += std::min(other.second.mTokens, ownTokens + aItem.mTokens);
     }
   }
   return work +
-         returns.OthersTokens(aItem.mTenant, aUntil, mine + aItem.mTokens);
+         retries.OthersTokens(aItem.mTenant, aUntil, ownTokens + aItem.mTokens);
 }
 
 void
@@ -102,32 +103,33 @@
                          TimePoint aNow) const
 {
   constexpr double kMinRateFraction = 0.02;
-  int own = static_cast<int>(aItem.mClass);
+  int ownClass = static_cast<int>(aItem.mClass);
   if (aItem.mClass == RequestClass::Urgent) {
     // Nothing passes a bulletin. Refusing one on a guess costs more than
     // letting it wait until its time.
     return aRate;
   }
   double left = aRate;
-  for (int i = 0; i < own; ++i) {
+  for (int i = 0; i < ownClass; ++i) {
     for (const auto& arrivals : mClasses[i].mArrivals) {
       left -= arrivals.second.At(aNow);
     }
   }
   // With nothing of its own waiting, its turn comes after one of each other
   // tenant's at most, whatever they send meanwhile.
-  const auto& peers = mClasses[own].mArrivals;
-  if (mClasses[own].mLines.count(aItem.mTenant) == 0) {
+  const auto& peers = mClasses[ownClass].mArrivals;
+  if (mClasses[ownClass].mTenantQueues.count(aItem.mTenant) == 0) {
     return std::max(left, aRate * kMinRateFraction);
   }
-  double turn = left / static_cast<double>(std::max<size_t>(1, peers.size()));
-  double taken = 0;
+  double fairRate =
+    left / static_cast<double>(std::max<size_t>(1, peers.size()));
+  double peerRate = 0;
   for (const auto& arrivals : peers) {
     if (arrivals.first != aItem.mTenant) {
-      taken += std::min(std::max(0.0, turn), arrivals.second.At(aNow));
+      peerRate += std::min(std::max(0.0, fairRate), arrivals.second.At(aNow));
     }
   }
-  return std::max(left - taken, aRate * kMinRateFraction);
+  return std::max(left - peerRate, aRate * kMinRateFraction);
 }
 
 Millis
@@ -145,7 +147,7 @@
 // A tenant that comes back begins level with the others: credit saved up while
 // it was away would let it shut them out.
 double
-WaitQueue::Served(ClassQueue& aClass, const std::string& aTenant) const
+WaitQueue::ServedTokens(ClassQueue& aClass, const std::string& aTenant) const
 {
   auto served = aClass.mServedTokens.find(aTenant);
   double known = served == aClass.mServedTokens.end() ? 0 : served->second;
@@ -157,9 +159,9 @@
 {
   for (auto served = aClass.mServedTokens.begin();
        served != aClass.mServedTokens.end();) {
-    bool behind = served->second <= aClass.mVirtualTime &&
-                  aClass.mLines.count(served->first) == 0;
-    served = behind ? aClass.mServedTokens.erase(served) : std::next(served);
+    bool notAhead = served->second <= aClass.mVirtualTime &&
+                    aClass.mTenantQueues.count(served->first) == 0;
+    served = notAhead ? aClass.mServedTokens.erase(served) : std::next(served);
   }
 }
 
@@ -172,7 +174,7 @@
                   Millis aReadyIn,
                   TimePoint aNow)
 {
-  ClassQueue& own = mClasses[static_cast<int>(aItem.mClass)];
+  ClassQueue& classQueue = mClasses[static_cast<int>(aItem.mClass)];
   // One that comes before its time can't be told from another that asks the
   // same. It gets a second booking; that nobody comes for the first is learnt
   // (RetrySchedule::ReturnProbability). Told the first's time, all alike would
@@ -180,10 +182,10 @@
   Millis wait =
     std::max(PredictWait(aItem, aRate, aNow, TimePoint::max()), aReadyIn);
   if (wait <= kMaxRetry) {
-    own.mRetrySchedule.Add(aItem.mTenant,
-                           aItem.mRequestDigest,
-                           aItem.mTokens,
-                           aNow + std::max(wait, kMinRetry));
+    classQueue.mRetrySchedule.Add(aItem.mTenant,
+                                  aItem.mRequestDigest,
+                                  aItem.mTokens,
+                                  aNow + std::max(wait, kMinRetry));
   }
   return { aKind, std::clamp(wait, kMinRetry, kMaxRetry) };
 }
@@ -194,79 +196,83 @@
                  Millis aReadyIn,
                  TimePoint aNow)
 {
-  ClassQueue& own = mClasses[static_cast<int>(aItem.mClass)];
-  own.mRetrySchedule.Forget(aNow);
+  ClassQueue& classQueue = mClasses[static_cast<int>(aItem.mClass)];
+  classQueue.mRetrySchedule.Expire(aNow);
   // One that comes back when it was told to has its room; what is new may not
   // have the room of those that will come back before it would be served.
-  auto due = own.mRetrySchedule.Due(aItem.mTenant, aItem.mRequestDigest);
-  bool returns = due && *due <= aNow + kEarly;
-  if (returns) {
-    own.mRetrySchedule.Use(aItem.mTenant, aItem.mRequestDigest);
+  auto due =
+    classQueue.mRetrySchedule.FirstDue(aItem.mTenant, aItem.mRequestDigest);
+  bool isRetry = due && *due <= aNow + kEarlyTolerance;
+  if (isRetry) {
+    classQueue.mRetrySchedule.Consume(aItem.mTenant, aItem.mRequestDigest);
   }
-  bool roomed = returns || aItem.mClass == RequestClass::Urgent;
-  TimePoint until = roomed ? aNow : aItem.mStartBy;
+  bool reserved = isRetry || aItem.mClass == RequestClass::Urgent;
+  TimePoint until = reserved ? aNow : aItem.mStartBy;
   double likely =
-    roomed ? 0 : own.mRetrySchedule.ReturnProbability(aItem.mTenant);
-  auto patience = std::chrono::duration_cast<Millis>(aItem.mStartBy - aNow);
+    reserved ? 0 : classQueue.mRetrySchedule.ReturnProbability(aItem.mTenant);
+  auto budget = std::chrono::duration_cast<Millis>(aItem.mStartBy - aNow);
   // Behind those that will come back with all of their patience.
-  Millis within(static_cast<int64_t>(static_cast<double>(patience.count()) *
-                                     (1 - likely / 2)));
+  Millis allowedWait(static_cast<int64_t>(static_cast<double>(budget.count()) *
+                                          (1 - likely / 2)));
   Millis wait = std::max(PredictWait(aItem, aRate, aNow, until), aReadyIn);
-  size_t most = static_cast<size_t>(static_cast<double>(mLimits.mItems) *
-                                    mLimits.mMaxTenantFraction);
-  auto line = own.mLines.find(aItem.mTenant);
-  bool tenantFull =
-    line != own.mLines.end() && line->second.mItems.size() >= most;
-  if (own.mSize >= mLimits.mItems || tenantFull) {
+  size_t tenantLimit = static_cast<size_t>(static_cast<double>(mLimits.mItems) *
+                                           mLimits.mMaxTenantFraction);
+  auto tenantQueue = classQueue.mTenantQueues.find(aItem.mTenant);
+  bool tenantFull = tenantQueue != classQueue.mTenantQueues.end() &&
+                    tenantQueue->second.mItems.size() >= tenantLimit;
+  if (classQueue.mSize >= mLimits.mItems || tenantFull) {
     return Refuse(aItem, ErrorKind::QueueFull, aRate, aReadyIn, aNow);
   }
-  if (wait > within) {
+  if (wait > allowedWait) {
     return Refuse(aItem, ErrorKind::DeadlineUnmeetable, aRate, aReadyIn, aNow);
   }
-  if (line == own.mLines.end()) {
-    own.mServedTokens[aItem.mTenant] = Served(own, aItem.mTenant);
+  if (tenantQueue == classQueue.mTenantQueues.end()) {
+    classQueue.mServedTokens[aItem.mTenant] =
+      ServedTokens(classQueue, aItem.mTenant);
   }
-  own.mArrivals[aItem.mTenant].Add(aItem.mTokens, aNow);
-  TenantQueue& mine = own.mLines[aItem.mTenant];
-  mine.mItems.emplace(aItem.mStartBy, aItem);
-  mine.mTokens += aItem.mTokens;
-  ++own.mSize;
+  classQueue.mArrivals[aItem.mTenant].Add(aItem.mTokens, aNow);
+  TenantQueue& tenantItems = classQueue.mTenantQueues[aItem.mTenant];
+  tenantItems.mItems.emplace(aItem.mStartBy, aItem);
+  tenantItems.mTokens += aItem.mTokens;
+  ++classQueue.mSize;
   return std::nullopt;
 }
 
 // Takes one item out; the line after, or the same if it goes on.
-WaitQueue::Lines::iterator
-WaitQueue::Leave(ClassQueue& aClass,
-                 Lines::iterator aLine,
-                 std::multimap<TimePoint, QueuedRequest>::iterator aItem)
+WaitQueue::TenantQueues::iterator
+WaitQueue::Remove(ClassQueue& aClass,
+                  TenantQueues::iterator aQueue,
+                  std::multimap<TimePoint, QueuedRequest>::iterator aItem)
 {
-  aLine->second.mTokens -= aItem->second.mTokens;
-  aLine->second.mItems.erase(aItem);
+  aQueue->second.mTokens -= aItem->second.mTokens;
+  aQueue->second.mItems.erase(aItem);
   --aClass.mSize;
-  return aLine->second.mItems.empty() ? aClass.mLines.erase(aLine) : aLine;
+  return aQueue->second.mItems.empty() ? aClass.mTenantQueues.erase(aQueue)
+                                       : aQueue;
 }
 
 std::optional<QueuedRequest>
 WaitQueue::Next(RequestClass aClassLimit)
 {
   for (int i = 0; i <= static_cast<int>(aClassLimit); ++i) {
-    ClassQueue& own = mClasses[i];
-    if (own.mSize == 0) {
+    ClassQueue& classQueue = mClasses[i];
+    if (classQueue.mSize == 0) {
       continue;
     }
-    auto least = std::min_element(own.mLines.begin(),
-                                  own.mLines.end(),
-                                  [&](const auto& aLeft, const auto& aRight) {
-                                    return own.mServedTokens[aLeft.first] <
-                                           own.mServedTokens[aRight.first];
-                                  });
+    auto least =
+      std::min_element(classQueue.mTenantQueues.begin(),
+                       classQueue.mTenantQueues.end(),
+                       [&](const auto& aLeft, const auto& aRight) {
+                         return classQueue.mServedTokens[aLeft.first] <
+                                classQueue.mServedTokens[aRight.first];
+                       });
     auto first = least->second.mItems.begin();
     QueuedRequest item = first->second;
-    double& served = own.mServedTokens[item.mTenant];
-    own.mVirtualTime = served;
+    double& served = classQueue.mServedTokens[item.mTenant];
+    classQueue.mVirtualTime = served;
     served += item.mTokens;
-    Leave(own, least, first);
-    PruneServedTokens(own);
+    Remove(classQueue, least, first);
+    PruneServedTokens(classQueue);
     return item;
   }
   return std::nullopt;
@@ -276,15 +282,16 @@
 WaitQueue::Expire(TimePoint aNow)
 {
   std::vector<QueuedRequest> expired;
-  for (ClassQueue& own : mClasses) {
-    for (auto line = own.mLines.begin(); line != own.mLines.end();) {
-      auto first = line->second.mItems.begin();
+  for (ClassQueue& classQueue : mClasses) {
+    for (auto tenantQueue = classQueue.mTenantQueues.begin();
+         tenantQueue != classQueue.mTenantQueues.end();) {
+      auto first = tenantQueue->second.mItems.begin();
       if (first->first > aNow) {
-        ++line;
+        ++tenantQueue;
         continue;
       }
       expired.push_back(first->second);
-      line = Leave(own, line, first);
+      tenantQueue = Remove(classQueue, tenantQueue, first);
     }
   }
   return expired;
@@ -293,12 +300,14 @@
 bool
 WaitQueue::Withdraw(uint64_t aId)
 {
-  for (ClassQueue& own : mClasses) {
-    for (auto line = own.mLines.begin(); line != own.mLines.end(); ++line) {
-      auto& items = line->second.mItems;
+  for (ClassQueue& classQueue : mClasses) {
+    for (auto tenantQueue = classQueue.mTenantQueues.begin();
+         tenantQueue != classQueue.mTenantQueues.end();
+         ++tenantQueue) {
+      auto& items = tenantQueue->second.mItems;
       for (auto item = items.begin(); item != items.end(); ++item) {
         if (item->second.mId == aId) {
-          Leave(own, line, item);
+          Remove(classQueue, tenantQueue, item);
           return true;
         }
       }
--- a/src/decide/WaitQueue.h
+++ b/src/decide/WaitQueue.h
@@ -77,10 +77,10 @@
     std::multimap<TimePoint, QueuedRequest> mItems; // by deadline
     double mTokens = 0;                             // waiting
   };
-  using Lines = std::map<std::string, TenantQueue>;
+  using TenantQueues = std::map<std::string, TenantQueue>;
   struct ClassQueue
   {
-    Lines mLines;
+    TenantQueues mTenantQueues;
     size_t mSize = 0;
     double mVirtualTime = 0; // served to the tenant last chosen
     std::map<std::string, ArrivalRate> mArrivals;
@@ -90,11 +90,11 @@
     RetrySchedule mRetrySchedule;
   };
 
-  Lines::iterator Leave(
+  TenantQueues::iterator Remove(
     ClassQueue& aClass,
-    Lines::iterator aLine,
+    TenantQueues::iterator aQueue,
     std::multimap<TimePoint, QueuedRequest>::iterator aItem);
-  double Served(ClassQueue& aClass, const std::string& aTenant) const;
+  double ServedTokens(ClassQueue& aClass, const std::string& aTenant) const;
   void PruneServedTokens(ClassQueue& aClass);
   WaitRefusal Refuse(const QueuedRequest& aItem,
                      ErrorKind aKind,
--- a/src/own/ModelOwner.cpp
+++ b/src/own/ModelOwner.cpp
@@ -67,7 +67,7 @@
   if (!view.mServing && !view.mWaiting) {
     // Looks at all members; a warm request doesn't need to.
     home = mHomes->Of(aModel.mName, aConfig);
-    view.mHome = mHomes->IsOurs(home);
+    view.mIsHome = mHomes->IsOurs(home);
   }
 
   auto action = HomeZoneRoute(aGroup.mHome, view, mHomeZoneParameters, aNow);
@@ -76,7 +76,7 @@
     StartLoad(
       KeyOf(aModel), aGroup, aModel, LoadNeed::Optional, aNow + kBusyLoad);
   }
-  return action == HomeZoneAction::Here ? "" : home;
+  return action == HomeZoneAction::Local ? "" : home;
 }
 
 Result<EngineSlotGrant>
--- a/src/own/StoreGate.cpp
+++ b/src/own/StoreGate.cpp
@@ -12,12 +12,12 @@
 constexpr Millis kPollAfterNoReply{ 100 };
 
 Json::Value
-QuestionJson(const LoadGateRequest& aQuestion)
+QuestionJson(const LoadGateRequest& aRequest)
 {
   Json::Value json;
-  json["id"] = aQuestion.mId;
-  json["class"] = RequestClassName(aQuestion.mClass);
-  json["inside"] = aQuestion.mInside;
+  json["id"] = aRequest.mId;
+  json["class"] = RequestClassName(aRequest.mClass);
+  json["inside"] = aRequest.mAlreadyAdmitted;
   return json;
 }
 
@@ -27,15 +27,15 @@
   LoadGateRequest question;
   question.mId = aJson["id"].asString();
   RequestClassParse(aJson["class"].asString(), question.mClass);
-  question.mInside = aJson["inside"].asBool();
+  question.mAlreadyAdmitted = aJson["inside"].asBool();
   return question;
 }
 
 // Nobody could be asked: whoever is in stays in.
 LoadGateReply
-Later(const LoadGateRequest& aQuestion)
+Later(const LoadGateRequest& aRequest)
 {
-  return { aQuestion.mInside, kPollAfterNoReply };
+  return { aRequest.mAlreadyAdmitted, kPollAfterNoReply };
 }
 
 } // namespace
@@ -46,7 +46,8 @@
   int zones = std::max(1, aSettings.mZones);
   double part = static_cast<double>(std::min(aZones, zones)) / zones;
   LoadGateParameters terms;
-  terms.mAtOnce = std::max(1, static_cast<int>(aSettings.mAtOnce * part));
+  terms.mMaxConcurrent =
+    std::max(1, static_cast<int>(aSettings.mAtOnce * part));
   terms.mStartsPerSecond = std::max(1.0, aSettings.mStarts * part);
   return terms;
 }
@@ -64,44 +65,44 @@
 }
 
 LoadGateReply
-StoreGate::Ask(const LoadGateRequest& aQuestion)
+StoreGate::Ask(const LoadGateRequest& aRequest)
 {
   InstanceInfo owner = mMembers.FleetOwner(kOwnerKey);
   if (owner.mId == mMembers.Self().mId) {
-    return AdmitLocally(mMembers.AvailableZoneCount(), aQuestion);
+    return AdmitLocally(mMembers.AvailableZoneCount(), aRequest);
   }
-  if (auto answer = QueryGate(owner, QuestionJson(aQuestion))) {
+  if (auto answer = QueryGate(owner, QuestionJson(aRequest))) {
     return *answer;
   }
   // It may have stalled for a moment, and hold the places it gave. Letting
   // ourselves in, and everyone else who asked it, would make the store slow
   // for all. A load takes seconds; a second question costs it half of one.
-  return mMembers.IsAvailablePeer(owner.mId) ? Later(aQuestion)
-                                             : AskZone(aQuestion);
+  return mMembers.IsAvailablePeer(owner.mId) ? Later(aRequest)
+                                             : AskZone(aRequest);
 }
 
 LoadGateReply
-StoreGate::AskZone(const LoadGateRequest& aQuestion)
+StoreGate::AskZone(const LoadGateRequest& aRequest)
 {
   InstanceInfo owner = mMembers.Owner(kOwnerKey);
   if (owner.mId == mMembers.Self().mId) {
-    return AdmitLocally(1, aQuestion);
+    return AdmitLocally(1, aRequest);
   }
   {
     std::lock_guard<std::mutex> lock(mLock);
-    mZoneRequests.insert(aQuestion.mId);
+    mZoneRequests.insert(aRequest.mId);
   }
-  Json::Value question = QuestionJson(aQuestion);
+  Json::Value question = QuestionJson(aRequest);
   question[kZoneOnly] = true;
   auto answer = QueryGate(owner, question);
-  return answer ? *answer : Later(aQuestion);
+  return answer ? *answer : Later(aRequest);
 }
 
 std::optional<LoadGateReply>
-StoreGate::QueryGate(const InstanceInfo& aOwner, const Json::Value& aQuestion)
+StoreGate::QueryGate(const InstanceInfo& aOwner, const Json::Value& aRequest)
 {
   auto answer = Outcome([&] {
-    return mPeers.Call(aOwner.mPeerAddress, "load.ask", aQuestion, kAskTime);
+    return mPeers.Call(aOwner.mPeerAddress, "load.ask", aRequest, kAskTime);
   });
   auto* json = std::get_if<Json::Value>(&answer);
   if (!json) {
@@ -113,15 +114,15 @@
 }
 
 LoadGateReply
-StoreGate::AdmitLocally(int aZones, const LoadGateRequest& aQuestion)
+StoreGate::AdmitLocally(int aZones, const LoadGateRequest& aRequest)
 {
   std::lock_guard<std::mutex> lock(mLock);
   TimePoint now = mClock.Now();
   mGate.mParameters = StoreGateParameters(mSettings, aZones);
-  mGate.mStarts.Resize(mGate.mParameters.mStartsPerSecond,
-                       mGate.mParameters.mStartsPerSecond,
-                       now);
-  return LoadGateAcquire(mGate, aQuestion, now);
+  mGate.mStartBucket.Resize(mGate.mParameters.mStartsPerSecond,
+                            mGate.mParameters.mStartsPerSecond,
+                            now);
+  return LoadGateAcquire(mGate, aRequest, now);
 }
 
 void
--- a/src/own/StoreGate.h
+++ b/src/own/StoreGate.h
@@ -34,7 +34,7 @@
 
   // Asks two gates in turn at most, 300 ms each. Not answered, the load waits
   // and is to ask again.
-  LoadGateReply Ask(const LoadGateRequest& aQuestion);
+  LoadGateReply Ask(const LoadGateRequest& aRequest);
   // Unsaid, the place would be free a lease later.
   void Leave(const std::string& aId);
 
@@ -50,11 +50,11 @@
 private:
   // Nothing when aOwner doesn't answer.
   std::optional<LoadGateReply> QueryGate(const InstanceInfo& aOwner,
-                                         const Json::Value& aQuestion);
-  LoadGateReply AskZone(const LoadGateRequest& aQuestion);
+                                         const Json::Value& aRequest);
+  LoadGateReply AskZone(const LoadGateRequest& aRequest);
   void ReleaseAt(const InstanceInfo& aOwner, const std::string& aId);
   // From our own gate, for so many of the fleet's zones.
-  LoadGateReply AdmitLocally(int aZones, const LoadGateRequest& aQuestion);
+  LoadGateReply AdmitLocally(int aZones, const LoadGateRequest& aRequest);
 
   StoreGateSettings mSettings;
   Members& mMembers;
--- a/tests/property/HomeZoneProperty.cpp
+++ b/tests/property/HomeZoneProperty.cpp
@@ -49,12 +49,12 @@
   }
   // Whom a zone holds for the home: cuts are noticed by the requests alone.
   Zone& Home() { return Named(HomeZoneOf(kZones, "m")); }
-  Zone& Away() { return &Home() == &mZones[0] ? mZones[1] : mZones[0]; }
+  Zone& NonHome() { return &Home() == &mZones[0] ? mZones[1] : mZones[0]; }
 
   HomeZoneAction Ask(Zone& aZone)
   {
     HomeZoneView view;
-    view.mHome = &aZone == &Home();
+    view.mIsHome = &aZone == &Home();
     view.mServing = aZone.mServing;
     view.mWaiting = aZone.mWaiting;
     return HomeZoneRoute(aZone.mState, view, mParameters, mNow);
@@ -70,7 +70,7 @@
   void Request(Zone& aZone)
   {
     HomeZoneAction action = Ask(aZone);
-    if (action == HomeZoneAction::Here) {
+    if (action == HomeZoneAction::Local) {
       ServeHere(aZone);
       return;
     }
@@ -82,7 +82,7 @@
     if (aZone.mCut || Home().mCut) {
       HomeZoneFailed(aZone.mState, mParameters, mNow);
       // From now on its requests stay, without trying the home each time.
-      RC_ASSERT(Ask(aZone) == HomeZoneAction::Here);
+      RC_ASSERT(Ask(aZone) == HomeZoneAction::Local);
       ServeHere(aZone);
       return;
     }
@@ -133,7 +133,7 @@
 RC_GTEST_PROP(HomeZone, OneReplicaForZonesThatReachEachOther, ())
 {
   World world;
-  world.mParameters.mBusy = 1e9;
+  world.mParameters.mBusyThreshold = 1e9;
   RandomChoices tape = RandomChoices::OfLength(300);
   while (!tape.Ended()) {
     Zone& zone = world.mZones[static_cast<size_t>(tape.Below(3))];
@@ -150,7 +150,7 @@
 RC_GTEST_PROP(HomeZone, AlwaysSomewhereAndLoadsAreFew, ())
 {
   World world;
-  world.mParameters.mBusy = 5;
+  world.mParameters.mBusyThreshold = 5;
   RandomChoices tape = RandomChoices::OfLength(300);
   TimePoint began = world.mNow;
   while (!tape.Ended()) {
@@ -167,11 +167,11 @@
 TEST(HomeZone, WaitsForTheLoadThatIsUnderWay)
 {
   World world;
-  Zone& away = world.Away();
+  Zone& away = world.NonHome();
   world.Home().mCut = true;
   world.Request(away);
-  world.mNow += 2 * world.mParameters.mFailed;
-  EXPECT_EQ(world.Ask(away), HomeZoneAction::Here);
+  world.mNow += 2 * world.mParameters.mHomeRetryDelay;
+  EXPECT_EQ(world.Ask(away), HomeZoneAction::Local);
 }
 
 // A zone that reaches the home again goes back to it, once its own replica has
@@ -179,15 +179,15 @@
 TEST(HomeZone, BackAfterTheHomeFailed)
 {
   World world;
-  Zone& away = world.Away();
+  Zone& away = world.NonHome();
   world.Home().mCut = true;
   world.Request(away);
   world.End(away, true);
   world.Home().mCut = false;
-  world.mNow += world.mParameters.mFailed;
-  EXPECT_EQ(world.Ask(away), HomeZoneAction::Here); // a warm replica is here
+  world.mNow += world.mParameters.mHomeRetryDelay;
+  EXPECT_EQ(world.Ask(away), HomeZoneAction::Local); // a warm replica is here
   away.mServing = false;
-  EXPECT_EQ(world.Ask(away), HomeZoneAction::Away);
+  EXPECT_EQ(world.Ask(away), HomeZoneAction::Remote);
 }
 
 } // namespace caraway
--- a/tests/property/LoadGateProperty.cpp
+++ b/tests/property/LoadGateProperty.cpp
@@ -55,8 +55,8 @@
     }
     int inside = LoadGateAdmitted(mGate);
     bool urgent = aEntry.mClass == RequestClass::Urgent;
-    RC_ASSERT(inside <=
-              mParameters.mAtOnce + (urgent ? mParameters.mUrgentExtra : 0));
+    RC_ASSERT(inside <= mParameters.mMaxConcurrent +
+                          (urgent ? mParameters.mUrgentExtra : 0));
     auto recent =
       std::count_if(mStarts.begin(), mStarts.end(), [&](TimePoint aStart) {
         return mNow - aStart < Seconds(1);
