--- a/src/decide/EngineReport.h
+++ b/src/decide/EngineReport.h
@@ -1,4 +1,4 @@
-// EngineReport.h: what an engine says it holds.
+// EngineReport.h: an engine's report of its replicas and load.
 #ifndef caraway_decide_EngineReport_h
 #define caraway_decide_EngineReport_h
 
@@ -16,17 +16,17 @@
   std::string mVersion;
   int64_t mBytes = 0;
   bool mReady = false;
-  int mActive = 0;   // requests it is serving
-  Millis mIdle{ 0 }; // since it last served one
+  int mActive = 0;   // requests in flight
+  Millis mIdle{ 0 }; // time since its last request
 };
 
 struct EngineReport
 {
-  int64_t mHighestFencingToken = 0; // of the orders it has taken
-  int mActive = 0;                  // requests in its batch; lags
-  int mWaiting = 0;                 // requests it has queued itself; lags
+  int64_t mHighestFencingToken = 0; // highest token of the orders it accepted
+  int mActive = 0;                  // requests in its batch; may be out of date
+  int mWaiting = 0; // requests in its own queue; may be out of date
   std::vector<EngineReplica> mReplicas;
-  std::vector<std::string> mCachedInMemory; // checkpoints, nearest first
+  std::vector<std::string> mCachedInMemory; // checkpoints by name
   std::vector<std::string> mCachedOnDisk;
 };
 
--- a/src/decide/HomeZone.h
+++ b/src/decide/HomeZone.h
@@ -1,10 +1,10 @@
-// HomeZone.h: which of the zones near each other keeps a rarely used model.
+// HomeZone.h: which of several nearby zones holds a rarely used model.
 //
-// Zones that are a few milliseconds apart share a model: one of them, its home,
-// loads it for all, and requests go there. A replica for each zone would idle
-// three times as long and be cold three times as often. A zone loads for itself
-// when it can't reach the home, or when it uses the model so much that a
-// replica of its own isn't idle.
+// Zones that are a few milliseconds apart share a model: one of them, its home
+// zone, loads it, and the requests of all are sent there. With a replica in
+// each of three zones, the replicas would idle three times as long and be cold
+// three times as often. A zone loads the model itself when it can't reach the
+// home zone, or when it uses the model enough to keep its own replica busy.
 #ifndef caraway_decide_HomeZone_h
 #define caraway_decide_HomeZone_h
 
@@ -17,49 +17,48 @@
 
 struct HomeZoneParameters
 {
-  double mBusyThreshold = 60; // requests in mWindow that are worth a replica
+  double mBusyThreshold = 60; // requests in mWindow that justify a replica
   Millis mWindow{ 60000 };
-  Millis mHomeRetryDelay{
-    10000
-  }; // after the home failed, before it is asked again
-  Millis mLoadInterval{ 60000 }; // between loads begun for a busy zone
+  Millis mHomeRetryDelay{ 10000 }; // after the home zone failed
+  Millis mLoadInterval{ 60000 };   // between loads begun for a busy zone
 };
 
-// Of one model, at its owner in one zone.
+// State of one model at its owner in one zone.
 struct HomeZoneState
 {
-  double mCount = 0; // requests, each fading within mWindow
+  double mCount = 0; // requests, decaying exponentially over mWindow
   TimePoint mCountedAt{};
-  TimePoint mServeLocallyUntil{}; // the home has failed
-  TimePoint mLoadBegun{};         // for a busy zone
+  TimePoint mServeLocallyUntil{}; // set when the home zone failed
+  TimePoint mLoadBegun{};         // last load begun because the zone is busy
 };
 
 struct HomeZoneView
 {
-  bool mIsHome = true;   // this zone is the home, or reaches no other
-  bool mServing = false; // a replica here is ready
-  bool mWaiting = false; // requests wait here for one
+  bool mIsHome = true;   // this zone is the home, or reaches no other zone
+  bool mServing = false; // this zone has a ready replica
+  bool mWaiting = false; // requests wait in this zone for a replica
 };
 
 enum class HomeZoneAction
 {
-  Local,         // serve, and load if need be
-  Remote,        // at the home
-  RemoteAndLoad, // at the home until the load that is to begin here has ended
+  Local,         // serve in this zone, loading the model if needed
+  Remote,        // serve at the home zone
+  RemoteAndLoad, // serve at the home zone and begin a load in this one
 };
 
-// A request has come from this zone.
+// Decides where a request of this zone is served.
 HomeZoneAction
 HomeZoneRoute(HomeZoneState& aState,
               const HomeZoneView& aView,
               const HomeZoneParameters& aParameters,
               TimePoint aNow);
-// The home didn't answer, or can't serve it.
+// Records that the home zone didn't answer or couldn't serve a request.
 void
 HomeZoneFailed(HomeZoneState& aState,
                const HomeZoneParameters& aParameters,
                TimePoint aNow);
-// The same for all who see the same zones; few models move when one goes.
+// Rendezvous hash: the same for all instances that see the same zones; few
+// models move when a zone disappears.
 std::string
 HomeZoneOf(const std::vector<std::string>& aZones, const std::string& aModel);
 
--- a/src/decide/LoadGate.cpp
+++ b/src/decide/LoadGate.cpp
@@ -23,7 +23,7 @@
          aGate.mParameters.mClassDelay[static_cast<size_t>(aEntry.mClass)];
 }
 
-// How many wait before aEntry?
+// Waiting loads that are ahead of aEntry.
 int
 CountAhead(const LoadGate& aGate, const LoadGateEntry& aEntry)
 {
@@ -37,14 +37,15 @@
   return ahead;
 }
 
-// A load takes seconds, so that whoever is far behind need not ask often: a
-// hundred that wait would ask one instance a thousand times a second.
+// A load takes seconds, so a request far back in the queue polls rarely. At a
+// fixed 100 ms, a hundred waiting loads would send one instance a thousand
+// requests a second.
 Millis
 PollInterval(const LoadGate& aGate, const LoadGateEntry& aEntry, int aAhead)
 {
   constexpr Millis kMinPoll{ 100 };
   constexpr Millis kPollPerLoadAhead{ 50 };
-  constexpr int kPollsPerLease = 3; // two answers may be lost
+  constexpr int kPollsPerLease = 3; // two replies may be lost
   Millis longest = aGate.mParameters.mLease / kPollsPerLease;
   return aEntry.mHasPermit
            ? longest
--- a/src/decide/LoadGate.h
+++ b/src/decide/LoadGate.h
@@ -1,11 +1,11 @@
-// LoadGate.h: which load may draw on the weight store next.
+// LoadGate.h: admission of loads to the weight store, by urgency.
 //
-// The store gives a few loads its full speed; more at once all go slower, the
-// bulletin's model as much as the briefing's. So a load that would come from
-// the store asks first. Whoever answers (one instance of the fleet, without
-// storing anything) has the whole queue before it and lets in by urgency. Its
-// loss costs speed, never a promise: whoever is asked next begins with an
-// empty gate, and whoever reaches nobody takes its zone's part.
+// The store serves only a few loads at full speed; with more at once all slow
+// down, a bulletin's model as much as a briefing's. So a load from the store
+// requests a permit first. One instance of the fleet owns the gate, stores
+// nothing, sees the whole queue and admits by urgency. Losing the owner costs
+// speed but breaks no guarantee: the next owner begins with an empty gate, and
+// an instance that reaches no owner uses its zone's part of the limit.
 #ifndef caraway_decide_LoadGate_h
 #define caraway_decide_LoadGate_h
 
@@ -21,16 +21,16 @@
 
 struct LoadGateParameters
 {
-  int mMaxConcurrent = 4;      // that the store gives full speed
-  double mStartsPerSecond = 5; // that the store takes
-  // An urgent load is let in above mAtOnce by so many: it is slowed a little
-  // by the others and them by it, where waiting would cost it a whole load.
+  int mMaxConcurrent = 4;      // loads that the store serves at full speed
+  double mStartsPerSecond = 5; // loads that the store accepts
+  // Urgent loads admitted above mMaxConcurrent. Sharing the store slows all of
+  // them a little, where waiting would cost the urgent one a whole load.
   int mUrgentExtra = 2;
-  // A place or a wait that isn't asked for again within this has been left by
-  // a loader that died.
+  // A permit or queue entry that isn't renewed within this time belongs to a
+  // loader that died.
   Millis mLease{ 3000 };
-  // Waits count from later by this, for each class: the order is by urgency,
-  // but a briefing's load isn't passed for ever.
+  // Added to the arrival time, by class: loads are ordered by urgency, but a
+  // briefing's load isn't overtaken for ever.
   std::array<Millis, kRequestClassCount> mClassDelay{ Millis(0),
                                                       Millis(10000),
                                                       Millis(60000) };
@@ -40,7 +40,7 @@
 {
   RequestClass mClass = RequestClass::Interactive;
   TimePoint mArrived{};
-  TimePoint mLastPolled{}; // last asked
+  TimePoint mLastPolled{}; // last request for this load
   bool mHasPermit = false;
 };
 
@@ -55,19 +55,18 @@
 
 struct LoadGateRequest
 {
-  std::string mId;                                 // of the load
-  RequestClass mClass = RequestClass::Interactive; // may grow more urgent
-  bool mAlreadyAdmitted =
-    false; // another gate let it in before; counted, not stopped
+  std::string mId;                                 // id of the load
+  RequestClass mClass = RequestClass::Interactive; // may become more urgent
+  bool mAlreadyAdmitted = false; // by another gate; counted, never stopped
 };
 
 struct LoadGateReply
 {
-  bool mHasPermit = false;  // until a lease passes without its asking again
-  Millis mPollAfter{ 100 }; // when to ask again; later the more are before it
+  bool mHasPermit = false;  // lapses a lease after the last request
+  Millis mPollAfter{ 100 }; // longer the more loads are ahead
 };
 
-// Idempotent: an answer may be lost.
+// Idempotent, since a reply may be lost.
 LoadGateReply
 LoadGateAcquire(LoadGate& aGate,
                 const LoadGateRequest& aRequest,
--- a/src/decide/LoadPlan.h
+++ b/src/decide/LoadPlan.h
@@ -1,4 +1,4 @@
-// LoadPlan.h: where to load a cold model, and what must go for it.
+// LoadPlan.h: which engine loads a cold model, and what it evicts for it.
 #ifndef caraway_decide_LoadPlan_h
 #define caraway_decide_LoadPlan_h
 
@@ -14,48 +14,50 @@
 {
   PlacementRecord mRecord;
   EngineReport mReport;
-  bool mReachable = false; // its report is fresh
+  bool mReachable = false; // its engine answered with a report
 };
 
 struct LoadPlanParameters
 {
-  // Loading from each place, relative to the remote store.
+  // Cost of loading from each source, relative to the remote store.
   double mMemoryCost = 0.1;
   double mDiskCost = 0.4;
   double mRemoteCost = 1.0;
-  // A replica used within this time isn't evicted: two models that wake in
+  // A replica used within this time isn't evicted: two models that are used in
   // turn would otherwise evict each other on every request.
   Millis mMinIdle{ 2000 };
-  // The same for a load that nobody waits for.
+  // The same for an optional load, which no request waits for.
   Millis mOptionalMinIdle{ 60000 };
-  // Idle this long, a replica is as good as free.
+  // A replica that has been idle this long costs nothing to evict.
   Millis mFreeEvictionIdle{ 600000 };
 };
 
 struct LoadPlan
 {
-  int mCandidate = -1;               // index; -1 = nowhere
-  std::vector<PlacedReplica> mEvict; // of that candidate, in order
-  bool mJoin = false;                // it is there already: loading or ready
+  int mCandidate = -1; // index; -1 = no engine
+  std::vector<PlacedReplica>
+    mEvict;           // replicas of that candidate, in this order
+  bool mJoin = false; // the engine has it already, loading or ready
 };
 
-// Would aName come from the weight store there?
+// Whether that engine would load aName from the weight store.
 bool
 LoadPlanFromStore(const EngineReport& aReport, const std::string& aName);
 
-// How long a replica may idle at an engine before it is unloaded. Idling
-// costs accelerator time, unloading the time of a reload times its likelihood:
-// where the checkpoint lies near, a reload costs little and the replica goes
-// sooner. aBase is for one that would come from the remote store.
+// How long a replica may idle at an engine before it is unloaded. An idle
+// replica costs accelerator time, an unloaded one the time of a reload times
+// its probability: with the checkpoint cached near the engine a reload is cheap
+// and the limit shorter. aBase is the limit for a reload from the remote store.
 Millis
 LoadPlanIdleLimit(const EngineReport& aReport,
                   const std::string& aName,
                   Millis aBase,
                   const LoadPlanParameters& aParameters);
 
-// Joins a load that is under way, else takes the cheapest endpoint by where
-// the checkpoint lies, its load, and what evicting for it will cost: reload
-// time times the likelihood of soon being used, by how long it has idled.
+// Joins a load in progress, else chooses the cheapest engine. Its cost is made
+// up of the source of the checkpoint, the requests in flight and the evictions:
+// the reload time of each evicted replica times the probability that it is
+// needed again soon, which falls with its idle time.
 LoadPlan
 LoadPlanChoose(const std::vector<LoadCandidate>& aCandidates,
                const std::string& aName,
--- a/src/decide/QueuedRequest.h
+++ b/src/decide/QueuedRequest.h
@@ -1,4 +1,4 @@
-// QueuedRequest.h: one request waiting for a place at an engine.
+// QueuedRequest.h: a request waiting for an engine slot.
 #ifndef caraway_decide_QueuedRequest_h
 #define caraway_decide_QueuedRequest_h
 
@@ -15,9 +15,9 @@
   uint64_t mId = 0;
   std::string mTenant;
   RequestClass mClass = RequestClass::Interactive;
-  uint64_t mRequestDigest = 0; // digest of what it asks for
-  double mTokens = 1;          // expected work
-  TimePoint mStartBy{};        // later is useless
+  uint64_t mRequestDigest = 0; // recognizes a retry; see RetrySchedule
+  double mTokens = 1;          // expected cost
+  TimePoint mStartBy{};        // deadline for the start
   TimePoint mArrived{};
 };
 
--- a/src/decide/RetrySchedule.cpp
+++ b/src/decide/RetrySchedule.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// A caller's timer and the way here may add this much.
+// Allowance for the caller's timer and the network.
 constexpr Millis kLateTolerance{ 1500 };
-constexpr size_t kMaxRetriesPerTenant = 2000; // of a tenant; memory
-constexpr double kInitialReturnRate = 0.5;    // of them come
+constexpr size_t kMaxRetriesPerTenant = 2000; // bounds memory
+constexpr double kInitialReturnRate = 0.5;    // until observed
 constexpr double kReturnRateWeight = 0.1;
 
 } // namespace
--- a/src/decide/RetrySchedule.h
+++ b/src/decide/RetrySchedule.h
@@ -1,12 +1,13 @@
-// RetrySchedule.h: when refused requests were told to come back.
+// RetrySchedule.h: retry times given to refused requests.
 //
-// Told nothing but the queue's length, all that a burst has refused come back
-// at one moment, beside what is new then, and most are refused again. So each
-// is told a time of its own, and what is new may not have the room that is
-// booked. One that comes back is known by what it asks for (mRequestDigest),
-// which a client that tries again sends again; it needs to do nothing for it.
-// Many callers may ask for the same: each has a booking, and whoever comes
-// first takes the earliest.
+// With a retry-after time derived from the queue length alone, all requests
+// refused in a burst would retry at the same moment, together with new ones,
+// and most would be refused again. So each refused request gets its own retry
+// time, and capacity is reserved for it against new requests. A retry is
+// recognized by the digest of the request, which is the same when a client
+// sends it again; clients need no support for this. Several callers may send
+// the same request: each has a reservation, and the first to return takes the
+// earliest.
 #ifndef caraway_decide_RetrySchedule_h
 #define caraway_decide_RetrySchedule_h
 
@@ -27,28 +28,29 @@
            uint64_t aRequestDigest,
            double aTokens,
            TimePoint aDue);
-  // When the first of those alike was told to come.
+  // Earliest retry time given to requests with this digest.
   std::optional<TimePoint> FirstDue(const std::string& aTenant,
                                     uint64_t aRequestDigest) const;
-  // It has come: its room is its own now.
+  // Removes the earliest reservation with this digest; its caller has returned.
   void Consume(const std::string& aTenant, uint64_t aRequestDigest);
-  // How likely the tenant's callers come when they were told to, as learnt; 0
-  // when none is told to. Room is kept by this part only: callers that never
-  // come back must not leave the engines idle.
+  // Observed probability that the tenant's callers return at their retry time;
+  // 0 without reservations. Only this fraction of the reserved tokens counts,
+  // since callers that never return must not leave the engines idle.
   double ReturnProbability(const std::string& aTenant) const;
-  // Of those due before aUntil.
+  // Tokens expected of retries that are due before aUntil.
   double Tokens(const std::string& aTenant, TimePoint aUntil) const;
   double OthersTokens(const std::string& aTenant,
                       TimePoint aUntil,
                       double aMaxPerTenant) const;
-  // Those that didn't come: their room is free again.
+  // Drops the reservations of callers that didn't return in time.
   void Expire(TimePoint aNow);
 
 private:
   struct TenantRetries
   {
-    std::multimap<TimePoint, std::pair<uint64_t, double>> mDue; // like, tokens
-    std::map<uint64_t, std::set<TimePoint>> mDueByDigest;       // when due
+    std::multimap<TimePoint, std::pair<uint64_t, double>>
+      mDue;                                               // digest, tokens
+    std::map<uint64_t, std::set<TimePoint>> mDueByDigest; // due times by digest
     void EraseFirst(uint64_t aRequestDigest);
   };
   double Sum(const std::string& aTenant,
@@ -57,8 +59,7 @@
   void UpdateReturnRate(const std::string& aTenant, bool aReturned);
 
   std::map<std::string, TenantRetries> mTenants; // by tenant
-  std::map<std::string, double>
-    mReturnRates; // part that came, learnt; by tenant
+  std::map<std::string, double> mReturnRates;    // observed, by tenant
 };
 
 } // namespace caraway
--- a/src/decide/WaitQueue.cpp
+++ b/src/decide/WaitQueue.cpp
@@ -10,7 +10,7 @@
 
 constexpr Millis kMinRetry{ 200 };
 constexpr Millis kMaxRetry{ 120000 };
-constexpr Millis kEarlyTolerance{ 200 }; // what a caller's timer may be off by
+constexpr Millis kEarlyTolerance{ 200 };     // tolerance for callers' timers
 constexpr double kArrivalWindowSeconds = 10; // seconds
 constexpr double kUnlimited = std::numeric_limits<double>::max();
 
@@ -49,9 +49,9 @@
   return RequestClass::Batch;
 }
 
-// Work that will be served before aItem: all of the more urgent classes; of
-// its own class its tenant's, and of the other tenants' no more than as much
-// as its own, since they take turns by tokens.
+// Tokens that will be served before aItem: all of the more urgent classes,
+// those of its own tenant, and of each other tenant in its class no more than
+// as many as its own, since tenants are served evenly by tokens.
 double
 WaitQueue::TokensAhead(const QueuedRequest& aItem, TimePoint aUntil) const
 {
@@ -93,10 +93,10 @@
   return mRate * std::exp(-std::max(0.0, seconds) / kArrivalWindowSeconds);
 }
 
-// What is waiting isn't all that will be served first: more urgent requests
-// keep arriving, and other tenants of the class keep taking their turns.
-// Without this a briefing is let in to wait a minute for a place that the chat
-// still to come will have, and is refused at its deadline instead of at once.
+// Service rate that remains for aItem. More urgent requests keep arriving while
+// it waits, and other tenants of its class keep being served. Without this a
+// briefing would be queued for a minute for a slot that later chat requests
+// take, and be refused at its deadline instead of at once.
 double
 WaitQueue::AvailableRate(const QueuedRequest& aItem,
                          double aRate,
@@ -105,8 +105,8 @@
   constexpr double kMinRateFraction = 0.02;
   int ownClass = static_cast<int>(aItem.mClass);
   if (aItem.mClass == RequestClass::Urgent) {
-    // Nothing passes a bulletin. Refusing one on a guess costs more than
-    // letting it wait until its time.
+    // Nothing overtakes a bulletin. Refusing one on an estimate costs more
+    // than letting it wait until its deadline.
     return aRate;
   }
   double left = aRate;
@@ -115,8 +115,8 @@
       left -= arrivals.second.At(aNow);
     }
   }
-  // With nothing of its own waiting, its turn comes after one of each other
-  // tenant's at most, whatever they send meanwhile.
+  // A tenant with nothing queued is served after at most one request of each
+  // other tenant, whatever they send meanwhile.
   const auto& peers = mClasses[ownClass].mArrivals;
   if (mClasses[ownClass].mTenantQueues.count(aItem.mTenant) == 0) {
     return std::max(left, aRate * kMinRateFraction);
@@ -144,8 +144,8 @@
   return TimeFor(TokensAhead(aItem, aUntil), AvailableRate(aItem, aRate, aNow));
 }
 
-// A tenant that comes back begins level with the others: credit saved up while
-// it was away would let it shut them out.
+// A tenant that returns after a pause starts level with the others: with credit
+// from the pause it could starve them.
 double
 WaitQueue::ServedTokens(ClassQueue& aClass, const std::string& aTenant) const
 {
@@ -165,8 +165,8 @@
   }
 }
 
-// Books its return for when all that waits or is booked before it will have
-// been served.
+// Reserves a retry for when everything queued or reserved ahead of aItem will
+// have been served.
 WaitRefusal
 WaitQueue::Refuse(const QueuedRequest& aItem,
                   ErrorKind aKind,
@@ -175,10 +175,10 @@
                   TimePoint aNow)
 {
   ClassQueue& classQueue = mClasses[static_cast<int>(aItem.mClass)];
-  // One that comes before its time can't be told from another that asks the
-  // same. It gets a second booking; that nobody comes for the first is learnt
-  // (RetrySchedule::ReturnProbability). Told the first's time, all alike would
-  // come at once to the room of one.
+  // A retry before its time can't be distinguished from another caller's same
+  // request, so it gets a second reservation; that the first goes unused lowers
+  // RetrySchedule::ReturnProbability. Given the first's time, all callers with
+  // the same request would retry at once for the capacity of one.
   Millis wait =
     std::max(PredictWait(aItem, aRate, aNow, TimePoint::max()), aReadyIn);
   if (wait <= kMaxRetry) {
@@ -198,8 +198,8 @@
 {
   ClassQueue& classQueue = mClasses[static_cast<int>(aItem.mClass)];
   classQueue.mRetrySchedule.Expire(aNow);
-  // One that comes back when it was told to has its room; what is new may not
-  // have the room of those that will come back before it would be served.
+  // A retry at its given time uses its reservation. A new request may not use
+  // capacity reserved for retries that are due before it would be served.
   auto due =
     classQueue.mRetrySchedule.FirstDue(aItem.mTenant, aItem.mRequestDigest);
   bool isRetry = due && *due <= aNow + kEarlyTolerance;
@@ -211,7 +211,8 @@
   double likely =
     reserved ? 0 : classQueue.mRetrySchedule.ReturnProbability(aItem.mTenant);
   auto budget = std::chrono::duration_cast<Millis>(aItem.mStartBy - aNow);
-  // Behind those that will come back with all of their patience.
+  // New requests queue behind the expected retries, which arrive with their
+  // whole waiting time left.
   Millis allowedWait(static_cast<int64_t>(static_cast<double>(budget.count()) *
                                           (1 - likely / 2)));
   Millis wait = std::max(PredictWait(aItem, aRate, aNow, until), aReadyIn);
@@ -238,7 +239,7 @@
   return std::nullopt;
 }
 
-// Takes one item out; the line after, or the same if it goes on.
+// Removes an item. Returns the same tenant's queue, or the next if it is empty.
 WaitQueue::TenantQueues::iterator
 WaitQueue::Remove(ClassQueue& aClass,
                   TenantQueues::iterator aQueue,
--- a/src/decide/WaitQueue.h
+++ b/src/decide/WaitQueue.h
@@ -1,4 +1,5 @@
-// WaitQueue.h: who is served next, and who is told now that it won't be.
+// WaitQueue.h: order of service, and early refusal of requests that would miss
+// their deadline.
 #ifndef caraway_decide_WaitQueue_h
 #define caraway_decide_WaitQueue_h
 
@@ -16,9 +17,9 @@
 
 struct WaitQueueLimits
 {
-  size_t mItems = 256; // waiting, of each class: a flood of briefings
-                       // must not fill the place of a bulletin
-  double mMaxTenantFraction = 0.5; // of mItems, for one tenant at most
+  size_t mItems = 256; // waiting, for each class: a flood of briefings
+                       // must not take the capacity of bulletins
+  double mMaxTenantFraction = 0.5; // of mItems
 };
 
 struct WaitRefusal
@@ -27,43 +28,43 @@
   Millis mRetryAfter;
 };
 
-// One queue for all requests for one model in a zone. Classes are served in
-// order; within a class the tenant that has had the least work served goes
-// first, counted in tokens, so that a tenant sending several times its part
-// waits behind itself and not in front of others; within a tenant the
-// earliest deadline goes first.
+// Queue of all requests for one model in a zone. Classes are served by
+// priority. Within a class the tenant with the fewest tokens served goes first,
+// so that a tenant that sends several times its fair part delays its own
+// requests and not those of others. Within a tenant the earliest deadline goes
+// first.
 class WaitQueue
 {
 public:
   explicit WaitQueue(WaitQueueLimits aLimits = {});
 
-  // Nothing when it waits now. aRate is the service rate learnt, in tokens a
-  // second over all replicas, 0 = not known; aReadyIn is the time until the
-  // first replica can serve (a load). A request that can't start in time is
-  // refused here, at once, rather than at its deadline.
+  // Queues the request, or refuses it at once if it can't start before its
+  // deadline, rather than when the deadline passes. aRate is the observed
+  // service rate in tokens a second over all replicas, 0 = unknown; aReadyIn is
+  // the time until the first replica can serve, during a load.
   std::optional<WaitRefusal> Offer(const QueuedRequest& aItem,
                                    double aRate,
                                    Millis aReadyIn,
                                    TimePoint aNow);
-  // The next to be served, if any of aClassLimit's urgency or above waits.
+  // Takes the next request of class aClassLimit or more urgent.
   std::optional<QueuedRequest> Next(RequestClass aClassLimit);
-  // Those whose time has passed; they no longer wait.
+  // Removes and returns the requests whose deadline has passed.
   std::vector<QueuedRequest> Expire(TimePoint aNow);
-  // Its caller has gone. False when it didn't wait any more.
+  // Removes a request whose caller has gone. False when it isn't queued.
   bool Withdraw(uint64_t aId);
 
   size_t Size() const;
-  // Of those waiting; the least urgent when nobody does.
+  // Most urgent class that waits; Batch when the queue is empty.
   RequestClass MostUrgent() const;
-  // Expected time until an item of this class and tenant would start.
-  // Counting returns that are due before aUntil as well.
+  // Expected time until aItem would start, counting retries that are due before
+  // aUntil as well.
   Millis PredictWait(const QueuedRequest& aItem,
                      double aRate,
                      TimePoint aNow,
                      TimePoint aUntil) const;
 
 private:
-  // Tokens a second that arrive, over the last seconds.
+  // Tokens arriving per second, averaged with exponential decay.
   struct ArrivalRate
   {
     double mRate = 0;
@@ -82,10 +83,11 @@
   {
     TenantQueues mTenantQueues;
     size_t mSize = 0;
-    double mVirtualTime = 0; // served to the tenant last chosen
+    double mVirtualTime = 0; // tokens served to the tenant chosen last
     std::map<std::string, ArrivalRate> mArrivals;
-    // Tokens served to each tenant, kept while it is ahead of the others: one
-    // that sends a request at a time would otherwise begin anew each time.
+    // Tokens served to each tenant, kept while it is ahead of the others: a
+    // tenant that sends one request at a time would otherwise start from level
+    // with each request.
     std::map<std::string, double> mServedTokens;
     RetrySchedule mRetrySchedule;
   };
