--- a/src/decide/EngineReport.h
+++ b/src/decide/EngineReport.h
@@ -26,7 +26,7 @@
   int mActive = 0;                  // requests in its batch; may be out of date
   int mWaiting = 0; // requests in its own queue; may be out of date
   std::vector<EngineReplica> mReplicas;
-  std::vector<std::string> mCachedInMemory; // checkpoints by name
+  std::vector<std::string> mCachedInMemory; // names of checkpoints
   std::vector<std::string> mCachedOnDisk;
 };
 
--- a/src/decide/ShareLease.cpp
+++ b/src/decide/ShareLease.cpp
@@ -7,61 +7,61 @@
 namespace {
 
 void
-Join(const ShareLease& aLease, ShareTable& aTable)
+JoinTable(const ShareLease& aLease, ShareTable& aTable)
 {
   // A process that listens where another one did has outlived it: two can't
   // hold one address. So its slots are free at once.
-  std::vector<std::string> former;
+  std::vector<std::string> predecessors;
   for (const auto& member : aTable.mMembers) {
     if (member.first != aLease.mSelf &&
         member.second.mAddress == aLease.mAddress) {
-      former.push_back(member.first);
+      predecessors.push_back(member.first);
     }
   }
-  for (const std::string& member : former) {
+  for (const std::string& member : predecessors) {
     ShareTableRemove(aTable, member);
   }
   if (!aTable.mMembers.count(aLease.mSelf)) {
     ShareMember self;
     self.mAddress = aLease.mAddress;
-    self.mJoined = aTable.mSerial;
+    self.mJoinedSerial = aTable.mSerial;
     aTable.mMembers[aLease.mSelf] = self;
   }
 }
 
 void
-Renew(ShareTable& aTable, const std::string& aMember, int64_t aKnows)
+RenewMember(ShareTable& aTable, const std::string& aMember, int64_t aKnows)
 {
   auto found = aTable.mMembers.find(aMember);
   if (found != aTable.mMembers.end()) {
-    found->second.mSeen = aTable.mSerial;
+    found->second.mRenewedSerial = aTable.mSerial;
     found->second.mKnownSerial = std::max(found->second.mKnownSerial, aKnows);
     found->second.mSuspectedBy.clear();
   }
 }
 
 bool
-Silent(const ShareLease& aLease, const std::string& aMember, TimePoint aNow)
+IsSilent(const ShareLease& aLease, const std::string& aMember, TimePoint aNow)
 {
-  auto seen = aLease.mSeen.find(aMember);
-  if (seen == aLease.mSeen.end()) {
+  auto seen = aLease.mLastRenewals.find(aMember);
+  if (seen == aLease.mLastRenewals.end()) {
     return false;
   }
   const ShareLeaseParameters& terms = aLease.mParameters;
-  Millis quiet = terms.mLease;
+  Millis silenceLimit = terms.mLease;
   auto self = aLease.mTable.mMembers.find(aLease.mSelf);
   auto member = aLease.mTable.mMembers.find(aMember);
-  bool knowsUs = self != aLease.mTable.mMembers.end() &&
-                 member != aLease.mTable.mMembers.end() &&
-                 member->second.mKnownSerial >= self->second.mJoined;
-  auto unlisted = aLease.mUnlisted.find(aMember);
-  bool notRun = unlisted != aLease.mUnlisted.end() &&
-                aNow - unlisted->second > terms.mLease + terms.mMargin;
-  if (!knowsUs && !notRun) {
+  bool knowsSelf = self != aLease.mTable.mMembers.end() &&
+                   member != aLease.mTable.mMembers.end() &&
+                   member->second.mKnownSerial >= self->second.mJoinedSerial;
+  auto unlisted = aLease.mUnlistedSince.find(aMember);
+  bool notListed = unlisted != aLease.mUnlistedSince.end() &&
+                   aNow - unlisted->second > terms.mLease + terms.mMargin;
+  if (!knowsSelf && !notListed) {
     // It may be spending on promises from members that don't include us.
-    quiet = terms.mIsolationLimit + terms.mMargin;
+    silenceLimit = terms.mIsolationLimit + terms.mMargin;
   }
-  return aNow - seen->second.mSince > quiet;
+  return aNow - seen->second.mSeenAt > silenceLimit;
 }
 
 // A suspicion is in the table for all; whoever writes next after it has stood
@@ -71,23 +71,24 @@
 void
 SuspectOrRemove(const ShareLease& aLease, ShareTable& aTable, TimePoint aNow)
 {
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (auto& entry : aTable.mMembers) {
     ShareMember& member = entry.second;
-    if (entry.first == aLease.mSelf || member.mSeen == aTable.mSerial ||
-        !Silent(aLease, entry.first, aNow)) {
+    if (entry.first == aLease.mSelf ||
+        member.mRenewedSerial == aTable.mSerial ||
+        !IsSilent(aLease, entry.first, aNow)) {
       continue;
     }
-    auto since = aLease.mSuspected.find(entry.first);
+    auto since = aLease.mSuspectedSince.find(entry.first);
     if (member.mSuspectedBy.empty()) {
       member.mSuspectedBy = aLease.mSelf;
-    } else if (since != aLease.mSuspected.end() &&
+    } else if (since != aLease.mSuspectedSince.end() &&
                aNow - since->second >
                  aLease.mParameters.mLease + aLease.mParameters.mMargin) {
-      gone.push_back(entry.first);
+      removed.push_back(entry.first);
     }
   }
-  for (const std::string& member : gone) {
+  for (const std::string& member : removed) {
     ShareTableRemove(aTable, member);
   }
 }
@@ -101,11 +102,11 @@
   for (int i = 0; i < kShareSlots; ++i) {
     ShareSlot& slot = aTable.mSlots[i];
     auto target = aTable.mMembers.find(ShareTableTarget(aTable, i));
-    bool there =
+    bool assignable =
       target != aTable.mMembers.end() && target->second.mSuspectedBy.empty();
-    if (slot.mHolder.empty() && there) {
+    if (slot.mHolder.empty() && assignable) {
       slot.mHolder = target->first;
-      slot.mTaken = aTable.mSerial;
+      slot.mAcquiredSerial = aTable.mSerial;
     }
   }
 }
@@ -115,7 +116,7 @@
 bool
 ShareLeaseMaySpend(const ShareLease& aLease, int aSlot, TimePoint aNow)
 {
-  if (aLease.mVersion == 0 || aLease.mClosed.count(aSlot) ||
+  if (aLease.mVersion == 0 || aLease.mClosedSlots.count(aSlot) ||
       aLease.mTable.mSlots[aSlot].mHolder != aLease.mSelf) {
     return false;
   }
@@ -138,49 +139,51 @@
   }
   aLease.mTable = aTable;
   aLease.mVersion = aVersion;
-  for (auto seen = aLease.mSeen.begin(); seen != aLease.mSeen.end();) {
+  for (auto seen = aLease.mLastRenewals.begin();
+       seen != aLease.mLastRenewals.end();) {
     bool member = aTable.mMembers.count(seen->first) != 0;
-    seen = member ? std::next(seen) : aLease.mSeen.erase(seen);
+    seen = member ? std::next(seen) : aLease.mLastRenewals.erase(seen);
   }
   for (const auto& member : aTable.mMembers) {
-    auto seen = aLease.mSeen.find(member.first);
-    bool renewed =
-      seen == aLease.mSeen.end() || seen->second.mSerial != member.second.mSeen;
+    auto seen = aLease.mLastRenewals.find(member.first);
+    bool renewed = seen == aLease.mLastRenewals.end() ||
+                   seen->second.mSerial != member.second.mRenewedSerial;
     if (renewed) {
-      aLease.mSeen[member.first] = { member.second.mSeen, aNow };
+      aLease.mLastRenewals[member.first] = { member.second.mRenewedSerial,
+                                             aNow };
     }
     if (renewed || member.second.mSuspectedBy.empty()) {
-      aLease.mSuspected.erase(member.first);
+      aLease.mSuspectedSince.erase(member.first);
     }
     if (!member.second.mSuspectedBy.empty()) {
-      aLease.mSuspected.emplace(member.first, aNow);
+      aLease.mSuspectedSince.emplace(member.first, aNow);
     }
   }
-  aLease.mClosed.clear(); // see ShareLeaseClose
+  aLease.mClosedSlots.clear(); // see ShareLeaseClose
 }
 
 ShareTable
 ShareLeasePropose(const ShareLease& aLease,
-                  const std::map<std::string, int64_t>& aAlso,
+                  const std::map<std::string, int64_t>& aOthers,
                   TimePoint aNow)
 {
   ShareTable table = aLease.mTable;
   if (aLease.mVersion == 0) {
     // Stored only if no table stands: nobody has ever held these slots.
     for (ShareSlot& slot : table.mSlots) {
-      slot.mFresh = true;
+      slot.mNeverHeld = true;
     }
   }
   ++table.mSerial;
-  Join(aLease, table);
-  Renew(table, aLease.mSelf, aLease.mTable.mSerial);
-  for (const auto& member : aAlso) {
-    Renew(table, member.first, member.second);
+  JoinTable(aLease, table);
+  RenewMember(table, aLease.mSelf, aLease.mTable.mSerial);
+  for (const auto& member : aOthers) {
+    RenewMember(table, member.first, member.second);
   }
   SuspectOrRemove(aLease, table, aNow);
   AssignFreeSlots(table);
   if (!ShareTableSame(aLease.mTable, table)) {
-    table.mChanged = table.mSerial;
+    table.mChangedSerial = table.mSerial;
   }
   return table;
 }
@@ -195,7 +198,7 @@
   ShareLeaseUpdate(aLease, aTable, aVersion, aNow);
   auto self = aTable.mMembers.find(aLease.mSelf);
   if (aVersion < aLease.mVersion || self == aTable.mMembers.end() ||
-      self->second.mSeen != aTable.mSerial) {
+      self->second.mRenewedSerial != aTable.mSerial) {
     return;
   }
   aLease.mRenewedAt = std::max(aLease.mRenewedAt, aBegun);
@@ -214,10 +217,10 @@
   aLease.mTable.mSerial = aSerial;
   aLease.mVersion = aVersion;
   aLease.mRenewedAt = std::max(aLease.mRenewedAt, aBegun);
-  for (auto& seen : aLease.mSeen) {
+  for (auto& seen : aLease.mLastRenewals) {
     // The renewer watches the others; were they silent, it would have sent
     // the table. Should we write next, we don't take them for silent.
-    seen.second.mSince = aNow;
+    seen.second.mSeenAt = aNow;
   }
 }
 
@@ -229,12 +232,12 @@
   std::map<std::string, TimePoint> unlisted;
   for (const auto& member : aLease.mTable.mMembers) {
     if (aAddresses.count(member.second.mAddress) == 0) {
-      auto known = aLease.mUnlisted.find(member.first);
+      auto known = aLease.mUnlistedSince.find(member.first);
       unlisted[member.first] =
-        known == aLease.mUnlisted.end() ? aNow : known->second;
+        known == aLease.mUnlistedSince.end() ? aNow : known->second;
     }
   }
-  aLease.mUnlisted = std::move(unlisted);
+  aLease.mUnlistedSince = std::move(unlisted);
 }
 
 std::vector<std::string>
@@ -286,20 +289,20 @@
 std::set<int>
 ShareLeaseClose(ShareLease& aLease, const std::set<int>& aSlots)
 {
-  std::set<int> opened;
+  std::set<int> newlyClosed;
   for (int slot : aSlots) {
-    if (aLease.mClosed.insert(slot).second) {
-      opened.insert(slot);
+    if (aLease.mClosedSlots.insert(slot).second) {
+      newlyClosed.insert(slot);
     }
   }
-  return opened;
+  return newlyClosed;
 }
 
 void
-ShareLeaseReopen(ShareLease& aLease, const std::set<int>& aOpened)
+ShareLeaseReopen(ShareLease& aLease, const std::set<int>& aNewlyClosed)
 {
-  for (int slot : aOpened) {
-    aLease.mClosed.erase(slot);
+  for (int slot : aNewlyClosed) {
+    aLease.mClosedSlots.erase(slot);
   }
 }
 
@@ -315,15 +318,15 @@
     table.mMembers.erase(aLease.mSelf);
   }
   for (const auto& slot : aLevels) {
-    ShareSlot& handed = table.mSlots[slot.first];
-    if (handed.mHolder == aLease.mSelf) {
-      handed.mHolder = ShareTableTarget(table, slot.first);
-      handed.mTaken = table.mSerial;
-      handed.mLevels = slot.second;
-      handed.mFresh = false;
+    ShareSlot& handedOver = table.mSlots[slot.first];
+    if (handedOver.mHolder == aLease.mSelf) {
+      handedOver.mHolder = ShareTableTarget(table, slot.first);
+      handedOver.mAcquiredSerial = table.mSerial;
+      handedOver.mLevels = slot.second;
+      handedOver.mNeverHeld = false;
     }
   }
-  table.mChanged = table.mSerial;
+  table.mChangedSerial = table.mSerial;
   return table;
 }
 
--- a/src/decide/ShareLease.h
+++ b/src/decide/ShareLease.h
@@ -38,7 +38,7 @@
 struct ShareRenewalSeen
 {
   int64_t mSerial = 0; // its last renewal
-  TimePoint mSince{};  // when we first saw that one
+  TimePoint mSeenAt{}; // when we first saw that one
 };
 
 struct ShareLease
@@ -47,17 +47,17 @@
   std::string mSelf;    // incarnation
   std::string mAddress; // our peer address
 
-  ShareTable mTable;       // as last stored or read
-  int64_t mVersion = 0;    // platform's version of it
-  TimePoint mRenewedAt{};  // when the last renewal was begun
-  TimePoint mPromisedAt{}; // when the last full promise was begun
-  std::set<int> mClosed;   // slots we gave up spending already
+  ShareTable mTable;          // as last stored or read
+  int64_t mVersion = 0;       // platform's version of it
+  TimePoint mRenewedAt{};     // when the last renewal was begun
+  TimePoint mPromisedAt{};    // when the last full promise was begun
+  std::set<int> mClosedSlots; // slots we gave up spending already
 
   // What we saw of others, by our own clock.
-  std::map<std::string, ShareRenewalSeen> mSeen;
-  std::map<std::string, TimePoint> mSuspected; // seen suspected since
-  std::map<std::string, TimePoint> mUnlisted;  // since the platform's list
-                                               // hasn't had them
+  std::map<std::string, ShareRenewalSeen> mLastRenewals;
+  std::map<std::string, TimePoint> mSuspectedSince; // seen suspected since
+  std::map<std::string, TimePoint> mUnlistedSince;  // since the platform's list
+                                                    // hasn't had them
 };
 
 // Does this instance hold aSlot, and may it spend from it at aNow?
@@ -78,7 +78,7 @@
 // mVersion; nothing counts before.
 ShareTable
 ShareLeasePropose(const ShareLease& aLease,
-                  const std::map<std::string, int64_t>& aAlso,
+                  const std::map<std::string, int64_t>& aOthers,
                   TimePoint aNow);
 
 // aTable, proposed by us or by whom we asked, is in force at aVersion; the
@@ -135,7 +135,7 @@
 // The write that hands them on was never offered. Only for what was open
 // before: an earlier hand-over of the others may be on its way still.
 void
-ShareLeaseReopen(ShareLease& aLease, const std::set<int>& aOpened);
+ShareLeaseReopen(ShareLease& aLease, const std::set<int>& aNewlyClosed);
 ShareTable
 ShareLeaseHandOver(const ShareLease& aLease,
                    const std::map<int, std::map<std::string, double>>& aLevels,
--- a/src/decide/ShareTable.h
+++ b/src/decide/ShareTable.h
@@ -16,27 +16,28 @@
 
 struct ShareMember
 {
-  std::string mAddress;     // ip:port of its peer port
-  int64_t mJoined = 0;      // table serial at which it joined
-  int64_t mSeen = 0;        // serial of its last renewal
-  int64_t mKnownSerial = 0; // serial it said it knew when it renewed
-  std::string mSuspectedBy; // member that found it silent; "" = nobody
+  std::string mAddress;       // ip:port of its peer port
+  int64_t mJoinedSerial = 0;  // table serial at which it joined
+  int64_t mRenewedSerial = 0; // serial of its last renewal
+  int64_t mKnownSerial = 0;   // serial it said it knew when it renewed
+  std::string mSuspectedBy;   // member that found it silent; "" = nobody
 };
 
 struct ShareSlot
 {
   std::string mHolder;                   // incarnation; "" = free
-  int64_t mTaken = 0;                    // serial at which it came to mHolder
+  int64_t mAcquiredSerial = 0;           // serial at which it came to mHolder
   std::map<std::string, double> mLevels; // tokens left by a graceful holder
-  bool mFresh = false;                   // never held: buckets begin full
+  bool mNeverHeld = false;               // never held: buckets begin full
 };
 
 // One object per zone. A zone's share of a tenant's rate and burst never
 // leaves the zone, so that a cut zone can go on spending it.
 struct ShareTable
 {
-  int64_t mSerial = 0;  // grows by one with every write
-  int64_t mChanged = 0; // serial of the last write that wasn't only renewals
+  int64_t mSerial = 0; // grows by one with every write
+  int64_t mChangedSerial =
+    0; // serial of the last write that wasn't only renewals
   std::map<std::string, ShareMember> mMembers; // by incarnation
   std::vector<ShareSlot> mSlots = std::vector<ShareSlot>(kShareSlots);
 };
--- a/src/decide/WaitQueue.h
+++ b/src/decide/WaitQueue.h
@@ -86,8 +86,8 @@
     double mVirtualTime = 0; // tokens served to the tenant chosen last
     std::map<std::string, ArrivalRate> mArrivals;
     // Tokens served to each tenant, kept while it is ahead of the others: a
-    // tenant that sends one request at a time would otherwise start from level
-    // with each request.
+    // tenant that sends one request at a time would otherwise be level with the
+    // others again on each request.
     std::map<std::string, double> mServedTokens;
     RetrySchedule mRetrySchedule;
   };
--- a/src/share/ShareBuckets.cpp
+++ b/src/share/ShareBuckets.cpp
@@ -26,27 +26,28 @@
 }
 
 TokenBucket
-ShareBuckets::Make(const Tenant& aTenant,
-                   int aSlot,
-                   const ShareSlot& aTaken,
-                   TimePoint aNow)
+ShareBuckets::MakeBucket(const Tenant& aTenant,
+                         int aSlot,
+                         const ShareSlot& aSlotEntry,
+                         TimePoint aNow)
 {
   double rate = aTenant.mRate / (mSettings.mZones * kShareHalves);
   double burst = ShareSlotBurst(aTenant, mSettings);
   // The same holding, not a later one: a slot that went to another and came
   // back in between, unseen, has what that one left.
-  auto holding = mSlots.find(aSlot);
-  bool held = holding != mSlots.end() && holding->second == aTaken.mTaken;
+  auto acquired = mSlots.find(aSlot);
+  bool held =
+    acquired != mSlots.end() && acquired->second == aSlotEntry.mAcquiredSerial;
   TokenBucket* known = Find(aTenant.mName, aSlot);
   if (held && known) {
     known->Resize(rate, burst, aNow);
     return *known;
   }
   TokenBucket bucket(rate, burst, aNow);
-  auto level = aTaken.mLevels.find(aTenant.mName);
-  if (aTaken.mFresh) {
+  auto level = aSlotEntry.mLevels.find(aTenant.mName);
+  if (aSlotEntry.mNeverHeld) {
     bucket.Fill(burst, aNow);
-  } else if (!held && level != aTaken.mLevels.end()) {
+  } else if (!held && level != aSlotEntry.mLevels.end()) {
     bucket.Fill(level->second, aNow);
   }
   return bucket;
@@ -57,13 +58,14 @@
                    const ConfigSnapshot& aConfig,
                    TimePoint aNow)
 {
-  if (aTable.mChanged == mChanged && aConfig.mRevision == mRevision) {
+  if (aTable.mChangedSerial == mChangedSerial &&
+      aConfig.mRevision == mRevision) {
     return;
   }
   std::map<int, int64_t> slots;
   for (int i = 0; i < kShareSlots; ++i) {
     if (aTable.mSlots[i].mHolder == mSelf) {
-      slots[i] = aTable.mSlots[i].mTaken;
+      slots[i] = aTable.mSlots[i].mAcquiredSerial;
     }
   }
   std::map<Key, TokenBucket> next;
@@ -71,13 +73,13 @@
     for (int slot : ShareSlotsOf(entry.first)) {
       if (slots.count(slot)) {
         next.emplace(Key(entry.first, slot),
-                     Make(entry.second, slot, aTable.mSlots[slot], aNow));
+                     MakeBucket(entry.second, slot, aTable.mSlots[slot], aNow));
       }
     }
   }
   mBuckets = std::move(next);
   mSlots = std::move(slots);
-  mChanged = aTable.mChanged;
+  mChangedSerial = aTable.mChangedSerial;
   mRevision = aConfig.mRevision;
 }
 
--- a/src/share/ShareBuckets.h
+++ b/src/share/ShareBuckets.h
@@ -34,17 +34,17 @@
 private:
   using Key = std::pair<std::string, int>; // tenant and slot
 
-  TokenBucket Make(const Tenant& aTenant,
-                   int aSlot,
-                   const ShareSlot& aTaken,
-                   TimePoint aNow);
+  TokenBucket MakeBucket(const Tenant& aTenant,
+                         int aSlot,
+                         const ShareSlot& aSlotEntry,
+                         TimePoint aNow);
 
   ShareSettings mSettings;
   std::string mSelf;
   std::map<Key, TokenBucket> mBuckets;
   // What mBuckets were made from.
   std::map<int, int64_t> mSlots; // slot: serial at which it came to us
-  int64_t mChanged = -1;         // serial of the table
+  int64_t mChangedSerial = -1;   // serial of the table
   int64_t mRevision = -1;        // of the configuration
 };
 
--- a/src/share/ShareClient.cpp
+++ b/src/share/ShareClient.cpp
@@ -12,8 +12,8 @@
 // A silent holder isn't asked again for so long: every request short of
 // tokens would otherwise wait for it.
 constexpr Millis kUnresponsiveFor{ 1000 };
-constexpr Millis kRereadTable{ 2000 };
-constexpr Millis kTableTime{ 200 };
+constexpr Millis kTableRereadInterval{ 2000 };
+constexpr Millis kTableTimeout{ 200 };
 constexpr Millis kMinRetry{ 50 };
 // Differences of sums of doubles are not zero to the last bit.
 constexpr double kTokenEpsilon = 1e-6;
@@ -22,13 +22,13 @@
 
 ShareClient::ShareClient(ShareSettings aSettings,
                          std::vector<std::string> aZones,
-                         ShareManager& aKeeper,
+                         ShareManager& aManager,
                          PeerClient& aPeers,
                          Members& aMembers,
                          const Clock& aClock)
   : mSettings(std::move(aSettings))
   , mZones(std::move(aZones))
-  , mKeeper(aKeeper)
+  , mManager(aManager)
   , mPeers(aPeers)
   , mMembers(aMembers)
   , mClock(aClock)
@@ -61,8 +61,8 @@
 {
   {
     std::lock_guard<std::mutex> lock(mLock);
-    TimePoint& read = mRead[aZone];
-    if (read != TimePoint{} && mClock.Now() - read < kRereadTable) {
+    TimePoint& read = mReadAt[aZone];
+    if (read != TimePoint{} && mClock.Now() - read < kTableRereadInterval) {
       return;
     }
     read = mClock.Now();
@@ -72,10 +72,10 @@
       return mPeers.Call(peer.mPeerAddress,
                          "share.table",
                          Json::Value(Json::objectValue),
-                         kTableTime);
+                         kTableTimeout);
     });
     if (auto* json = std::get_if<Json::Value>(&answer)) {
-      Learn(aZone, *json);
+      UpdateTable(aZone, *json);
       return;
     }
     mMembers.Silent(peer.mPeerAddress);
@@ -83,17 +83,17 @@
 }
 
 void
-ShareClient::Learn(const std::string& aZone, const Json::Value& aShown)
+ShareClient::UpdateTable(const std::string& aZone, const Json::Value& aTable)
 {
-  int64_t version = aShown["version"].asInt64();
+  int64_t version = aTable["version"].asInt64();
   if (aZone == mSettings.mZone) {
-    mKeeper.Learn(aShown["table"], version);
+    mManager.UpdateTable(aTable["table"], version);
     return;
   }
   std::lock_guard<std::mutex> lock(mLock);
   KnownTable& known = mTables[aZone];
   if (version > known.mVersion) {
-    known = { ShareTableParse(aShown["table"]), version };
+    known = { ShareTableParse(aTable["table"]), version };
   }
 }
 
@@ -101,7 +101,7 @@
 ShareClient::HolderIn(const std::string& aZone, int aSlot)
 {
   if (aZone == mSettings.mZone) {
-    return mKeeper.HolderOf(aSlot);
+    return mManager.HolderOf(aSlot);
   }
   for (int i = 0; i < 2; ++i) {
     {
@@ -118,33 +118,33 @@
   return "";
 }
 
-ShareClient::Ask
-ShareClient::AskSlot(const std::string& aZone,
-                     const std::string& aTenant,
-                     int aSlot,
-                     double aTokens)
+ShareClient::TakeReply
+ShareClient::TakeFromSlot(const std::string& aZone,
+                          const std::string& aTenant,
+                          int aSlot,
+                          double aTokens)
 {
-  Ask ask;
+  TakeReply reply;
   // Twice: a holder that has handed its slot on shows us to whom.
   for (int i = 0; i < 2; ++i) {
-    if (AskHolder(aZone, aTenant, aSlot, aTokens, ask)) {
+    if (TakeFromHolder(aZone, aTenant, aSlot, aTokens, reply)) {
       break;
     }
   }
-  return ask;
+  return reply;
 }
 
 bool
-ShareClient::AskHolder(const std::string& aZone,
-                       const std::string& aTenant,
-                       int aSlot,
-                       double aTokens,
-                       Ask& aAsk)
+ShareClient::TakeFromHolder(const std::string& aZone,
+                            const std::string& aTenant,
+                            int aSlot,
+                            double aTokens,
+                            TakeReply& aReply)
 {
   if (aZone == mSettings.mZone) {
-    if (auto taken = mKeeper.Take(aTenant, aSlot, aTokens)) {
+    if (auto taken = mManager.Take(aTenant, aSlot, aTokens)) {
       ++mCounts.mLocal;
-      aAsk = { true, taken->mGrant, taken->mRetryAfter };
+      aReply = { true, taken->mGrant, taken->mRetryAfter };
       return true;
     }
   }
@@ -167,69 +167,70 @@
     return true;
   }
   if (!(*json)["holder"].asBool()) {
-    Learn(aZone, (*json)["now"]);
+    UpdateTable(aZone, (*json)["now"]);
     return HolderIn(aZone, aSlot) == holder;
   }
-  aAsk.mAnswered = true;
-  aAsk.mGrant.mAddress = address;
-  aAsk.mGrant.mHolder = (*json)["self"].asString();
-  aAsk.mGrant.mSlot = aSlot;
-  aAsk.mGrant.mTokens = (*json)["tokens"].asDouble();
-  aAsk.mGrant.mTakenAt = (*json)["at"].asInt64();
-  aAsk.mRetryAfter = Millis((*json)["retry"].asInt64());
+  aReply.mAnswered = true;
+  aReply.mGrant.mAddress = address;
+  aReply.mGrant.mHolder = (*json)["self"].asString();
+  aReply.mGrant.mSlot = aSlot;
+  aReply.mGrant.mTokens = (*json)["tokens"].asDouble();
+  aReply.mGrant.mTakenAt = (*json)["at"].asInt64();
+  aReply.mRetryAfter = Millis((*json)["retry"].asInt64());
   return true;
 }
 
 // Our zone first; of the two halves, the one that is ours, or else in turn,
 // so that both are asked equally often.
-std::vector<ShareClient::Place>
+std::vector<ShareClient::SlotRef>
 ShareClient::SlotsToAsk(const std::string& aTenant)
 {
   std::array<int, kShareHalves> slots = ShareSlotsOf(aTenant);
-  bool second = mKeeper.Holds(slots[1]) ||
-                (!mKeeper.Holds(slots[0]) && mTurn++ % kShareHalves == 1);
+  bool second = mManager.Holds(slots[1]) ||
+                (!mManager.Holds(slots[0]) && mNextHalf++ % kShareHalves == 1);
   if (second) {
     std::swap(slots[0], slots[1]);
   }
-  std::vector<Place> places;
+  std::vector<SlotRef> slotRefs;
   for (const std::string& zone : mZones) {
     for (int slot : slots) {
-      places.push_back({ zone, slot });
+      slotRefs.push_back({ zone, slot });
     }
   }
-  return places;
+  return slotRefs;
 }
 
 Result<ShareTicket>
 ShareClient::Take(const Tenant& aTenant, double aTokens)
 {
   ++mCounts.mTakes;
-  double most =
+  double maxTokens =
     ShareSlotBurst(aTenant, mSettings) * mSettings.mZones * kShareHalves;
-  if (aTokens > most) {
+  if (aTokens > maxTokens) {
     return Fail(ErrorKind::CostAboveBurst,
                 "it costs " + std::to_string(aTokens) + " tokens; " +
-                  std::to_string(most) + " are let in at once at most");
+                  std::to_string(maxTokens) + " are let in at once at most");
   }
   TimePoint begun{}; // of the first question that brought tokens
   ShareTicket ticket;
   ticket.mTenant = aTenant.mName;
   double missing = aTokens;
   bool anyHolder = false;
-  for (const Place& place : SlotsToAsk(aTenant.mName)) {
+  for (const SlotRef& slotRef : SlotsToAsk(aTenant.mName)) {
     // The next answer may come too late for what is here already.
-    TimePoint asked = mClock.Now();
+    TimePoint started = mClock.Now();
     bool late =
-      !ticket.mGrants.empty() && asked - begun > mSettings.mGrantLifetime / 2;
+      !ticket.mGrants.empty() && started - begun > mSettings.mGrantLifetime / 2;
     if (missing <= kTokenEpsilon || late) {
       break;
     }
-    Ask ask = AskSlot(place.mZone, aTenant.mName, place.mSlot, missing);
-    anyHolder = anyHolder || ask.mAnswered;
-    if (ask.mGrant.mTokens > 0) {
-      begun = ticket.mGrants.empty() ? asked : begun;
-      missing -= ask.mGrant.mTokens;
-      ticket.mGrants.push_back(ask.mGrant);
+    TakeReply reply =
+      TakeFromSlot(slotRef.mZone, aTenant.mName, slotRef.mSlot, missing);
+    anyHolder = anyHolder || reply.mAnswered;
+    if (reply.mGrant.mTokens > 0) {
+      begun = ticket.mGrants.empty() ? started : begun;
+      missing -= reply.mGrant.mTokens;
+      ticket.mGrants.push_back(reply.mGrant);
     }
   }
   // Debited no earlier than we began to ask; let in no later than this.
@@ -270,7 +271,7 @@
       continue;
     }
     if (back.mAddress.empty()) {
-      mKeeper.GiveBack(aTicket.mTenant, back);
+      mManager.GiveBack(aTicket.mTenant, back);
       continue;
     }
     Json::Value params;
--- a/src/share/ShareClient.h
+++ b/src/share/ShareClient.h
@@ -32,7 +32,7 @@
 public:
   ShareClient(ShareSettings aSettings,
               std::vector<std::string> aZones,
-              ShareManager& aKeeper,
+              ShareManager& aManager,
               PeerClient& aPeers,
               Members& aMembers,
               const Clock& aClock);
@@ -50,48 +50,48 @@
     ShareTable mTable;
     int64_t mVersion = 0;
   };
-  struct Ask
+  struct TakeReply
   {
     bool mAnswered = false; // by a holder
     ShareGrant mGrant;
     Millis mRetryAfter{ 0 };
   };
 
-  struct Place
+  struct SlotRef
   {
     std::string mZone;
     int mSlot;
   };
 
-  std::vector<Place> SlotsToAsk(const std::string& aTenant);
-  Ask AskSlot(const std::string& aZone,
-              const std::string& aTenant,
-              int aSlot,
-              double aTokens);
+  std::vector<SlotRef> SlotsToAsk(const std::string& aTenant);
+  TakeReply TakeFromSlot(const std::string& aZone,
+                         const std::string& aTenant,
+                         int aSlot,
+                         double aTokens);
   // False when the holder turned out to be another than we knew.
-  bool AskHolder(const std::string& aZone,
-                 const std::string& aTenant,
-                 int aSlot,
-                 double aTokens,
-                 Ask& aAsk);
+  bool TakeFromHolder(const std::string& aZone,
+                      const std::string& aTenant,
+                      int aSlot,
+                      double aTokens,
+                      TakeReply& aReply);
   std::string HolderIn(const std::string& aZone, int aSlot);
   void RefreshTable(const std::string& aZone);
-  void Learn(const std::string& aZone, const Json::Value& aShown);
+  void UpdateTable(const std::string& aZone, const Json::Value& aTable);
   bool IsUnresponsive(const std::string& aIncarnation);
   void MarkUnresponsive(const std::string& aIncarnation);
 
   ShareSettings mSettings;
   std::vector<std::string> mZones; // ours first
-  ShareManager& mKeeper;
+  ShareManager& mManager;
   PeerClient& mPeers;
   Members& mMembers;
   const Clock& mClock;
   ShareClientCounts mCounts;
 
-  std::atomic<unsigned> mTurn{ 0 };
+  std::atomic<unsigned> mNextHalf{ 0 };
   std::mutex mLock;
   std::map<std::string, KnownTable> mTables; // of the other zones
-  std::map<std::string, TimePoint> mRead;
+  std::map<std::string, TimePoint> mReadAt;
   std::map<std::string, TimePoint> mUnresponsiveUntil; // silent holders: until
 };
 
--- a/src/share/ShareCodec.cpp
+++ b/src/share/ShareCodec.cpp
@@ -7,14 +7,14 @@
 {
   ShareTable table;
   table.mSerial = aJson["serial"].asInt64();
-  table.mChanged = aJson["changed"].asInt64();
+  table.mChangedSerial = aJson["changed"].asInt64();
   const Json::Value& members = aJson["members"];
   for (const std::string& id : members.getMemberNames()) {
     const Json::Value& entry = members[id];
     ShareMember member;
     member.mAddress = entry["address"].asString();
-    member.mJoined = entry["joined"].asInt64();
-    member.mSeen = entry["seen"].asInt64();
+    member.mJoinedSerial = entry["joined"].asInt64();
+    member.mRenewedSerial = entry["seen"].asInt64();
     member.mKnownSerial = entry["knows"].asInt64();
     member.mSuspectedBy = entry["suspected_by"].asString();
     table.mMembers[id] = member;
@@ -23,8 +23,8 @@
   for (Json::ArrayIndex i = 0; i < slots.size() && i < kShareSlots; ++i) {
     ShareSlot& slot = table.mSlots[i];
     slot.mHolder = slots[i]["holder"].asString();
-    slot.mTaken = slots[i]["taken"].asInt64();
-    slot.mFresh = slots[i]["fresh"].asBool();
+    slot.mAcquiredSerial = slots[i]["taken"].asInt64();
+    slot.mNeverHeld = slots[i]["fresh"].asBool();
     const Json::Value& levels = slots[i]["levels"];
     if (levels.isObject()) {
       for (const std::string& tenant : levels.getMemberNames()) {
@@ -40,13 +40,13 @@
 {
   Json::Value json;
   json["serial"] = Json::Int64(aTable.mSerial);
-  json["changed"] = Json::Int64(aTable.mChanged);
+  json["changed"] = Json::Int64(aTable.mChangedSerial);
   json["members"] = Json::Value(Json::objectValue);
   for (const auto& entry : aTable.mMembers) {
     Json::Value member;
     member["address"] = entry.second.mAddress;
-    member["joined"] = Json::Int64(entry.second.mJoined);
-    member["seen"] = Json::Int64(entry.second.mSeen);
+    member["joined"] = Json::Int64(entry.second.mJoinedSerial);
+    member["seen"] = Json::Int64(entry.second.mRenewedSerial);
     member["knows"] = Json::Int64(entry.second.mKnownSerial);
     if (!entry.second.mSuspectedBy.empty()) {
       member["suspected_by"] = entry.second.mSuspectedBy;
@@ -57,8 +57,8 @@
   for (const ShareSlot& entry : aTable.mSlots) {
     Json::Value slot(Json::objectValue);
     slot["holder"] = entry.mHolder;
-    slot["taken"] = Json::Int64(entry.mTaken);
-    if (entry.mFresh) {
+    slot["taken"] = Json::Int64(entry.mAcquiredSerial);
+    if (entry.mNeverHeld) {
       slot["fresh"] = true;
     }
     for (const auto& level : entry.mLevels) {
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 constexpr const char* kKind = "shares";
-constexpr int kTries = 4;
+constexpr int kMaxAttempts = 4;
 constexpr Millis kPromiseTime{ 500 };
 constexpr int kRenewDivisor = 5; // twice this part of a lease
 
 int64_t
-Nanos(TimePoint aTime)
+Nanoseconds(TimePoint aTime)
 {
   return std::chrono::nanoseconds(aTime.time_since_epoch()).count();
 }
@@ -46,7 +46,7 @@
   mLease.mAddress = std::move(aAddress);
 }
 
-std::optional<ShareManager::Taken>
+std::optional<ShareManager::TakeResult>
 ShareManager::Take(const std::string& aTenant, int aSlot, double aTokens)
 {
   std::lock_guard<std::mutex> lock(mLock);
@@ -62,14 +62,14 @@
     return std::nullopt;
   }
   double there = std::max(0.0, std::min(aTokens, bucket->Level(now)));
-  Taken taken;
+  TakeResult taken;
   taken.mRetryAfter = bucket->Until(aTokens, now);
   if (there > 0 && bucket->Take(there, now)) {
     taken.mGrant.mTokens = there;
   }
   taken.mGrant.mHolder = mSelf;
   taken.mGrant.mSlot = aSlot;
-  taken.mGrant.mTakenAt = Nanos(now);
+  taken.mGrant.mTakenAt = Nanoseconds(now);
   return taken;
 }
 
@@ -140,7 +140,7 @@
     renewed = RenewBatch();
   }
   if (renewed) {
-    ReleaseExcess(false);
+    HandOverSlots(false);
   } else {
     CollectPromises();
   }
@@ -153,34 +153,34 @@
 ShareManager::RenewBatch()
 {
   std::lock_guard<std::mutex> write(mWriteLock);
-  std::map<std::string, int64_t> also;
+  std::map<std::string, int64_t> others;
   {
     std::lock_guard<std::mutex> lock(mLock);
-    also.swap(mAsked);
+    others.swap(mPendingRenewals);
   }
-  return RenewWith(also);
+  return RenewAndRecord(others);
 }
 
 bool
-ShareManager::RenewWith(const std::map<std::string, int64_t>& aAlso)
+ShareManager::RenewAndRecord(const std::map<std::string, int64_t>& aOthers)
 {
-  bool renewed = RenewByWrite(aAlso);
-  for (const auto& member : aAlso) {
+  bool renewed = RenewByWrite(aOthers);
+  for (const auto& member : aOthers) {
     mBatchRenewed[member.first] = renewed;
   }
   return renewed;
 }
 
 bool
-ShareManager::RenewByWrite(const std::map<std::string, int64_t>& aAlso)
+ShareManager::RenewByWrite(const std::map<std::string, int64_t>& aOthers)
 {
-  for (int i = 0; i < kTries; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     TimePoint begun = mClock.Now();
     ShareTable table;
     int64_t version = 0;
     {
       std::lock_guard<std::mutex> lock(mLock);
-      table = ShareLeasePropose(mLease, aAlso, begun);
+      table = ShareLeasePropose(mLease, aOthers, begun);
       version = mLease.mVersion;
     }
     WriteResult result = mPlatform.Write(
@@ -277,40 +277,40 @@
 // A renewal of another's may come between: then we try again at once, since
 // the slots we stopped spending are nobody's meanwhile.
 void
-ShareManager::ReleaseExcess(bool aLeaving)
+ShareManager::HandOverSlots(bool aLeaving)
 {
-  std::set<int> handed;
+  std::set<int> handedOver;
   {
     std::lock_guard<std::mutex> write(mWriteLock);
     WriteOutcome end = WriteOutcome::Conflict;
-    for (int i = 0; i < kTries && end == WriteOutcome::Conflict; ++i) {
-      end = ReleaseOnce(aLeaving, handed);
+    for (int i = 0; i < kMaxAttempts && end == WriteOutcome::Conflict; ++i) {
+      end = TryHandOver(aLeaving, handedOver);
     }
     if (end != WriteOutcome::Done) {
       return;
     }
   }
-  NotifySlotHolders(handed);
+  NotifySlotHolders(handedOver);
 }
 
 // Done as well when there is nothing to hand on.
 WriteOutcome
-ShareManager::ReleaseOnce(bool aLeaving, std::set<int>& aHanded)
+ShareManager::TryHandOver(bool aLeaving, std::set<int>& aHandedOver)
 {
   ShareTable table;
   int64_t version = 0;
-  std::set<int> opened;
+  std::set<int> newlyClosed;
   {
     std::lock_guard<std::mutex> lock(mLock);
     bool member = mLease.mTable.mMembers.count(mSelf) != 0;
-    aHanded = ShareLeaseSlotsToHandOver(mLease, aLeaving);
-    if (aHanded.empty() && !(aLeaving && member)) {
+    aHandedOver = ShareLeaseSlotsToHandOver(mLease, aLeaving);
+    if (aHandedOver.empty() && !(aLeaving && member)) {
       return WriteOutcome::Done;
     }
     // Stopped spending first; what is left then can't change any more.
     SyncBuckets();
-    opened = ShareLeaseClose(mLease, aHanded);
-    ShareBuckets::Levels levels = mBuckets.LevelsOf(aHanded, mClock.Now());
+    newlyClosed = ShareLeaseClose(mLease, aHandedOver);
+    ShareBuckets::Levels levels = mBuckets.LevelsOf(aHandedOver, mClock.Now());
     table = ShareLeaseHandOver(mLease, levels, aLeaving);
     version = mLease.mVersion;
   }
@@ -330,7 +330,7 @@
     case WriteOutcome::Refused:
       // Never left, so we hold them still. Closed, they would be nobody's for
       // as long as the platform is out.
-      ShareLeaseReopen(mLease, opened);
+      ShareLeaseReopen(mLease, newlyClosed);
       break;
     default:
       break; // closed until a newer table tells
@@ -349,7 +349,7 @@
 }
 
 void
-ShareManager::Learn(const Json::Value& aTable, int64_t aVersion)
+ShareManager::UpdateTable(const Json::Value& aTable, int64_t aVersion)
 {
   std::lock_guard<std::mutex> lock(mLock);
   ShareLeaseUpdate(mLease, ShareTableParse(aTable), aVersion, mClock.Now());
@@ -358,7 +358,7 @@
 void
 ShareManager::Leave()
 {
-  ReleaseExcess(true);
+  HandOverSlots(true);
 }
 
 } // namespace caraway
--- a/src/share/ShareManager.h
+++ b/src/share/ShareManager.h
@@ -36,20 +36,20 @@
 
   // Up to aTokens of the tenant's share, if this instance may spend it; less
   // when there is less. Nothing: not the holder, or its right has lapsed.
-  struct Taken
+  struct TakeResult
   {
     ShareGrant mGrant;
     Millis mRetryAfter{ 0 }; // until aTokens would be here; < 0 = never
   };
-  std::optional<Taken> Take(const std::string& aTenant,
-                            int aSlot,
-                            double aTokens);
+  std::optional<TakeResult> Take(const std::string& aTenant,
+                                 int aSlot,
+                                 double aTokens);
   void GiveBack(const std::string& aTenant, const ShareGrant& aGrant);
 
   // Holder of a slot of our zone; "" = nobody.
   std::string HolderOf(int aSlot) const;
   // Another instance showed us our zone's table.
-  void Learn(const Json::Value& aTable, int64_t aVersion);
+  void UpdateTable(const Json::Value& aTable, int64_t aVersion);
   // Called when slots were handed to us: a round should follow soon.
   void OnSlotsReceived(std::function<void()> aPoke)
   {
@@ -70,12 +70,12 @@
 
 private:
   bool RenewBatch();
-  bool RenewWith(const std::map<std::string, int64_t>& aAlso);
-  bool RenewByWrite(const std::map<std::string, int64_t>& aAlso);
+  bool RenewAndRecord(const std::map<std::string, int64_t>& aOthers);
+  bool RenewByWrite(const std::map<std::string, int64_t>& aOthers);
   bool RenewByPeer(const InstanceInfo& aRenewer);
   void CollectPromises();
-  void ReleaseExcess(bool aLeaving);
-  WriteOutcome ReleaseOnce(bool aLeaving, std::set<int>& aHanded);
+  void HandOverSlots(bool aLeaving);
+  WriteOutcome TryHandOver(bool aLeaving, std::set<int>& aHandedOver);
   void NotifySlotHolders(const std::set<int>& aSlots);
   Json::Value TableJson() const;
   void SyncBuckets();
@@ -98,7 +98,8 @@
 
   std::function<void()> mOnSlotsReceived;
   std::mutex mWriteLock; // one conditional write of ours at a time
-  std::map<std::string, int64_t> mAsked; // renewals for the next write
+  std::map<std::string, int64_t>
+    mPendingRenewals; // renewals for the next write
   // How the write that took a member along ended: another one's success says
   // nothing about its renewal.
   std::map<std::string, bool> mBatchRenewed;
--- a/src/share/ShareManagerPeers.cpp
+++ b/src/share/ShareManagerPeers.cpp
@@ -44,31 +44,31 @@
   std::string member = aParams["member"].asString();
   {
     std::lock_guard<std::mutex> lock(mLock);
-    mAsked[member] = aParams["knows"].asInt64();
+    mPendingRenewals[member] = aParams["knows"].asInt64();
   }
   Json::Value answer;
   {
     std::lock_guard<std::mutex> write(mWriteLock);
-    std::map<std::string, int64_t> also;
+    std::map<std::string, int64_t> others;
     bool waiting = false;
     {
       std::lock_guard<std::mutex> lock(mLock);
-      waiting = mAsked.count(member) != 0;
+      waiting = mPendingRenewals.count(member) != 0;
     }
     if (waiting) {
       std::this_thread::sleep_for(mSettings.mRenewBatchWait);
       std::lock_guard<std::mutex> lock(mLock);
-      also.swap(mAsked);
+      others.swap(mPendingRenewals);
     }
     if (waiting) {
-      RenewWith(also);
+      RenewAndRecord(others);
     }
     answer["renewed"] = mBatchRenewed[member];
   }
   std::lock_guard<std::mutex> lock(mLock);
   answer["version"] = Json::Int64(mLease.mVersion);
   answer["serial"] = Json::Int64(mLease.mTable.mSerial);
-  if (aParams["knows"].asInt64() < mLease.mTable.mChanged) {
+  if (aParams["knows"].asInt64() < mLease.mTable.mChangedSerial) {
     answer["table"] = ShareTableJson(mLease.mTable);
   }
   return answer;
@@ -89,7 +89,7 @@
 ShareManager::OnTake(const Json::Value& aParams)
 {
   int slot = aParams["slot"].asInt();
-  std::optional<Taken> taken;
+  std::optional<TakeResult> taken;
   if (slot >= 0 && slot < kShareSlots) {
     taken =
       Take(aParams["tenant"].asString(), slot, aParams["tokens"].asDouble());
@@ -127,7 +127,7 @@
   aAdd("share.renew", [this](const auto& aParams) { return OnRenew(aParams); });
   aAdd("share.table", [this](const auto&) { return TableJson(); });
   aAdd("share.poke", [this](const auto& aParams) {
-    Learn(aParams["table"], aParams["version"].asInt64());
+    UpdateTable(aParams["table"], aParams["version"].asInt64());
     if (mOnSlotsReceived) {
       mOnSlotsReceived();
     }
--- a/tests/property/ShareProperty.cpp
+++ b/tests/property/ShareProperty.cpp
@@ -17,10 +17,10 @@
   RandomChoices tape = RandomChoices::OfLength(1200);
   ShareModel world;
   TimePoint now = TimePoint(Seconds(1000));
-  world.Begin();
+  world.AddThreeNodes();
   while (!tape.Ended()) {
     world.Step(tape, now);
-    world.Check(now);
+    world.CheckOneSpender(now);
   }
 }
 
@@ -38,7 +38,7 @@
   for (const char* name : { "acme", "globex", "initech" }) {
     world.AddTenant(name, burst);
   }
-  world.Begin();
+  world.AddThreeNodes();
   while (!tape.Ended()) {
     world.Step(tape, now);
     world.Spend(tape, now);
@@ -91,12 +91,12 @@
   RandomChoices tape = RandomChoices::OfLength(600);
   ShareModel world;
   TimePoint now = TimePoint(Seconds(1000));
-  world.Begin();
+  world.AddThreeNodes();
   while (!tape.Ended()) {
     world.Step(tape, now);
   }
-  bool anybody = world.Settle(now);
-  RC_ASSERT(!anybody || world.Spendable(now) == kShareSlots);
+  bool anyAlive = world.SettleWithoutFaults(now);
+  RC_ASSERT(!anyAlive || world.Spendable(now) == kShareSlots);
 }
 
 // What the caller's tenant sees: requests gathered from several holders, whose
--- a/tests/support/ShareModel.h
+++ b/tests/support/ShareModel.h
@@ -17,24 +17,24 @@
 struct ShareModelNode
 {
   ShareLease mLease;
-  double mRate = 1; // of its clock
+  double mClockRate = 1; // of its clock
   bool mDead = false;
-  int mAsleep = 0;   // steps it is frozen for
-  bool mCut = false; // from the platform
+  int mFrozenSteps = 0; // steps it is frozen for
+  bool mCutOff = false; // from the platform
   ShareBuckets mBuckets;
-  std::set<int> mOpened; // by its last hand-over: closed, open before
+  std::set<int> mNewlyClosed; // by its last hand-over: closed, open before
 
   explicit ShareModelNode(const std::string& aSelf)
     : mBuckets({}, aSelf)
   {
     mLease.mSelf = aSelf;
   }
-  bool Awake() const { return !mDead && mAsleep == 0; }
+  bool Awake() const { return !mDead && mFrozenSteps == 0; }
 
   TimePoint Now(TimePoint aTrue) const
   {
     return TimePoint(std::chrono::duration_cast<TimePoint::duration>(
-      aTrue.time_since_epoch() * mRate));
+      aTrue.time_since_epoch() * mClockRate));
   }
 };
 
@@ -50,7 +50,7 @@
 {
   ShareTable mTable;
   int64_t mVersion = 0;
-  std::vector<ShareLateWrite> mLate;
+  std::vector<ShareLateWrite> mLateWrites;
   std::vector<ShareModelNode> mNodes;
   ConfigSnapshot mConfig;
   std::map<std::string, double> mSpent; // by tenant
@@ -58,7 +58,7 @@
   void Add(const std::string& aAddress, double aRate)
   {
     ShareModelNode node("n" + std::to_string(mNodes.size()));
-    node.mRate = aRate;
+    node.mClockRate = aRate;
     node.mLease.mAddress = aAddress;
     node.mLease.mParameters.mIsolationLimit = Seconds(20);
     mNodes.push_back(node);
@@ -73,7 +73,7 @@
     tenant.mBurst = aBurst;
   }
 
-  void Begin()
+  void AddThreeNodes()
   {
     const double rates[] = { 1.0, 1.02, 0.98 };
     for (int i = 0; i < 3; ++i) {
@@ -81,7 +81,7 @@
     }
   }
 
-  ShareModelNode& Any(RandomChoices& aTape)
+  ShareModelNode& RandomNode(RandomChoices& aTape)
   {
     return mNodes[static_cast<size_t>(aTape.Below(255)) % mNodes.size()];
   }
@@ -92,19 +92,19 @@
     if (aTape.Below(2) == 0) {
       aNow += Millis(aTape.Below(40) * 20);
     }
-    ShareModelNode& node = Any(aTape);
-    ShareModelNode& other = Any(aTape);
+    ShareModelNode& node = RandomNode(aTape);
+    ShareModelNode& other = RandomNode(aTape);
     for (ShareModelNode& each : mNodes) {
-      each.mAsleep = std::max(0, each.mAsleep - 1);
+      each.mFrozenSteps = std::max(0, each.mFrozenSteps - 1);
     }
-    if (node.mAsleep > 0) {
+    if (node.mFrozenSteps > 0) {
       return;
     }
     int what = aTape.Below(26);
     if (what == 24 && aTape.Below(3) == 0) {
-      node.mAsleep = aTape.Below(120);
+      node.mFrozenSteps = aTape.Below(120);
     } else if (what == 25) {
-      node.mCut = !node.mCut;
+      node.mCutOff = !node.mCutOff;
     }
     if (what == 0 && mNodes.size() < 6) {
       Add("a" + std::to_string(mNodes.size()), 1.0);
@@ -115,9 +115,9 @@
       Add(address, 1.0);
     } else if (what == 2 && aTape.Below(8) == 0) {
       node.mDead = true;
-    } else if (what == 3 && !mLate.empty()) {
-      Apply(mLate.front().mTable, mLate.front().mExpected);
-      mLate.erase(mLate.begin());
+    } else if (what == 3 && !mLateWrites.empty()) {
+      Apply(mLateWrites.front().mTable, mLateWrites.front().mExpected);
+      mLateWrites.erase(mLateWrites.begin());
     } else if (node.mDead) {
       return;
     } else if (what < 12) {
@@ -151,7 +151,7 @@
              TimePoint aNow)
   {
     int64_t expected = aNode.mLease.mVersion;
-    if (aNode.mCut) {
+    if (aNode.mCutOff) {
       return false;
     }
     switch (aTape.Below(6)) {
@@ -159,7 +159,7 @@
         Apply(aTable, expected);
         return false;
       case 1:
-        mLate.push_back({ aTable, expected });
+        mLateWrites.push_back({ aTable, expected });
         return false;
       case 2:
         return false;
@@ -174,31 +174,31 @@
 
   // One node writes for itself and for another that asked aAgo before.
   void Renew(ShareModelNode& aNode,
-             ShareModelNode& aAsker,
+             ShareModelNode& aOther,
              RandomChoices& aTape,
              TimePoint& aNow)
   {
     TimePoint begun = aNode.Now(aNow);
-    TimePoint asked = aAsker.Now(aNow);
-    std::map<std::string, int64_t> also;
-    bool both = &aNode != &aAsker && aAsker.Awake();
+    TimePoint asked = aOther.Now(aNow);
+    std::map<std::string, int64_t> others;
+    bool both = &aNode != &aOther && aOther.Awake();
     if (both) {
-      also[aAsker.mLease.mSelf] = aAsker.mLease.mTable.mSerial;
+      others[aOther.mLease.mSelf] = aOther.mLease.mTable.mSerial;
     }
     aNow += Millis(aTape.Below(8) * 100);
-    ShareTable table = ShareLeasePropose(aNode.mLease, also, begun);
+    ShareTable table = ShareLeasePropose(aNode.mLease, others, begun);
     aNow += Millis(aTape.Below(8) * 100);
     if (!Write(aNode, table, aTape, aNow)) {
       return;
     }
     ShareLeaseRenewed(aNode.mLease, table, mVersion, begun, aNode.Now(aNow));
-    bool told = both && aTape.Below(3) != 0;
-    if (told && also.begin()->second >= table.mChanged) {
+    bool answered = both && aTape.Below(3) != 0;
+    if (answered && others.begin()->second >= table.mChangedSerial) {
       ShareLeaseRenewedUnchanged(
-        aAsker.mLease, table.mSerial, mVersion, asked, aAsker.Now(aNow));
-    } else if (told) {
+        aOther.mLease, table.mSerial, mVersion, asked, aOther.Now(aNow));
+    } else if (answered) {
       ShareLeaseRenewed(
-        aAsker.mLease, table, mVersion, asked, aAsker.Now(aNow));
+        aOther.mLease, table, mVersion, asked, aOther.Now(aNow));
     }
   }
 
@@ -221,7 +221,7 @@
     TimePoint now = aNode.Now(aNow);
     std::set<int> excess = ShareLeaseSlotsToHandOver(aNode.mLease, aLeaving);
     aNode.mBuckets.Sync(aNode.mLease.mTable, mConfig, now);
-    aNode.mOpened = ShareLeaseClose(aNode.mLease, excess);
+    aNode.mNewlyClosed = ShareLeaseClose(aNode.mLease, excess);
     auto levels = aNode.mBuckets.LevelsOf(excess, now);
     return ShareLeaseHandOver(aNode.mLease, levels, aLeaving);
   }
@@ -233,14 +233,14 @@
       return;
     }
     ShareTable table = ReleaseOf(aNode, leaving, aNow);
-    if (aNode.mCut) {
-      ShareLeaseReopen(aNode.mLease, aNode.mOpened);
+    if (aNode.mCutOff) {
+      ShareLeaseReopen(aNode.mLease, aNode.mNewlyClosed);
     } else if (Write(aNode, table, aTape, aNow)) {
       ShareLeaseUpdate(aNode.mLease, table, mVersion, aNode.Now(aNow));
     }
   }
 
-  void Check(TimePoint aNow) const
+  void CheckOneSpender(TimePoint aNow) const
   {
     for (int slot = 0; slot < kShareSlots; ++slot) {
       int spenders = 0;
@@ -256,7 +256,7 @@
   // As a request does, at any moment.
   void Spend(RandomChoices& aTape, TimePoint aNow)
   {
-    ShareModelNode& node = Any(aTape);
+    ShareModelNode& node = RandomNode(aTape);
     if (!node.Awake()) {
       return;
     }
@@ -298,7 +298,7 @@
 
   // Nothing fails any more: everybody renews and hands on, for a while.
   // False when nobody is left.
-  bool Settle(TimePoint& aNow)
+  bool SettleWithoutFaults(TimePoint& aNow)
   {
     for (int round = 0; round < 60; ++round) {
       aNow += Seconds(1);
@@ -321,7 +321,7 @@
   void RenewAllNow(TimePoint aNow)
   {
     ShareModelNode* renewer = nullptr;
-    std::map<std::string, int64_t> also;
+    std::map<std::string, int64_t> others;
     for (ShareModelNode& node : mNodes) {
       if (node.mDead) {
         continue;
@@ -331,7 +331,7 @@
       } else if (!renewer) {
         renewer = &node;
       } else {
-        also[node.mLease.mSelf] = node.mLease.mTable.mSerial;
+        others[node.mLease.mSelf] = node.mLease.mTable.mSerial;
       }
     }
     if (!renewer) {
@@ -339,16 +339,16 @@
     }
     TimePoint now = renewer->Now(aNow);
     ShareLeaseUpdate(renewer->mLease, mTable, mVersion, now);
-    ShareTable table = ShareLeasePropose(renewer->mLease, also, now);
+    ShareTable table = ShareLeasePropose(renewer->mLease, others, now);
     Apply(table, mVersion);
     ShareLeaseRenewed(renewer->mLease, table, mVersion, now, now);
     for (ShareModelNode& node : mNodes) {
-      auto asked = also.find(node.mLease.mSelf);
-      if (asked == also.end()) {
+      auto asked = others.find(node.mLease.mSelf);
+      if (asked == others.end()) {
         continue;
       }
       TimePoint at = node.Now(aNow);
-      if (asked->second < table.mChanged) {
+      if (asked->second < table.mChangedSerial) {
         ShareLeaseRenewed(node.mLease, table, mVersion, at, at);
       } else {
         ShareLeaseRenewedUnchanged(
--- a/tests/unit/ShareManagerTest.cpp
+++ b/tests/unit/ShareManagerTest.cpp
@@ -34,30 +34,32 @@
   SlotHandOver()
   {
     mConfig.Adopt(Config());
-    mKeeper.Round();
-    mJoined.mSelf = "i1.0000@127.0.0.1:2";
-    mJoined.mAddress = "127.0.0.1:2";
-    Learn();
+    mManager.Round();
+    mNewMember.mSelf = "i1.0000@127.0.0.1:2";
+    mNewMember.mAddress = "127.0.0.1:2";
+    ReadTable();
     Join();
   }
 
-  ShareTable Standing()
+  ShareTable StoredTable()
   {
     return ShareTableParse(mPlatform.Standing("shares", "a").mValue);
   }
-  void Learn()
+  void ReadTable()
   {
     PlatformObject object = mPlatform.Standing("shares", "a");
-    ShareLeaseUpdate(
-      mJoined, ShareTableParse(object.mValue), object.mVersion, mClock.Now());
+    ShareLeaseUpdate(mNewMember,
+                     ShareTableParse(object.mValue),
+                     object.mVersion,
+                     mClock.Now());
   }
   // The member joins or renews, by a write of its own.
   void Join()
   {
-    ShareTable table = ShareLeasePropose(mJoined, {}, mClock.Now());
+    ShareTable table = ShareLeasePropose(mNewMember, {}, mClock.Now());
     mPlatform.Apply(
-      { "shares", "a", mJoined.mVersion, "w", ShareTableJson(table) });
-    Learn();
+      { "shares", "a", mNewMember.mVersion, "w", ShareTableJson(table) });
+    ReadTable();
   }
   // The n-th write from now befalls aFault. A round's first write meets the
   // joining, its second renews, its third hands on.
@@ -74,11 +76,11 @@
   PeerClient mPeers{ "secret", "a/i0" };
   Members mMembers{ mClock, { "i0", "a", "127.0.0.1:1", false } };
   ConfigHolder mConfig{ mClock };
-  ShareLease mJoined;
-  ShareManager mKeeper{ Settings(),    "i0.0000@127.0.0.1:1",
-                        "127.0.0.1:1", mPlatform,
-                        mPeers,        mMembers,
-                        mConfig,       mClock };
+  ShareLease mNewMember;
+  ShareManager mManager{ Settings(),    "i0.0000@127.0.0.1:1",
+                         "127.0.0.1:1", mPlatform,
+                         mPeers,        mMembers,
+                         mConfig,       mClock };
 };
 
 } // namespace
@@ -89,16 +91,16 @@
 TEST_F(SlotHandOver, AnothersRenewalComesFirst)
 {
   AtWrite(3, [this] {
-    Learn();
+    ReadTable();
     Join();
     return MemoryFault::None;
   });
-  mKeeper.Round();
-  ShareTable table = Standing();
+  mManager.Round();
+  ShareTable table = StoredTable();
   for (int slot = 0; slot < kShareSlots; ++slot) {
     EXPECT_EQ(table.mSlots[slot].mHolder, ShareTableTarget(table, slot));
   }
-  EXPECT_EQ(mKeeper.SlotsHeld(), 8);
+  EXPECT_EQ(mManager.SlotsHeld(), 8);
 }
 
 // The platform goes out just as slots are handed on. They stay spendable where
@@ -106,8 +108,8 @@
 TEST_F(SlotHandOver, PlatformOutMeanwhile)
 {
   AtWrite(3, [] { return MemoryFault::Refused; });
-  mKeeper.Round();
-  EXPECT_EQ(mKeeper.SlotsHeld(), kShareSlots);
+  mManager.Round();
+  EXPECT_EQ(mManager.SlotsHeld(), kShareSlots);
 }
 
 // Nobody answers whether the slots were handed on. Until it is known nobody
@@ -115,14 +117,14 @@
 TEST_F(SlotHandOver, NobodyAnswers)
 {
   AtWrite(3, [] { return MemoryFault::WriteLost; });
-  mKeeper.Round();
-  EXPECT_EQ(mKeeper.SlotsHeld(), 8);
+  mManager.Round();
+  EXPECT_EQ(mManager.SlotsHeld(), 8);
   AtWrite(2, [] { return MemoryFault::AnswerLost; });
-  mKeeper.Round();
-  EXPECT_EQ(mKeeper.SlotsHeld(), 8);
-  mKeeper.Round();
-  EXPECT_TRUE(mKeeper.Settled());
-  EXPECT_EQ(mKeeper.SlotsHeld(), 8);
+  mManager.Round();
+  EXPECT_EQ(mManager.SlotsHeld(), 8);
+  mManager.Round();
+  EXPECT_TRUE(mManager.Settled());
+  EXPECT_EQ(mManager.SlotsHeld(), 8);
 }
 
 } // namespace caraway
