--- a/src/decide/ShareLease.cpp
+++ b/src/decide/ShareLease.cpp
@@ -9,8 +9,8 @@
 void
 JoinTable(const ShareLease& aLease, ShareTable& aTable)
 {
-  // A process that listens where another one did has outlived it: two can't
-  // hold one address. So its slots are free at once.
+  // A member with the same address has ended, since two processes can't listen
+  // at one address. So its slots are free at once.
   std::vector<std::string> predecessors;
   for (const auto& member : aTable.mMembers) {
     if (member.first != aLease.mSelf &&
@@ -58,16 +58,17 @@
   bool notListed = unlisted != aLease.mUnlistedSince.end() &&
                    aNow - unlisted->second > terms.mLease + terms.mMargin;
   if (!knowsSelf && !notListed) {
-    // It may be spending on promises from members that don't include us.
+    // It may be spending on promises for which it didn't ask this instance.
     silenceLimit = terms.mIsolationLimit + terms.mMargin;
   }
   return aNow - seen->second.mSeenAt > silenceLimit;
 }
 
-// A suspicion is in the table for all; whoever writes next after it has stood
-// long enough acts on it. Were only its author to act, or each writer to begin
-// its time anew, a dead member's slots would not come free while its author
-// renews through another or several members write in turn.
+// A suspicion in the table holds for all members: the first writer after it has
+// stood long enough removes the suspect. If only the author of the suspicion
+// could, or each writer restarted its time, a dead member's slots would not
+// come free while the author renews through another or several members take
+// turns in writing.
 void
 SuspectOrRemove(const ShareLease& aLease, ShareTable& aTable, TimePoint aNow)
 {
@@ -93,9 +94,9 @@
   }
 }
 
-// To each the free slots that should be its, not only to the writer: at rest
-// one member writes for all, and what is free would stay so for ever. A member
-// spends them once it has heard of it, by its next renewal.
+// Assigns free slots to all members, not only to the writer: usually one member
+// writes for all, and the other slots would stay free for ever. A member spends
+// its new slots from its next renewal on.
 void
 AssignFreeSlots(ShareTable& aTable)
 {
@@ -169,7 +170,7 @@
 {
   ShareTable table = aLease.mTable;
   if (aLease.mVersion == 0) {
-    // Stored only if no table stands: nobody has ever held these slots.
+    // Stored only if there is no table yet: nobody has ever held these slots.
     for (ShareSlot& slot : table.mSlots) {
       slot.mNeverHeld = true;
     }
@@ -218,8 +219,8 @@
   aLease.mVersion = aVersion;
   aLease.mRenewedAt = std::max(aLease.mRenewedAt, aBegun);
   for (auto& seen : aLease.mLastRenewals) {
-    // The renewer watches the others; were they silent, it would have sent
-    // the table. Should we write next, we don't take them for silent.
+    // The renewer watches the others and would have sent the table if one were
+    // silent. So this instance, when it writes next, doesn't suspect them.
     seen.second.mSeenAt = aNow;
   }
 }
@@ -314,7 +315,7 @@
   ShareTable table = aLease.mTable;
   ++table.mSerial;
   if (aLeaving) {
-    // Not a target any more; its slots follow.
+    // No longer a target, so that its slots are assigned to others.
     table.mMembers.erase(aLease.mSelf);
   }
   for (const auto& slot : aLevels) {
--- a/src/decide/ShareLease.h
+++ b/src/decide/ShareLease.h
@@ -1,20 +1,20 @@
-// ShareLease.h: when an instance may spend the slots it holds.
+// ShareLease.h: lease under which an instance may spend the slots it holds.
 //
-// A holder's right lapses unless it renews, and a renewal is a conditional
-// write of the zone's table (shared by all who ask within a moment), never a
-// read: reads may be stale. A silent member is first suspected, in a write;
-// only a lease and a margin after seeing that in force may another take its
-// slots. A holder that renews after the suspicion clears it, and one that
-// renewed before it has stopped by then. The clocks are compared only with
-// themselves; the margin covers their drift.
+// A holder's lease expires unless it is renewed. A renewal is a conditional
+// write of the zone's table, batched for all members that request one at about
+// the same time, and never a read: reads may be stale. A silent member is first
+// suspected, by a write; its slots may be taken only a lease and a margin after
+// that write was seen in force. A holder that renews after the suspicion clears
+// it; the lease of one that renewed before has expired by then. Each clock is
+// compared only with itself; the margin covers clock drift.
 //
-// Without the platform nobody can take slots, but a holder can't know that it
-// is not the only one cut off. So it asks every member it knows whether it is
-// suspected. A member that says no can suspect it only later, and takes its
-// slots no sooner than a lease and a margin after that. A member that the
-// holder doesn't know may not suspect it, except after the long isolation
-// limit. Whether it knows is what the holder itself said when it renewed, not
-// that it was renewed: the answer to a renewal may have been lost.
+// During a platform outage nobody can take slots, but a holder can't tell an
+// outage from being cut off alone. So it asks every member it knows for a
+// promise that it isn't suspected. A member that promises can suspect it only
+// later, and takes its slots no sooner than a lease and a margin after that. A
+// member unknown to the holder may not suspect it before the long isolation
+// limit. What a holder knows is the serial it stated when it renewed, not the
+// renewal itself, since the reply to a renewal may have been lost.
 #ifndef caraway_decide_ShareLease_h
 #define caraway_decide_ShareLease_h
 
@@ -30,59 +30,61 @@
 
 struct ShareLeaseParameters
 {
-  Millis mLease{ 3000 };             // right to spend after a renewal
-  Millis mMargin{ 1000 };            // clocks' drift over a lease, and more
-  Millis mIsolationLimit{ 3600000 }; // spending on promises alone, at most
+  Millis mLease{ 3000 };  // validity after a renewal
+  Millis mMargin{ 1000 }; // covers clock drift over a lease
+  Millis mIsolationLimit{
+    3600000
+  }; // longest time of spending on promises alone
 };
 
 struct ShareRenewalSeen
 {
-  int64_t mSerial = 0; // its last renewal
-  TimePoint mSeenAt{}; // when we first saw that one
+  int64_t mSerial = 0; // serial of its last renewal
+  TimePoint mSeenAt{}; // when that renewal was first seen
 };
 
 struct ShareLease
 {
   ShareLeaseParameters mParameters;
-  std::string mSelf;    // incarnation
-  std::string mAddress; // our peer address
+  std::string mSelf;    // incarnation of this instance
+  std::string mAddress; // its peer address
 
   ShareTable mTable;          // as last stored or read
-  int64_t mVersion = 0;       // platform's version of it
-  TimePoint mRenewedAt{};     // when the last renewal was begun
-  TimePoint mPromisedAt{};    // when the last full promise was begun
-  std::set<int> mClosedSlots; // slots we gave up spending already
+  int64_t mVersion = 0;       // the platform's version of mTable, 0 = none yet
+  TimePoint mRenewedAt{};     // start of the last renewal
+  TimePoint mPromisedAt{};    // start of the last round in which all promised
+  std::set<int> mClosedSlots; // held, but no longer spent; being handed over
 
-  // What we saw of others, by our own clock.
+  // Observations of other members, by this instance's clock.
   std::map<std::string, ShareRenewalSeen> mLastRenewals;
-  std::map<std::string, TimePoint> mSuspectedSince; // seen suspected since
-  std::map<std::string, TimePoint> mUnlistedSince;  // since the platform's list
-                                                    // hasn't had them
+  std::map<std::string, TimePoint> mSuspectedSince; // seen suspected
+  std::map<std::string, TimePoint> mUnlistedSince;  // missing from the
+                                                    // instance list
 };
 
-// Does this instance hold aSlot, and may it spend from it at aNow?
+// Whether this instance holds aSlot and may spend from it at aNow.
 bool
 ShareLeaseMaySpend(const ShareLease& aLease, int aSlot, TimePoint aNow);
 
-// A newer table was read or stored. Older versions are ignored.
+// Applies a table that was read or stored, unless its version is older.
 void
 ShareLeaseUpdate(ShareLease& aLease,
                  const ShareTable& aTable,
                  int64_t aVersion,
                  TimePoint aNow);
 
-// The table as this instance wants it next: joined, renewed along with
-// aAlso (others who asked us, and the serial each knows), suspicion of us
-// cleared, free slots given to whom they should be, silent members suspected
-// or, when it is time, removed. To be stored by conditional update over
-// mVersion; nothing counts before.
+// The next table proposed by this instance. It joins and renews itself and
+// renews aOthers (members that requested it, with the serial each knows),
+// clears suspicion of them, assigns free slots, and suspects silent members or
+// removes those suspected for long enough. Takes effect only once it is stored
+// by conditional update over mVersion.
 ShareTable
 ShareLeasePropose(const ShareLease& aLease,
                   const std::map<std::string, int64_t>& aOthers,
                   TimePoint aNow);
 
-// aTable, proposed by us or by whom we asked, is in force at aVersion; the
-// asking was begun at aBegun.
+// aTable, proposed by this instance or by the renewer it asked, is in force at
+// aVersion. The renewal was begun at aBegun, from which the lease counts.
 void
 ShareLeaseRenewed(ShareLease& aLease,
                   const ShareTable& aTable,
@@ -90,9 +92,9 @@
                   TimePoint aBegun,
                   TimePoint aNow);
 
-// The same when all that has changed since the table we know is renewals: the
-// renewer says so instead of sending the table, which at 58 members would be
-// most of what an instance moves at rest.
+// The same when only renewals have changed since the known table. The renewer
+// then sends no table: with 58 members it would make up most of an idle
+// instance's traffic.
 void
 ShareLeaseRenewedUnchanged(ShareLease& aLease,
                            int64_t aSerial,
@@ -100,40 +102,40 @@
                            TimePoint aBegun,
                            TimePoint aNow);
 
-// The platform's list, as addresses. A member that it hasn't had for a lease
-// and a margin isn't run by the platform any more, and needn't be waited for
-// until the isolation limit. Without this a zone whose instances were all
-// replaced at once, at new addresses, would have nobody to spend its part for
-// an hour.
+// Applies the platform's instance list, as addresses. A member missing from it
+// for a lease and a margin no longer runs, and is not waited for until the
+// isolation limit. Without this, the part of a zone whose instances were all
+// replaced at once, at new addresses, could not be spent for an hour.
 void
 ShareLeaseOnInstanceList(ShareLease& aLease,
                          const std::set<std::string>& aAddresses,
                          TimePoint aNow);
 
-// Members whose word we need while the platform is out.
+// Members whose promise is needed during a platform outage.
 std::vector<std::string>
 ShareLeaseOtherMembers(const ShareLease& aLease);
-// All of them said no; the asking was begun at aBegun.
+// All of them promised; the round was begun at aBegun.
 void
 ShareLeaseOnAllPromised(ShareLease& aLease, TimePoint aBegun);
-// Another member asks for our word. False: it no longer is a member as we
-// know it, or we suspect it already.
+// Whether this instance can promise aMember that it isn't suspected. False when
+// it is suspected or no longer a member in the known table.
 bool
 ShareLeaseCanPromise(const ShareLease& aLease, const std::string& aMember);
 
-// Slots we hold that should be another's, or all when aLeaving. The driver
-// closes them, then stores ShareLeaseHandOver with what was left in
-// them: each goes straight to the member that should hold it, so that there is
-// no moment in which a tenant's share has nobody to ask.
+// Slots held here that another member should hold, or all when aLeaving. The
+// driver closes them, then stores the table of ShareLeaseHandOver with the
+// tokens left in them. Each goes straight to the member that should hold it, so
+// that a tenant's share is never without a holder.
 std::set<int>
 ShareLeaseSlotsToHandOver(const ShareLease& aLease, bool aLeaving);
-// Stops spending aSlots; gives those that were open. A table newer than the
-// one we know opens all that are ours in it: the hand-over was conditional on
-// ours, and isn't in the newer one, so it never will be.
+// Stops spending aSlots; returns those that were open. A newer table reopens
+// all slots held in it: a pending hand-over was conditional on the older
+// version, isn't in the newer one and so can never take effect.
 std::set<int>
 ShareLeaseClose(ShareLease& aLease, const std::set<int>& aSlots);
-// The write that hands them on was never offered. Only for what was open
-// before: an earlier hand-over of the others may be on its way still.
+// Resumes spending after a hand-over that was never sent. Only for the slots
+// that ShareLeaseClose returned: an earlier hand-over of the others may still
+// take effect.
 void
 ShareLeaseReopen(ShareLease& aLease, const std::set<int>& aNewlyClosed);
 ShareTable
--- a/src/decide/ShareTable.cpp
+++ b/src/decide/ShareTable.cpp
@@ -30,8 +30,8 @@
   if (members == 0) {
     return "";
   }
-  // Where the members divide a half, both halves would fall to the same one:
-  // the second half is moved on by one.
+  // If the number of members divides the half, a slot and its partner would
+  // have the same target, so the second half is shifted by one.
   bool divides = kHalf % members == 0;
   int index = divides ? (aSlot % kHalf + aSlot / kHalf) : aSlot;
   return std::next(aTable.mMembers.begin(), index % members)->first;
@@ -43,7 +43,7 @@
   aTable.mMembers.erase(aMember);
   for (ShareSlot& slot : aTable.mSlots) {
     if (slot.mHolder == aMember) {
-      // What it had left may have been spent: the next holder starts empty.
+      // Its tokens may have been spent, so the next holder starts empty.
       slot = ShareSlot();
     }
   }
--- a/src/decide/ShareTable.h
+++ b/src/decide/ShareTable.h
@@ -1,4 +1,5 @@
-// ShareTable.h: who in a zone holds which part of every tenant's share.
+// ShareTable.h: which instance of a zone holds which slots of the tenants'
+// shares.
 #ifndef caraway_decide_ShareTable_h
 #define caraway_decide_ShareTable_h
 
@@ -10,8 +11,8 @@
 
 namespace caraway {
 
-// Tenants are spread over this many slots a zone. Today a holder has several;
-// at 58 instances a zone the asking is spread over 16 of them.
+// Slots per zone, over which tenants are spread by hash. In a small zone an
+// instance holds several; in one of 58, 16 instances share the requests.
 constexpr int kShareSlots = 16;
 
 struct ShareMember
@@ -19,50 +20,50 @@
   std::string mAddress;       // ip:port of its peer port
   int64_t mJoinedSerial = 0;  // table serial at which it joined
   int64_t mRenewedSerial = 0; // serial of its last renewal
-  int64_t mKnownSerial = 0;   // serial it said it knew when it renewed
-  std::string mSuspectedBy;   // member that found it silent; "" = nobody
+  int64_t mKnownSerial = 0;   // serial it stated when it renewed
+  std::string mSuspectedBy;   // member that found it silent; "" = none
 };
 
 struct ShareSlot
 {
   std::string mHolder;                   // incarnation; "" = free
-  int64_t mAcquiredSerial = 0;           // serial at which it came to mHolder
-  std::map<std::string, double> mLevels; // tokens left by a graceful holder
-  bool mNeverHeld = false;               // never held: buckets begin full
+  int64_t mAcquiredSerial = 0;           // serial at which mHolder got it
+  std::map<std::string, double> mLevels; // tokens left at a graceful hand-over
+  bool mNeverHeld = false;               // buckets begin full
 };
 
-// One object per zone. A zone's share of a tenant's rate and burst never
-// leaves the zone, so that a cut zone can go on spending it.
+// One table per zone. A zone's share of a tenant's rate and burst never leaves
+// the zone, so that a zone that is cut off can go on spending it.
 struct ShareTable
 {
-  int64_t mSerial = 0; // grows by one with every write
-  int64_t mChangedSerial =
-    0; // serial of the last write that wasn't only renewals
+  int64_t mSerial = 0;        // grows by one with every write
+  int64_t mChangedSerial = 0; // of the last write other than renewals
   std::map<std::string, ShareMember> mMembers; // by incarnation
   std::vector<ShareSlot> mSlots = std::vector<ShareSlot>(kShareSlots);
 };
 
-// The slots that hold a tenant's part of its zone's share, half in each. Two,
-// with different holders where there are two members: while one holder is
-// dead and not yet replaced, the tenant still has the other half.
+// Slots of one tenant, which hold half of its zone's share each. With two or
+// more members they have different holders: while one holder is dead and not
+// yet replaced, the tenant still has the other half.
 constexpr int kShareHalves = 2;
 std::array<int, kShareHalves>
 ShareSlotsOf(const std::string& aTenant);
 
-// The slot that holds the other half of the same tenants.
+// The slot with the other half of the same tenants' shares.
 int
 SharePartnerOf(int aSlot);
 
-// Who should hold aSlot among the members, the same for all who see the same
-// table; "" when there are none. Never the one that should hold its partner, if
-// there are two members. Slots are handed on until they are where they should
-// be; an earlier rule, "to whoever has the fewest", could hand them in circles.
+// The member that should hold aSlot, "" without members. The same for all that
+// see the same table, and different for a slot and its partner when there are
+// two members. Slots are handed over until each is at its target. A fixed
+// target ends this: handing slots to the member with the fewest could go in
+// circles.
 std::string
 ShareTableTarget(const ShareTable& aTable, int aSlot);
-// Takes a member out; its slots are free, and their next holder starts empty.
+// Removes a member. Its slots become free; their next holder starts empty.
 void
 ShareTableRemove(ShareTable& aTable, const std::string& aMember);
-// The same members, suspicions and holders.
+// Whether members, suspicions and holders are the same.
 bool
 ShareTableSame(const ShareTable& aLeft, const ShareTable& aRight);
 
