--- a/src/share/ShareBuckets.cpp
+++ b/src/share/ShareBuckets.cpp
@@ -33,8 +33,8 @@
 {
   double rate = aTenant.mRate / (mSettings.mZones * kShareHalves);
   double burst = ShareSlotBurst(aTenant, mSettings);
-  // The same holding, not a later one: a slot that went to another and came
-  // back in between, unseen, has what that one left.
+  // The bucket is kept only if the slot was held without interruption. One that
+  // was handed over and came back unseen has the tokens its last holder left.
   auto acquired = mSlots.find(aSlot);
   bool held =
     acquired != mSlots.end() && acquired->second == aSlotEntry.mAcquiredSerial;
--- a/src/share/ShareBuckets.h
+++ b/src/share/ShareBuckets.h
@@ -13,9 +13,9 @@
 
 namespace caraway {
 
-// Follow the slots we hold and the tenants of the configuration. A new bucket
-// begins empty, but for a slot whose last holder left gracefully and said what
-// was left, or that nobody has ever held.
+// Kept in step with the slots held and the configured tenants. A new bucket
+// begins empty, unless its slot was never held (full) or was handed over
+// gracefully (the tokens left).
 class ShareBuckets
 {
 public:
@@ -26,9 +26,9 @@
   void Sync(const ShareTable& aTable,
             const ConfigSnapshot& aConfig,
             TimePoint aNow);
-  // Null when the tenant is unknown or the slot isn't ours.
+  // Null when the tenant is unknown or the slot isn't held here.
   TokenBucket* Find(const std::string& aTenant, int aSlot);
-  // What is left in each tenant's bucket of these slots.
+  // Tokens left in each tenant's bucket of these slots.
   Levels LevelsOf(const std::set<int>& aSlots, TimePoint aNow) const;
 
 private:
@@ -42,9 +42,9 @@
   ShareSettings mSettings;
   std::string mSelf;
   std::map<Key, TokenBucket> mBuckets;
-  // What mBuckets were made from.
-  std::map<int, int64_t> mSlots; // slot: serial at which it came to us
-  int64_t mChangedSerial = -1;   // serial of the table
+  // Versions that mBuckets were built from.
+  std::map<int, int64_t> mSlots; // slot: serial at which it was acquired
+  int64_t mChangedSerial = -1;   // of the table
   int64_t mRevision = -1;        // of the configuration
 };
 
--- a/src/share/ShareClient.cpp
+++ b/src/share/ShareClient.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-// A silent holder isn't asked again for so long: every request short of
-// tokens would otherwise wait for it.
+// A holder that didn't reply isn't asked again for this time. Otherwise every
+// request short of tokens would wait for it.
 constexpr Millis kUnresponsiveFor{ 1000 };
 constexpr Millis kTableRereadInterval{ 2000 };
 constexpr Millis kTableTimeout{ 200 };
 constexpr Millis kMinRetry{ 50 };
-// Differences of sums of doubles are not zero to the last bit.
+// Absorbs rounding errors of floating-point sums.
 constexpr double kTokenEpsilon = 1e-6;
 
 } // namespace
@@ -54,8 +54,8 @@
   mUnresponsiveUntil[aIncarnation] = mClock.Now() + kUnresponsiveFor;
 }
 
-// Another zone's table, from any of its instances; from the platform if none
-// answers. Wrong tables cost a question: only the holder itself grants.
+// Reads another zone's table from any of its instances. A stale table only
+// costs a request, since a slot's tokens are granted by its holder alone.
 void
 ShareClient::RefreshTable(const std::string& aZone)
 {
@@ -125,7 +125,7 @@
                           double aTokens)
 {
   TakeReply reply;
-  // Twice: a holder that has handed its slot on shows us to whom.
+  // Twice, since a former holder replies with the table that names the new one.
   for (int i = 0; i < 2; ++i) {
     if (TakeFromHolder(aZone, aTenant, aSlot, aTokens, reply)) {
       break;
@@ -180,8 +180,8 @@
   return true;
 }
 
-// Our zone first; of the two halves, the one that is ours, or else in turn,
-// so that both are asked equally often.
+// Own zone first. Of the two halves, first the one held here, else alternating,
+// so that both get the same number of requests.
 std::vector<ShareClient::SlotRef>
 ShareClient::SlotsToAsk(const std::string& aTenant)
 {
@@ -211,13 +211,13 @@
                 "it costs " + std::to_string(aTokens) + " tokens; " +
                   std::to_string(maxTokens) + " are let in at once at most");
   }
-  TimePoint begun{}; // of the first question that brought tokens
+  TimePoint begun{}; // first request that brought tokens
   ShareTicket ticket;
   ticket.mTenant = aTenant.mName;
   double missing = aTokens;
   bool anyHolder = false;
   for (const SlotRef& slotRef : SlotsToAsk(aTenant.mName)) {
-    // The next answer may come too late for what is here already.
+    // Another reply might come too late for the tokens already taken.
     TimePoint started = mClock.Now();
     bool late =
       !ticket.mGrants.empty() && started - begun > mSettings.mGrantLifetime / 2;
@@ -233,7 +233,7 @@
       ticket.mGrants.push_back(reply.mGrant);
     }
   }
-  // Debited no earlier than we began to ask; let in no later than this.
+  // Tokens are debited after begun and used before this check.
   bool inTime = mClock.Now() - begun <= mSettings.mGrantLifetime;
   if (missing <= kTokenEpsilon && inTime) {
     if (ticket.mGrants.size() > 1) {
@@ -280,8 +280,8 @@
     params["slot"] = back.mSlot;
     params["tokens"] = back.mTokens;
     params["at"] = Json::Int64(back.mTakenAt);
-    // Once: a refund that arrived twice would be tokens out of nothing. One
-    // that is lost is tokens lost.
+    // Not resent: a refund that arrives twice would create tokens, while a lost
+    // one only loses them.
     constexpr bool kResend = false;
     Outcome([&] {
       return mPeers.Call(
--- a/src/share/ShareClient.h
+++ b/src/share/ShareClient.h
@@ -1,4 +1,4 @@
-// ShareClient.h: lets a request in under its tenant's rate, or not.
+// ShareClient.h: admits requests under their tenant's rate limit.
 #ifndef caraway_share_ShareClient_h
 #define caraway_share_ShareClient_h
 
@@ -16,17 +16,17 @@
 struct ShareClientCounts
 {
   std::atomic<int64_t> mTakes{ 0 };
-  std::atomic<int64_t> mLocal{ 0 };    // served by our own slots
-  std::atomic<int64_t> mAsks{ 0 };     // questions to other instances
-  std::atomic<int64_t> mBorrowed{ 0 }; // takes that needed another zone
-  std::atomic<int64_t> mLapsed{ 0 };   // gathered too slowly
+  std::atomic<int64_t> mLocal{ 0 };    // served from own slots
+  std::atomic<int64_t> mAsks{ 0 };     // requests to other instances
+  std::atomic<int64_t> mBorrowed{ 0 }; // takes that needed more than one holder
+  std::atomic<int64_t> mLapsed{ 0 };   // tokens gathered too slowly
 };
 
-// Asks the holder in its own zone; what is missing there, the holders of the
-// other zones, whose parts of the same tenant's share may lie idle. A holder
-// debits before it answers, so a lost answer loses tokens and never doubles
-// them. Tokens are used within a grant's life of the first question, or given
-// back.
+// Takes tokens from the holders in its own zone, and the rest from those of
+// other zones, whose parts of the tenant's limit may be idle. A holder debits
+// before it replies, so a lost reply loses tokens but never doubles them.
+// Tokens are used within mGrantLifetime of the first request for them, or
+// refunded.
 class ShareClient
 {
 public:
@@ -37,9 +37,10 @@
               Members& aMembers,
               const Clock& aClock);
 
-  // RateExceeded with when to come back, CostAboveBurst, RateUnavailable.
+  // Fails with RateExceeded and a retry-after time, CostAboveBurst or
+  // RateUnavailable.
   Result<ShareTicket> Take(const Tenant& aTenant, double aTokens);
-  // The request used aUsed tokens; the rest goes back to where it came from.
+  // Refunds all but aUsed tokens to the holders they came from.
   void Settle(const ShareTicket& aTicket, double aUsed);
 
   const ShareClientCounts& Counts() const { return mCounts; }
@@ -68,7 +69,7 @@
                          const std::string& aTenant,
                          int aSlot,
                          double aTokens);
-  // False when the holder turned out to be another than we knew.
+  // False when the slot has another holder than was known.
   bool TakeFromHolder(const std::string& aZone,
                       const std::string& aTenant,
                       int aSlot,
@@ -81,7 +82,7 @@
   void MarkUnresponsive(const std::string& aIncarnation);
 
   ShareSettings mSettings;
-  std::vector<std::string> mZones; // ours first
+  std::vector<std::string> mZones; // own zone first
   ShareManager& mManager;
   PeerClient& mPeers;
   Members& mMembers;
@@ -92,7 +93,7 @@
   std::mutex mLock;
   std::map<std::string, KnownTable> mTables; // of the other zones
   std::map<std::string, TimePoint> mReadAt;
-  std::map<std::string, TimePoint> mUnresponsiveUntil; // silent holders: until
+  std::map<std::string, TimePoint> mUnresponsiveUntil; // by incarnation
 };
 
 } // namespace caraway
--- a/src/share/ShareGrant.h
+++ b/src/share/ShareGrant.h
@@ -10,18 +10,18 @@
 
 namespace caraway {
 
-// What a holder gave. mTakenAt is the holder's own clock; it comes back with
-// what wasn't used, so that the holder keeps no state per grant.
+// Tokens granted by one holder. mTakenAt is returned with a refund, so that the
+// holder keeps no state per grant.
 struct ShareGrant
 {
-  std::string mAddress; // the holder's; "" = ourselves
-  std::string mHolder;  // incarnation: a later one ignores refunds
+  std::string mAddress; // of the holder; "" = this instance
+  std::string mHolder;  // incarnation; a later one ignores refunds
   int mSlot = 0;
   double mTokens = 0;
-  int64_t mTakenAt = 0; // ns of the holder's clock
+  int64_t mTakenAt = 0; // ns, by the holder's clock
 };
 
-// What a request was let in with.
+// All grants that a request was admitted with.
 struct ShareTicket
 {
   std::string mTenant;
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -14,7 +14,7 @@
 constexpr const char* kKind = "shares";
 constexpr int kMaxAttempts = 4;
 constexpr Millis kPromiseTime{ 500 };
-constexpr int kRenewDivisor = 5; // twice this part of a lease
+constexpr int kRenewDivisor = 5; // a peer gets 2/5 of the lease to reply
 
 int64_t
 Nanoseconds(TimePoint aTime)
@@ -51,8 +51,8 @@
 {
   std::lock_guard<std::mutex> lock(mLock);
   TimePoint now = mClock.Now();
-  // Asked with the time of this very moment: a holder that was frozen finds
-  // here that its right has lapsed.
+  // Checked against the current time, so that a holder that was frozen finds
+  // its lease expired.
   if (!ShareLeaseMaySpend(mLease, aSlot, now)) {
     return std::nullopt;
   }
@@ -148,7 +148,7 @@
   SyncBuckets();
 }
 
-// Our own renewal, and with it that of all who asked meanwhile.
+// Renews this instance and all members that requested it meanwhile.
 bool
 ShareManager::RenewBatch()
 {
@@ -203,8 +203,9 @@
   return false;
 }
 
-// One instance writes for all that ask it, so that renewals cost the platform
-// one write per zone and round and not one per instance.
+// Renews through the zone's renewer, which writes for all members that request
+// it, so that renewals cost the platform one write per zone and round rather
+// than one per instance.
 bool
 ShareManager::RenewByPeer(const InstanceInfo& aRenewer)
 {
@@ -212,13 +213,14 @@
   {
     std::lock_guard<std::mutex> lock(mLock);
     if (!mLease.mTable.mMembers.count(mSelf)) {
-      return false; // join by ourselves
+      return false; // joining takes an own write
     }
     params["member"] = mSelf;
     params["knows"] = Json::Int64(mLease.mTable.mSerial);
   }
   TimePoint begun = mClock.Now();
-  // A frozen renewer must leave time to renew by ourselves within the lease.
+  // With a frozen renewer there must be time left for an own write within the
+  // lease.
   Millis within = mSettings.mParameters.mLease * 2 / kRenewDivisor;
   auto answer = Outcome([&] {
     return mPeers.Call(aRenewer.mPeerAddress, "share.renew", params, within);
@@ -274,8 +276,8 @@
   ShareLeaseOnAllPromised(mLease, begun);
 }
 
-// A renewal of another's may come between: then we try again at once, since
-// the slots we stopped spending are nobody's meanwhile.
+// Retries at once when another member's renewal comes first, since nobody
+// spends the closed slots meanwhile.
 void
 ShareManager::HandOverSlots(bool aLeaving)
 {
@@ -293,7 +295,7 @@
   NotifySlotHolders(handedOver);
 }
 
-// Done as well when there is nothing to hand on.
+// Done also when there is nothing to hand over.
 WriteOutcome
 ShareManager::TryHandOver(bool aLeaving, std::set<int>& aHandedOver)
 {
@@ -307,7 +309,7 @@
     if (aHandedOver.empty() && !(aLeaving && member)) {
       return WriteOutcome::Done;
     }
-    // Stopped spending first; what is left then can't change any more.
+    // Spending stops first, so that the levels no longer change.
     SyncBuckets();
     newlyClosed = ShareLeaseClose(mLease, aHandedOver);
     ShareBuckets::Levels levels = mBuckets.LevelsOf(aHandedOver, mClock.Now());
@@ -328,12 +330,12 @@
                        mClock.Now());
       break;
     case WriteOutcome::Refused:
-      // Never left, so we hold them still. Closed, they would be nobody's for
-      // as long as the platform is out.
+      // Never sent, so the slots are still held. Closed, they could not be
+      // spent by anyone until the platform is back.
       ShareLeaseReopen(mLease, newlyClosed);
       break;
     default:
-      break; // closed until a newer table tells
+      break; // outcome unknown: closed until a newer table
   }
   return result.mEnd;
 }
--- a/src/share/ShareManager.h
+++ b/src/share/ShareManager.h
@@ -1,4 +1,4 @@
-// ShareManager.h: this instance's part of its zone's shares.
+// ShareManager.h: holds, renews and hands over this instance's share slots.
 #ifndef caraway_share_ShareManager_h
 #define caraway_share_ShareManager_h
 
@@ -34,36 +34,37 @@
                ConfigHolder& aConfig,
                const Clock& aClock);
 
-  // Up to aTokens of the tenant's share, if this instance may spend it; less
-  // when there is less. Nothing: not the holder, or its right has lapsed.
+  // Takes up to aTokens, or as many as there are. Nothing when this instance
+  // doesn't hold the slot or its lease has expired.
   struct TakeResult
   {
     ShareGrant mGrant;
-    Millis mRetryAfter{ 0 }; // until aTokens would be here; < 0 = never
+    Millis mRetryAfter{ 0 }; // until aTokens are available; < 0 = never
   };
   std::optional<TakeResult> Take(const std::string& aTenant,
                                  int aSlot,
                                  double aTokens);
   void GiveBack(const std::string& aTenant, const ShareGrant& aGrant);
 
-  // Holder of a slot of our zone; "" = nobody.
+  // Holder of a slot of this zone; "" = none.
   std::string HolderOf(int aSlot) const;
-  // Another instance showed us our zone's table.
+  // Applies this zone's table as received from a peer.
   void UpdateTable(const Json::Value& aTable, int64_t aVersion);
-  // Called when slots were handed to us: a round should follow soon.
-  void OnSlotsReceived(std::function<void()> aPoke)
+  // Sets the callback for slots received from a peer, after which Round()
+  // should run soon.
+  void OnSlotsReceived(std::function<void()> aCallback)
   {
-    mOnSlotsReceived = std::move(aPoke);
+    mOnSlotsReceived = std::move(aCallback);
   }
   bool Holds(int aSlot) const { return HolderOf(aSlot) == mSelf; }
   ShareTable Table() const;
   int SlotsHeld() const;
-  // Nothing is to be handed to other members: slots are evenly held.
+  // Whether all slots held here are at their target member.
   bool Settled() const;
 
-  // Renews, by the instance that renews for the zone or by ourselves.
+  // Renews the lease, through the zone's renewer or by an own write.
   void Round();
-  // Gives all slots back with what is left in them. For a graceful end.
+  // Hands over all slots with the tokens left in them, on a graceful shutdown.
   void Leave();
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
@@ -92,16 +93,15 @@
   ConfigHolder& mConfig;
   const Clock& mClock;
 
-  mutable std::mutex mLock; // lease and buckets: one is nothing without other
+  mutable std::mutex mLock; // mLease and mBuckets
   ShareLease mLease;
   ShareBuckets mBuckets;
 
   std::function<void()> mOnSlotsReceived;
-  std::mutex mWriteLock; // one conditional write of ours at a time
-  std::map<std::string, int64_t>
-    mPendingRenewals; // renewals for the next write
-  // How the write that took a member along ended: another one's success says
-  // nothing about its renewal.
+  std::mutex mWriteLock; // one conditional write at a time
+  std::map<std::string, int64_t> mPendingRenewals; // for the next write
+  // Result of the write that included each member. The success of a later write
+  // says nothing about that member's renewal.
   std::map<std::string, bool> mBatchRenewed;
 };
 
--- a/src/share/ShareManagerPeers.cpp
+++ b/src/share/ShareManagerPeers.cpp
@@ -1,4 +1,4 @@
-// What other instances ask of the share keeper, and what it tells them.
+// ShareManagerPeers.cpp: the peer methods of the share manager.
 #include "share/ShareManager.h"
 
 #include <thread>
@@ -14,8 +14,8 @@
 
 } // namespace
 
-// Those we handed slots to would find out at their next renewal, seconds
-// later, and until then nobody could spend them.
+// Notifies the new holders of slots, which would otherwise notice only at their
+// next renewal, seconds later; until then nobody could spend the slots.
 void
 ShareManager::NotifySlotHolders(const std::set<int>& aSlots)
 {
@@ -36,8 +36,8 @@
   }
 }
 
-// The first to ask waits a moment for others; those that ask meanwhile find
-// on their turn that the write has taken them along.
+// The first request waits mRenewBatchWait for others; these then find that the
+// same write has renewed them.
 Json::Value
 ShareManager::OnRenew(const Json::Value& aParams)
 {
@@ -102,7 +102,7 @@
     answer["self"] = mSelf;
     answer["retry"] = Json::Int64(taken->mRetryAfter.count());
   } else {
-    // Whoever asks the wrong one is shown the right one.
+    // The table names the right holder.
     answer["now"] = TableJson();
   }
   return answer;
--- a/src/share/ShareSettings.h
+++ b/src/share/ShareSettings.h
@@ -1,4 +1,4 @@
-// ShareSettings.h: how rates are shared out.
+// ShareSettings.h: how tenant rate limits are divided over holders.
 #ifndef caraway_share_ShareSettings_h
 #define caraway_share_ShareSettings_h
 
@@ -12,16 +12,16 @@
 struct ShareSettings
 {
   std::string mZone;
-  int mZones = 1; // the fleet's zones: one part each
+  int mZones = 1; // zones of the fleet, with equal parts
   ShareLeaseParameters mParameters;
-  Millis mGrantLifetime{ 100 };  // from asking to being let in, at most
-  Millis mTakeTimeout{ 40 };     // one question to a holder
-  Millis mRenewBatchWait{ 400 }; // renewals that one write waits for
+  Millis mGrantLifetime{ 100 };  // from first request to admission, at most
+  Millis mTakeTimeout{ 40 };     // of one request to a holder
+  Millis mRenewBatchWait{ 400 }; // time a write waits for further renewals
 };
 
-// Tokens a tenant may burst to at one holder. What is granted may be spent a
-// grant's life later than it was debited, which stretches a burst by the rate
-// over that time; so that much is taken off beforehand.
+// Burst of a tenant in one slot, in tokens. A granted token may be spent up to
+// mGrantLifetime after it was debited, which adds the rate times that lifetime
+// to a burst; so that much is subtracted beforehand.
 double
 ShareSlotBurst(const Tenant& aTenant, const ShareSettings& aSettings);
 
