--- a/src/decide/ShareLease.h
+++ b/src/decide/ShareLease.h
@@ -47,7 +47,7 @@
 {
   ShareLeaseParameters mParameters;
   std::string mSelf;    // incarnation of this instance
-  std::string mAddress; // its peer address
+  std::string mAddress; // peer address of this instance
 
   ShareTable mTable;          // as last stored or read
   int64_t mVersion = 0;       // the platform's version of mTable, 0 = none yet
