--- a/src/own/AdapterPermit.h
+++ b/src/own/AdapterPermit.h
@@ -24,7 +24,7 @@
   AdapterPermit(const AdapterPermit&) = delete;
   AdapterPermit& operator=(const AdapterPermit&) = delete;
 
-  bool In() const { return mHasPermit; }
+  bool HasPermit() const { return mHasPermit; }
 
 private:
   StoreGate* mGate;
--- a/src/own/EndpointReconciler.cpp
+++ b/src/own/EndpointReconciler.cpp
@@ -41,73 +41,74 @@
 {
   ConfigPtr config = mConfig.Current();
   const InstanceInfo& self = mMembers.Self();
-  std::map<std::string, Kept> next;
+  std::map<std::string, EngineState> next;
   for (const auto& entry : config->mEndpoints) {
     const EndpointSpec& endpoint = entry.second;
-    bool ours = endpoint.mKind == EndpointKind::Engine &&
-                endpoint.mZone == self.mZone &&
-                mMembers.Owner("endpoint/" + endpoint.mName).mId == self.mId;
-    if (!ours) {
+    bool isOwner = endpoint.mKind == EndpointKind::Engine &&
+                   endpoint.mZone == self.mZone &&
+                   mMembers.Owner("endpoint/" + endpoint.mName).mId == self.mId;
+    if (!isOwner) {
       continue;
     }
-    Kept kept;
-    auto known = mKept.find(endpoint.mName);
-    if (known != mKept.end()) {
-      kept = std::move(known->second);
+    EngineState state;
+    auto known = mEngineStates.find(endpoint.mName);
+    if (known != mEngineStates.end()) {
+      state = std::move(known->second);
     }
-    Keep(endpoint, kept);
-    next[endpoint.mName] = std::move(kept);
+    Reconcile(endpoint, state);
+    next[endpoint.mName] = std::move(state);
   }
-  mKept = std::move(next);
+  mEngineStates = std::move(next);
 }
 
 void
-EndpointReconciler::Keep(const EndpointSpec& aEndpoint, Kept& aKept)
+EndpointReconciler::Reconcile(const EndpointSpec& aEndpoint,
+                              EngineState& aState)
 {
   TimePoint now = mClock.Now();
   // The record first, then the report: only a report younger than the record
   // can say that something in it is gone.
-  if (aKept.mRead == TimePoint{} ||
-      now - aKept.mRead > mSettings.mRereadInterval) {
+  if (aState.mReadAt == TimePoint{} ||
+      now - aState.mReadAt > mSettings.mRereadInterval) {
     auto read = Outcome([&] { return mStore.Read(aEndpoint); });
     if (std::holds_alternative<Failure>(read)) {
       return;
     }
-    aKept.mStored = std::get<StoredPlacement>(read);
-    aKept.mRead = now;
+    aState.mStored = std::get<StoredPlacement>(read);
+    aState.mReadAt = now;
   }
   auto report = Outcome([&] { return mEngines.Report(aEndpoint.mAddress); });
   if (auto* fresh = std::get_if<EngineReport>(&report)) {
-    if (Change(aEndpoint, aKept, *fresh, now)) {
-      Resend(aEndpoint, aKept, now);
+    if (ApplyReport(aEndpoint, aState, *fresh, now)) {
+      Resend(aEndpoint, aState, now);
     }
   }
 }
 
 TimePoint
-EndpointReconciler::Since(Kept& aKept,
-                          const PlacedReplica& aReplica,
-                          TimePoint aNow)
+EndpointReconciler::FirstSeen(EngineState& aState,
+                              const PlacedReplica& aReplica,
+                              TimePoint aNow)
 {
-  return aKept.mSince.emplace(OrderStateKey(aReplica), aNow).first->second;
+  return aState.mFirstSeen.emplace(OrderStateKey(aReplica), aNow).first->second;
 }
 
 // False when the record turned out older than another's change.
 bool
-EndpointReconciler::Change(const EndpointSpec& aEndpoint,
-                           Kept& aKept,
-                           const EngineReport& aReport,
-                           TimePoint aNow)
+EndpointReconciler::ApplyReport(const EndpointSpec& aEndpoint,
+                                EngineState& aState,
+                                const EngineReport& aReport,
+                                TimePoint aNow)
 {
-  PlacementRecord next = aKept.mStored.mRecord;
-  std::set<std::string> past;
+  PlacementRecord next = aState.mStored.mRecord;
+  std::set<std::string> expired;
   for (const PlacedReplica& replica : next.mReplicas) {
     if (replica.mState == ReplicaState::Unloading &&
-        aNow - Since(aKept, replica, aNow) > mSettings.mMaxOrderDelay) {
-      past.insert(replica.mDecision);
+        aNow - FirstSeen(aState, replica, aNow) > mSettings.mMaxOrderDelay) {
+      expired.insert(replica.mDecision);
     }
   }
-  bool changed = PlacementObserve(next, aReport, past);
+  bool changed = PlacementObserve(next, aReport, expired);
   for (const EngineReplica& seen : aReport.mReplicas) {
     Millis limit = LoadPlanIdleLimit(
       aReport, seen.mName, mSettings.mIdleLimit, mSettings.mParameters);
@@ -119,40 +120,41 @@
   if (!changed) {
     return true;
   }
-  WriteOutcome end = mStore.Replace(aEndpoint, aKept.mStored, next);
-  if (end == WriteOutcome::Done) {
-    aKept.mRead = aNow;
+  WriteOutcome outcome = mStore.Replace(aEndpoint, aState.mStored, next);
+  if (outcome == WriteOutcome::Done) {
+    aState.mReadAt = aNow;
     return true;
   }
-  aKept.mRead = TimePoint{};
+  aState.mReadAt = TimePoint{};
   return false;
 }
 
 void
 EndpointReconciler::Resend(const EndpointSpec& aEndpoint,
-                           Kept& aKept,
+                           EngineState& aState,
                            TimePoint aNow)
 {
-  std::vector<PlacedReplica> replicas = aKept.mStored.mRecord.mReplicas;
+  std::vector<PlacedReplica> replicas = aState.mStored.mRecord.mReplicas;
   for (const PlacedReplica& replica : replicas) {
     if (replica.mState == ReplicaState::Ready) {
       continue;
     }
     // The decider itself is at it during the first moments of a load.
-    Millis grace =
-      replica.mState == ReplicaState::Loading ? mSettings.mResend : Millis(0);
-    if (aNow - Since(aKept, replica, aNow) < grace) {
+    Millis grace = replica.mState == ReplicaState::Loading
+                     ? mSettings.mResendInterval
+                     : Millis(0);
+    if (aNow - FirstSeen(aState, replica, aNow) < grace) {
       continue;
     }
-    TimePoint& sent = aKept.mSent[OrderStateKey(replica)];
-    if (sent != TimePoint{} && aNow - sent < mSettings.mResend) {
+    TimePoint& sent = aState.mLastSent[OrderStateKey(replica)];
+    if (sent != TimePoint{} && aNow - sent < mSettings.mResendInterval) {
       continue;
     }
     sent = aNow;
     if (replica.mState == ReplicaState::Unloading) {
       mEngines.Unload(aEndpoint.mAddress, replica);
     } else {
-      mLoader.ResendLoad(aEndpoint, aKept.mStored, replica.mDecision);
+      mLoader.ResendLoad(aEndpoint, aState.mStored, replica.mDecision);
     }
   }
 }
--- a/src/own/EndpointReconciler.h
+++ b/src/own/EndpointReconciler.h
@@ -18,7 +18,7 @@
 {
   Millis mRereadInterval{ 10000 }; // record read again though nothing changed
   Millis mMaxOrderDelay{ 120000 }; // no order arrives later than this
-  Millis mResend{ 5000 };          // an order seen without effect
+  Millis mResendInterval{ 5000 };  // an order seen without effect
   Millis mIdleLimit{ 300000 };     // replica idle this long is unloaded, if it
                                    // would have to come from the remote store
   LoadPlanParameters mParameters;
@@ -43,21 +43,26 @@
   void Round();
 
 private:
-  struct Kept
+  struct EngineState
   {
     StoredPlacement mStored;
-    TimePoint mRead{};
-    std::map<std::string, TimePoint> mSince; // decision and state: first seen
-    std::map<std::string, TimePoint> mSent;
+    TimePoint mReadAt{};
+    std::map<std::string, TimePoint>
+      mFirstSeen; // decision and state: first seen
+    std::map<std::string, TimePoint> mLastSent;
   };
 
-  void Keep(const EndpointSpec& aEndpoint, Kept& aKept);
-  bool Change(const EndpointSpec& aEndpoint,
-              Kept& aKept,
-              const EngineReport& aReport,
+  void Reconcile(const EndpointSpec& aEndpoint, EngineState& aState);
+  bool ApplyReport(const EndpointSpec& aEndpoint,
+                   EngineState& aState,
+                   const EngineReport& aReport,
+                   TimePoint aNow);
+  void Resend(const EndpointSpec& aEndpoint,
+              EngineState& aState,
               TimePoint aNow);
-  void Resend(const EndpointSpec& aEndpoint, Kept& aKept, TimePoint aNow);
-  TimePoint Since(Kept& aKept, const PlacedReplica& aReplica, TimePoint aNow);
+  TimePoint FirstSeen(EngineState& aState,
+                      const PlacedReplica& aReplica,
+                      TimePoint aNow);
 
   EndpointReconcilerSettings mSettings;
   ConfigHolder& mConfig;
@@ -66,7 +71,8 @@
   EngineClient& mEngines;
   Loader& mLoader;
   const Clock& mClock;
-  std::map<std::string, Kept> mKept; // used by the round's thread alone
+  std::map<std::string, EngineState>
+    mEngineStates; // used by the round's thread alone
 };
 
 } // namespace caraway
--- a/src/own/EngineClient.cpp
+++ b/src/own/EngineClient.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr Millis kOrderTime{ 2000 };
-constexpr Millis kReportTime{ 1000 };
-constexpr int kRefused = 409;
+constexpr Millis kOrderTimeout{ 2000 };
+constexpr Millis kReportTimeout{ 1000 };
+constexpr int kHttpConflict = 409;
 
 } // namespace
 
@@ -34,16 +34,16 @@
   call.mAddress = aAddress;
   call.mMethod = "POST";
   call.mPath = "/orders";
-  call.mTimeout = kOrderTime;
+  call.mTimeout = kOrderTimeout;
   call.mBody = JsonWrite(body);
   HttpReply reply = HttpCallOnce(call);
   if (reply.mStage == HttpStage::NotSent) {
     return OrderOutcome::NotSent;
   }
   if (reply.Ok()) {
-    return OrderOutcome::Taken;
+    return OrderOutcome::Accepted;
   }
-  if (reply.mStage == HttpStage::Answered && reply.mStatus == kRefused) {
+  if (reply.mStage == HttpStage::Answered && reply.mStatus == kHttpConflict) {
     std::string reason = JsonParseOrEmpty(reply.mBody)["reason"].asString();
     return reason == "fence" ? OrderOutcome::Outdated
                              : OrderOutcome::InsufficientMemory;
@@ -69,7 +69,7 @@
   HttpCall call;
   call.mAddress = aAddress;
   call.mPath = "/state";
-  call.mTimeout = kReportTime;
+  call.mTimeout = kReportTimeout;
   HttpReply reply = mPool.Call(call);
   if (!reply.Ok()) {
     return Fail(ErrorKind::NoEndpoint, "engine " + aAddress + " is silent");
--- a/src/own/EngineClient.h
+++ b/src/own/EngineClient.h
@@ -13,7 +13,7 @@
 
 enum class OrderOutcome
 {
-  Taken,              // the engine answered; it has begun
+  Accepted,           // the engine answered; it has begun
   Outdated,           // refused: it has taken a higher fencing number
   InsufficientMemory, // refused: its memory
   NotSent,            // no byte of it was offered
--- a/src/own/EngineSlotRequest.cpp
+++ b/src/own/EngineSlotRequest.cpp
@@ -85,25 +85,25 @@
 }
 
 Json::Value
-EngineSlotReleaseJson(const EngineSlotRelease& aReturn)
+EngineSlotReleaseJson(const EngineSlotRelease& aRelease)
 {
   Json::Value json;
-  json["place"] = Json::UInt64(aReturn.mEngineSlotId);
-  json["tokens"] = aReturn.mTokens;
-  json["gone"] = aReturn.mGone;
-  json["failed"] = aReturn.mFailed;
+  json["place"] = Json::UInt64(aRelease.mEngineSlotId);
+  json["tokens"] = aRelease.mTokens;
+  json["gone"] = aRelease.mGone;
+  json["failed"] = aRelease.mFailed;
   return json;
 }
 
 EngineSlotRelease
 EngineSlotReleaseParse(const Json::Value& aJson)
 {
-  EngineSlotRelease back;
-  back.mEngineSlotId = aJson["place"].asUInt64();
-  back.mTokens = aJson["tokens"].asDouble();
-  back.mGone = aJson["gone"].asBool();
-  back.mFailed = aJson["failed"].asBool();
-  return back;
+  EngineSlotRelease release;
+  release.mEngineSlotId = aJson["place"].asUInt64();
+  release.mTokens = aJson["tokens"].asDouble();
+  release.mGone = aJson["gone"].asBool();
+  release.mFailed = aJson["failed"].asBool();
+  return release;
 }
 
 } // namespace caraway
--- a/src/own/EngineSlotRequest.h
+++ b/src/own/EngineSlotRequest.h
@@ -57,7 +57,7 @@
 EngineSlotGrant
 EngineSlotGrantParse(const Json::Value& aJson);
 Json::Value
-EngineSlotReleaseJson(const EngineSlotRelease& aReturn);
+EngineSlotReleaseJson(const EngineSlotRelease& aRelease);
 EngineSlotRelease
 EngineSlotReleaseParse(const Json::Value& aJson);
 
--- a/src/own/HomeZones.cpp
+++ b/src/own/HomeZones.cpp
@@ -4,8 +4,8 @@
 
 namespace caraway {
 
-HomeZones::HomeZones(std::vector<std::string> aNear, Members& aMembers)
-  : mNear(std::move(aNear))
+HomeZones::HomeZones(std::vector<std::string> aNearZones, Members& aMembers)
+  : mNearZones(std::move(aNearZones))
   , mMembers(aMembers)
 {
 }
@@ -15,23 +15,23 @@
 {
   std::lock_guard<std::mutex> lock(mLock);
   if (mRevision != aConfig.mRevision) {
-    mWithEngines.clear();
+    mZonesWithEngines.clear();
     for (const auto& endpoint : aConfig.mEndpoints) {
       if (endpoint.second.mKind == EndpointKind::Engine) {
-        mWithEngines.insert(endpoint.second.mZone);
+        mZonesWithEngines.insert(endpoint.second.mZone);
       }
     }
     mRevision = aConfig.mRevision;
   }
-  return mWithEngines.count(aZone) > 0;
+  return mZonesWithEngines.count(aZone) > 0;
 }
 
 std::string
-HomeZones::Of(const std::string& aModel, const ConfigSnapshot& aConfig)
+HomeZones::HomeOf(const std::string& aModel, const ConfigSnapshot& aConfig)
 {
   std::set<std::string> answering = mMembers.RespondingZones();
   std::vector<std::string> zones;
-  for (const std::string& zone : mNear) {
+  for (const std::string& zone : mNearZones) {
     if (answering.count(zone) && HasEngines(zone, aConfig)) {
       zones.push_back(zone);
     }
@@ -40,13 +40,13 @@
 }
 
 bool
-HomeZones::IsOurs(const std::string& aZone) const
+HomeZones::IsOwnZone(const std::string& aZone) const
 {
   return aZone == mMembers.Self().mZone;
 }
 
 void
-HomeZones::Silent(const std::string& aZone)
+HomeZones::MarkSilent(const std::string& aZone)
 {
   mMembers.SuspectZone(aZone);
 }
--- a/src/own/LoadPermit.cpp
+++ b/src/own/LoadPermit.cpp
@@ -15,37 +15,37 @@
 
 LoadPermit::~LoadPermit()
 {
-  if (mAsked != TimePoint{}) {
-    mGate->Leave(mId);
+  if (mLastRequest != TimePoint{}) {
+    mGate->Release(mId);
   }
 }
 
 void
-LoadPermit::Ask()
+LoadPermit::SendRequest()
 {
-  mAsked = mGate->Time().Now();
-  LoadGateReply answer = mGate->Ask({ mId, mUrgency(), mHasPermit });
-  mHasPermit = answer.mHasPermit;
-  mPollAfter = answer.mPollAfter;
+  mLastRequest = mGate->Time().Now();
+  LoadGateReply reply = mGate->Acquire({ mId, mUrgency(), mHasPermit });
+  mHasPermit = reply.mHasPermit;
+  mPollAfter = reply.mPollAfter;
 }
 
 bool
 LoadPermit::Await(TimePoint aUntil)
 {
   while (mGate && !mHasPermit && mGate->Time().Now() < aUntil) {
-    Ask();
+    SendRequest();
     if (!mHasPermit) {
       std::this_thread::sleep_for(mPollAfter);
     }
   }
-  return In();
+  return HasPermit();
 }
 
 void
-LoadPermit::Keep()
+LoadPermit::Renew()
 {
-  if (mHasPermit && mGate->Time().Now() - mAsked > mPollAfter) {
-    Ask();
+  if (mHasPermit && mGate->Time().Now() - mLastRequest > mPollAfter) {
+    SendRequest();
   }
 }
 
--- a/src/own/LoadPermit.h
+++ b/src/own/LoadPermit.h
@@ -21,21 +21,21 @@
   LoadPermit(const LoadPermit&) = delete;
   LoadPermit& operator=(const LoadPermit&) = delete;
 
-  bool In() const { return !mGate || mHasPermit; }
+  bool HasPermit() const { return !mGate || mHasPermit; }
   // False when aUntil passed first.
   bool Await(TimePoint aUntil);
   // To be called often while loading; asks again as often as is needed for the
   // place not to lapse.
-  void Keep();
+  void Renew();
 
 private:
-  void Ask();
+  void SendRequest();
 
   StoreGate* mGate;
   Urgency mUrgency;
   std::string mId;
   bool mHasPermit = false;
-  TimePoint mAsked{};
+  TimePoint mLastRequest{};
   Millis mPollAfter{ 0 };
 };
 
--- a/src/own/Loader.cpp
+++ b/src/own/Loader.cpp
@@ -14,7 +14,7 @@
 constexpr Millis kNoMemoryRetry{ 100 }; // pause when no engine has room yet
 
 const PlacedReplica*
-ByDecision(const PlacementRecord& aRecord, const std::string& aDecision)
+FindByDecision(const PlacementRecord& aRecord, const std::string& aDecision)
 {
   for (const PlacedReplica& replica : aRecord.mReplicas) {
     if (replica.mDecision == aDecision) {
@@ -91,7 +91,7 @@
     terms.mMinIdle = terms.mOptionalMinIdle;
   }
   std::vector<EndpointSpec> engines = EnginesOf(aConfig, mSettings.mZone);
-  LoadPermit turn(mGate, aUrgency);
+  LoadPermit permit(mGate, aUrgency);
   while (mClock.Now() < aUntil) {
     BOOST_LEAF_AUTO(stored, mStore.ReadZone(engines));
     std::vector<LoadCandidate> candidates = Candidates(engines, stored);
@@ -111,23 +111,23 @@
     bool fromStore =
       !plan.mJoin &&
       LoadPlanFromStore(candidates[plan.mCandidate].mReport, aModel.mName);
-    if (fromStore && !turn.In()) {
+    if (fromStore && !permit.HasPermit()) {
       // Before anything is decided, so that no memory is held for a load that
       // waits. What we saw is old by then.
-      turn.Await(aUntil);
+      permit.Await(aUntil);
       continue;
     }
     const EndpointSpec& chosen = engines[plan.mCandidate];
     StoredPlacement& record = stored[plan.mCandidate];
-    bool room = true;
+    bool evicted = true;
     for (const PlacedReplica& replica : plan.mEvict) {
-      room = room && Evict(chosen, record, replica, aUntil);
+      evicted = evicted && Evict(chosen, record, replica, aUntil);
     }
-    if (!room) {
+    if (!evicted) {
       continue;
     }
     auto failure =
-      FailureIn([&] { return LoadAt(chosen, record, aModel, turn, aUntil); });
+      FailureIn([&] { return LoadAt(chosen, record, aModel, permit, aUntil); });
     if (!failure) {
       return chosen;
     }
@@ -135,7 +135,7 @@
             { { "model", aModel.mName },
               { "endpoint", chosen.mName },
               { "reason", failure->mDetail } });
-    std::this_thread::sleep_for(mSettings.mPoll);
+    std::this_thread::sleep_for(mSettings.mPollInterval);
   }
   return Fail(ErrorKind::NoCapacity, "no engine could load it in time");
 }
@@ -146,14 +146,14 @@
 Loader::LoadAt(const EndpointSpec& aEndpoint,
                StoredPlacement& aStored,
                const ModelSpec& aModel,
-               LoadPermit& aTurn,
+               LoadPermit& aPermit,
                TimePoint aUntil)
 {
-  const PlacedReplica* there =
+  const PlacedReplica* placed =
     PlacementFind(aStored.mRecord, aModel.mName, aModel.mVersion);
-  if (there) {
+  if (placed) {
     ++mCounts.mJoined;
-    return AwaitReady(aEndpoint, aStored, aModel, false, aTurn, aUntil);
+    return AwaitReady(aEndpoint, aStored, aModel, false, aPermit, aUntil);
   }
   PlacementLoad load{
     aModel.mName, aModel.mVersion, aModel.mBase, aModel.mBytes, RandomId()
@@ -162,11 +162,11 @@
   if (!PlacementDecideLoad(next, load)) {
     return Fail(ErrorKind::NoCapacity, "it doesn't fit any more");
   }
-  WriteOutcome end = mStore.Replace(aEndpoint, aStored, next);
-  if (end == WriteOutcome::Conflict) {
+  WriteOutcome outcome = mStore.Replace(aEndpoint, aStored, next);
+  if (outcome == WriteOutcome::Conflict) {
     return Fail(ErrorKind::NoCapacity, "another decision came first");
   }
-  if (end != WriteOutcome::Done) {
+  if (outcome != WriteOutcome::Done) {
     return Fail(ErrorKind::PlatformUnavailable, "the decision isn't stored");
   }
   ++mCounts.mDecided;
@@ -177,8 +177,12 @@
     // A later decision's order for this engine overtook ours.
     sent = ResendLoad(aEndpoint, aStored, load.mDecision);
   }
-  return AwaitReady(
-    aEndpoint, aStored, aModel, sent == OrderOutcome::Taken, aTurn, aUntil);
+  return AwaitReady(aEndpoint,
+                    aStored,
+                    aModel,
+                    sent == OrderOutcome::Accepted,
+                    aPermit,
+                    aUntil);
 }
 
 // The last look at the clock before an order goes out. Whoever was paused
@@ -191,7 +195,7 @@
                  StoredPlacement& aStored,
                  const std::string& aDecision)
 {
-  const PlacedReplica* replica = ByDecision(aStored.mRecord, aDecision);
+  const PlacedReplica* replica = FindByDecision(aStored.mRecord, aDecision);
   if (!replica || replica->mState != ReplicaState::Loading) {
     return OrderOutcome::Outdated;
   }
@@ -220,14 +224,14 @@
                    StoredPlacement& aStored,
                    const ModelSpec& aModel,
                    bool aOrdered,
-                   LoadPermit& aTurn,
+                   LoadPermit& aPermit,
                    TimePoint aUntil)
 {
   constexpr Millis kResend{ 1000 };
   TimePoint lastSent = aOrdered ? mClock.Now() : TimePoint{};
-  bool onlyOne = aOrdered;
+  bool singleOrder = aOrdered;
   while (mClock.Now() < aUntil) {
-    aTurn.Keep();
+    aPermit.Renew();
     auto report = Outcome([&] { return mEngines.Report(aEndpoint.mAddress); });
     bool seen = false;
     if (auto* fresh = std::get_if<EngineReport>(&report)) {
@@ -245,7 +249,7 @@
         PlacementRecord next = aStored.mRecord;
         const PlacedReplica* placed =
           PlacementFind(next, aModel.mName, aModel.mVersion);
-        if (placed && onlyOne) {
+        if (placed && singleOrder) {
           PlacementAcknowledge(next, placed->mDecision);
         }
         if (PlacementObserve(next, *fresh)) {
@@ -257,20 +261,20 @@
     if (!seen && mClock.Now() - lastSent > kResend) {
       // The order, ours or a dead decider's, hasn't arrived. The engine takes
       // a second copy as the same order.
-      BOOST_LEAF_AUTO(again, mStore.Read(aEndpoint));
-      aStored = again;
+      BOOST_LEAF_AUTO(reread, mStore.Read(aEndpoint));
+      aStored = reread;
       const PlacedReplica* placed =
         PlacementFind(aStored.mRecord, aModel.mName, aModel.mVersion);
       if (!placed || placed->mState == ReplicaState::Unloading) {
         return Fail(ErrorKind::NoCapacity, "the load was cancelled");
       }
       if (placed->mState == ReplicaState::Loading) {
-        onlyOne = false; // a second copy is on its way from here on
+        singleOrder = false; // a second copy is on its way from here on
         ResendLoad(aEndpoint, aStored, placed->mDecision);
       }
       lastSent = mClock.Now();
     }
-    std::this_thread::sleep_for(mSettings.mPoll);
+    std::this_thread::sleep_for(mSettings.mPollInterval);
   }
   return Fail(ErrorKind::NoCapacity, "the load takes too long");
 }
@@ -285,13 +289,13 @@
     mStore.Change(aEndpoint, aStored, [&](PlacementRecord& aRecord) {
       return PlacementDecideUnload(aRecord, aReplica.mName, aReplica.mVersion);
     });
-  const PlacedReplica* going =
+  const PlacedReplica* evicting =
     PlacementFind(aStored.mRecord, aReplica.mName, aReplica.mVersion);
-  if (!decided || !going) {
+  if (!decided || !evicting) {
     return false;
   }
   ++mCounts.mEvicted;
-  PlacedReplica order = *going;
+  PlacedReplica order = *evicting;
   while (mClock.Now() < aUntil) {
     mEngines.Unload(aEndpoint.mAddress, order);
     auto report = Outcome([&] { return mEngines.Report(aEndpoint.mAddress); });
@@ -304,7 +308,7 @@
         return true;
       }
     }
-    std::this_thread::sleep_for(mSettings.mPoll);
+    std::this_thread::sleep_for(mSettings.mPollInterval);
   }
   return false;
 }
@@ -314,8 +318,8 @@
                       const ModelSpec& aAdapter,
                       TimePoint aUntil)
 {
-  AdapterPermit turn(mGate, aUntil);
-  if (!turn.In()) {
+  AdapterPermit permit(mGate, aUntil);
+  if (!permit.HasPermit()) {
     return Fail(ErrorKind::NoCapacity, "too many adapters are on their way");
   }
   return LoadAdapter(aEndpoint, aAdapter, aUntil);
@@ -326,15 +330,15 @@
                     const ModelSpec& aAdapter,
                     TimePoint aUntil)
 {
-  LoadPermit noTurn(nullptr, nullptr);
+  LoadPermit noPermit(nullptr, nullptr);
   while (mClock.Now() < aUntil) {
     BOOST_LEAF_AUTO(stored, mStore.Read(aEndpoint));
     auto failure = FailureIn(
-      [&] { return LoadAt(aEndpoint, stored, aAdapter, noTurn, aUntil); });
+      [&] { return LoadAt(aEndpoint, stored, aAdapter, noPermit, aUntil); });
     if (!failure) {
       return {};
     }
-    std::this_thread::sleep_for(mSettings.mPoll);
+    std::this_thread::sleep_for(mSettings.mPollInterval);
   }
   return Fail(ErrorKind::NoCapacity, "the adapter couldn't be loaded in time");
 }
--- a/src/own/Loader.h
+++ b/src/own/Loader.h
@@ -17,7 +17,7 @@
 struct LoaderSettings
 {
   std::string mZone;
-  Millis mPoll{ 50 };           // while waiting for an engine
+  Millis mPollInterval{ 50 };   // while waiting for an engine
   Millis mMaxRecordAge{ 5000 }; // no order on a record seen longer ago
   LoadPlanParameters mParameters;
 };
@@ -87,13 +87,13 @@
   Result<void> LoadAt(const EndpointSpec& aEndpoint,
                       StoredPlacement& aStored,
                       const ModelSpec& aModel,
-                      LoadPermit& aTurn,
+                      LoadPermit& aPermit,
                       TimePoint aUntil);
   Result<void> AwaitReady(const EndpointSpec& aEndpoint,
                           StoredPlacement& aStored,
                           const ModelSpec& aModel,
                           bool aOrdered,
-                          LoadPermit& aTurn,
+                          LoadPermit& aPermit,
                           TimePoint aUntil);
 
   LoaderSettings mSettings;
--- a/src/own/ModelGroup.cpp
+++ b/src/own/ModelGroup.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Share of a new measurement in what is learnt.
-constexpr double kLearn = 0.2;
+constexpr double kNewSampleWeight = 0.2;
 
 } // namespace
 
@@ -15,10 +15,10 @@
 ModelGroupLeastLoaded(ModelGroup& aGroup)
 {
   ServingReplica* best = nullptr;
-  for (ServingReplica& serving : aGroup.mServing) {
-    bool room = serving.mInFlight < serving.mEndpoint.mSlots;
-    if (room && (!best || serving.mInFlight < best->mInFlight)) {
-      best = &serving;
+  for (ServingReplica& replica : aGroup.mServingReplicas) {
+    bool hasFreeSlot = replica.mInFlight < replica.mEndpoint.mSlots;
+    if (hasFreeSlot && (!best || replica.mInFlight < best->mInFlight)) {
+      best = &replica;
     }
   }
   return best;
@@ -27,34 +27,34 @@
 ServingReplica*
 ModelGroupReplicaAt(ModelGroup& aGroup, const std::string& aEndpoint)
 {
-  for (ServingReplica& serving : aGroup.mServing) {
-    if (serving.mEndpoint.mName == aEndpoint) {
-      return &serving;
+  for (ServingReplica& replica : aGroup.mServingReplicas) {
+    if (replica.mEndpoint.mName == aEndpoint) {
+      return &replica;
     }
   }
   return nullptr;
 }
 
 RequestClass
-ModelGroupAdmissibleClass(const ServingReplica& aServing)
+ModelGroupAdmissibleClass(const ServingReplica& aReplica)
 {
   constexpr int kFewSlots = 4; // too few to keep any idle
-  int slots = aServing.mEndpoint.mSlots;
+  int slots = aReplica.mEndpoint.mSlots;
   if (slots < kFewSlots) {
-    bool fits = aServing.mBatchInFlight < std::max(1, slots - 1);
+    bool fits = aReplica.mBatchInFlight < std::max(1, slots - 1);
     return fits ? RequestClass::Batch : RequestClass::Interactive;
   }
-  if (slots - aServing.mInFlight <= 1) {
+  if (slots - aReplica.mInFlight <= 1) {
     return RequestClass::Urgent;
   }
-  return aServing.mBatchInFlight < slots - 2 ? RequestClass::Batch
+  return aReplica.mBatchInFlight < slots - 2 ? RequestClass::Batch
                                              : RequestClass::Interactive;
 }
 
 Millis
 ModelGroupReadyIn(const ModelGroup& aGroup, TimePoint aNow)
 {
-  if (!aGroup.mServing.empty()) {
+  if (!aGroup.mServingReplicas.empty()) {
     return Millis(0);
   }
   Millis passed =
@@ -66,17 +66,18 @@
 
 void
 ModelGroupRecordRate(ModelGroup& aGroup,
-                     const ServingReplica& aServing,
+                     const ServingReplica& aReplica,
                      double aTokens,
                      double aSeconds)
 {
   if (aTokens <= 0 || aSeconds <= 0) {
     return;
   }
-  double rate = aTokens / aSeconds * aServing.mEndpoint.mSlots *
-                static_cast<double>(aGroup.mServing.size());
-  aGroup.mRate =
-    aGroup.mRate == 0 ? rate : aGroup.mRate + kLearn * (rate - aGroup.mRate);
+  double rate = aTokens / aSeconds * aReplica.mEndpoint.mSlots *
+                static_cast<double>(aGroup.mServingReplicas.size());
+  aGroup.mRate = aGroup.mRate == 0
+                   ? rate
+                   : aGroup.mRate + kNewSampleWeight * (rate - aGroup.mRate);
 }
 
 } // namespace caraway
--- a/src/own/ModelGroup.h
+++ b/src/own/ModelGroup.h
@@ -43,7 +43,7 @@
   std::string mAdapter;
   Millis mMaxHold{ 0 };
   bool mCold = false;
-  TimePoint mAsked{}; // when its front last asked; silent ones are dropped
+  TimePoint mLastPolled{}; // when its front last asked; silent ones are dropped
   bool mGranted = false;
   bool mRefused = false;
   Failure mFailure;
@@ -53,7 +53,7 @@
 
 struct ModelGroup
 {
-  std::vector<ServingReplica> mServing;
+  std::vector<ServingReplica> mServingReplicas;
   WaitQueue mQueue;
   bool mLoading = false; // a load job of ours is under way
   TimePoint mLoadBegan{};
@@ -72,14 +72,14 @@
 // can't be put aside, and on a slow engine a bulletin's time is over before
 // one of them ends.
 RequestClass
-ModelGroupAdmissibleClass(const ServingReplica& aServing);
+ModelGroupAdmissibleClass(const ServingReplica& aReplica);
 // Until it can serve, by the last load's time; 0 when it can.
 Millis
 ModelGroupReadyIn(const ModelGroup& aGroup, TimePoint aNow);
 // aTokens were made in aSeconds at one of aServing's places.
 void
 ModelGroupRecordRate(ModelGroup& aGroup,
-                     const ServingReplica& aServing,
+                     const ServingReplica& aReplica,
                      double aTokens,
                      double aSeconds);
 
--- a/src/own/ModelOwner.cpp
+++ b/src/own/ModelOwner.cpp
@@ -52,7 +52,7 @@
     return "";
   }
   if (aRequest.mZoneSilent) {
-    mHomes->Silent(aRequest.mFailedZone);
+    mHomes->MarkSilent(aRequest.mFailedZone);
   }
   if (!aRequest.mFailedZone.empty()) {
     HomeZoneFailed(aGroup.mHome, mHomeZoneParameters, aNow);
@@ -61,13 +61,13 @@
     return "";
   }
   HomeZoneView view;
-  view.mServing = !aGroup.mServing.empty();
+  view.mServing = !aGroup.mServingReplicas.empty();
   view.mWaiting = aGroup.mQueue.Size() > 0;
   std::string home;
   if (!view.mServing && !view.mWaiting) {
     // Looks at all members; a warm request doesn't need to.
-    home = mHomes->Of(aModel.mName, aConfig);
-    view.mIsHome = mHomes->IsOurs(home);
+    home = mHomes->HomeOf(aModel.mName, aConfig);
+    view.mIsHome = mHomes->IsOwnZone(home);
   }
 
   auto action = HomeZoneRoute(aGroup.mHome, view, mHomeZoneParameters, aNow);
@@ -95,17 +95,17 @@
   {
     std::lock_guard<std::mutex> lock(shard.mLock);
     ModelGroup& group = shard.mGroups[key];
-    EngineSlotGrant away;
-    away.mRedirectZone =
+    EngineSlotGrant redirect;
+    redirect.mRedirectZone =
       RedirectZoneFor(aRequest, model->second, *config, group, now);
-    if (!away.mRedirectZone.empty()) {
-      return away;
+    if (!redirect.mRedirectZone.empty()) {
+      return redirect;
     }
     waiter->mGroup = key;
     waiter->mAdapter = aRequest.mAdapter;
     waiter->mMaxHold = aRequest.mMaxHold;
-    waiter->mCold = group.mServing.empty();
-    waiter->mAsked = now;
+    waiter->mCold = group.mServingReplicas.empty();
+    waiter->mLastPolled = now;
     QueuedRequest& item = waiter->mItem;
     item.mId = NextId(index);
     item.mTenant = aRequest.mTenant;
@@ -126,7 +126,7 @@
     if (waiter->mCold && !group.mLoading) {
       StartLoad(key, group, model->second, LoadNeed::Required, item.mStartBy);
     }
-    Pump(shard, key, now);
+    GrantWaiting(shard, key, now);
   }
   return WaitFor(shard, waiter);
 }
@@ -134,7 +134,7 @@
 Result<EngineSlotGrant>
 ModelOwner::Await(uint64_t aTicket)
 {
-  Shard& shard = ShardWith(aTicket);
+  Shard& shard = ShardOfId(aTicket);
   WaiterPtr waiter;
   {
     std::lock_guard<std::mutex> lock(shard.mLock);
@@ -143,7 +143,7 @@
       return Fail(ErrorKind::NoEndpoint, "the owner has dropped the request");
     }
     waiter = found->second;
-    waiter->mAsked = mClock.Now();
+    waiter->mLastPolled = mClock.Now();
   }
   return WaitFor(shard, waiter);
 }
@@ -154,19 +154,19 @@
   EngineSlotGrant grant;
   {
     std::unique_lock<std::mutex> lock(aShard.mLock);
-    auto settled = [&] { return aWaiter->mGranted || aWaiter->mRefused; };
+    auto resolved = [&] { return aWaiter->mGranted || aWaiter->mRefused; };
     TimePoint now = mClock.Now();
     Millis left =
       std::chrono::duration_cast<Millis>(aWaiter->mItem.mStartBy - now);
     aWaiter->mWake.wait_for(
-      lock, std::clamp(left, Millis(0), kMaxPollWait), settled);
+      lock, std::clamp(left, Millis(0), kMaxPollWait), resolved);
     now = mClock.Now();
-    if (!settled() && now >= aWaiter->mItem.mStartBy) {
+    if (!resolved() && now >= aWaiter->mItem.mStartBy) {
       Refuse(aShard,
              aWaiter->mItem.mId,
              FailureOf(ErrorKind::DeadlinePassed, "its time passed waiting"));
     }
-    if (!settled()) {
+    if (!resolved()) {
       grant.mTicket = aWaiter->mItem.mId;
       return grant;
     }
@@ -174,7 +174,8 @@
     if (aWaiter->mRefused) {
       return Fail(aWaiter->mFailure);
     }
-    aShard.mPlaces[aWaiter->mEngineSlotId].mReclaimAt = now + aWaiter->mMaxHold;
+    aShard.mHeldSlots[aWaiter->mEngineSlotId].mReclaimAt =
+      now + aWaiter->mMaxHold;
   }
   if (!aWaiter->mAdapter.empty()) {
     auto failure = FailureIn([&] {
@@ -204,9 +205,9 @@
   constexpr Millis kAdapterTime{ 1500 };
   {
     std::lock_guard<std::mutex> lock(aShard.mLock);
-    ServingReplica* serving =
+    ServingReplica* replica =
       ModelGroupReplicaAt(aShard.mGroups[aKey], aEndpoint.mName);
-    if (serving && serving->mAdapters.count(aAdapter)) {
+    if (replica && replica->mAdapters.count(aAdapter)) {
       return {};
     }
   }
@@ -218,22 +219,22 @@
   BOOST_LEAF_CHECK(mLoader.EnsureAdapter(
     aEndpoint, adapter->second, mClock.Now() + kAdapterTime));
   std::lock_guard<std::mutex> lock(aShard.mLock);
-  ServingReplica* serving =
+  ServingReplica* replica =
     ModelGroupReplicaAt(aShard.mGroups[aKey], aEndpoint.mName);
-  if (serving) {
-    serving->mAdapters.insert(aAdapter);
+  if (replica) {
+    replica->mAdapters.insert(aAdapter);
   }
   return {};
 }
 
 bool
-ModelOwner::Give(Shard& aShard,
-                 const std::string& aKey,
-                 ServingReplica& aServing,
-                 TimePoint aNow)
+ModelOwner::GrantNext(Shard& aShard,
+                      const std::string& aKey,
+                      ServingReplica& aReplica,
+                      TimePoint aNow)
 {
   auto item =
-    aShard.mGroups[aKey].mQueue.Next(ModelGroupAdmissibleClass(aServing));
+    aShard.mGroups[aKey].mQueue.Next(ModelGroupAdmissibleClass(aReplica));
   if (!item) {
     return false;
   }
@@ -242,15 +243,15 @@
     return true;
   }
   SlotWaiter& waiter = *found->second;
-  ++aServing.mInFlight;
+  ++aReplica.mInFlight;
   if (item->mClass == RequestClass::Batch) {
-    ++aServing.mBatchInFlight;
+    ++aReplica.mBatchInFlight;
   }
   waiter.mEngineSlotId = NextId(ShardOf(aKey));
-  aShard.mPlaces[waiter.mEngineSlotId] = {
-    aKey, aServing.mEndpoint.mName, item->mClass, aNow, aNow + kPollTimeout
+  aShard.mHeldSlots[waiter.mEngineSlotId] = {
+    aKey, aReplica.mEndpoint.mName, item->mClass, aNow, aNow + kPollTimeout
   };
-  waiter.mEndpoint = aServing.mEndpoint;
+  waiter.mEndpoint = aReplica.mEndpoint;
   waiter.mGranted = true;
   waiter.mWake.notify_all();
   return true;
@@ -271,7 +272,7 @@
 }
 
 void
-ModelOwner::Pump(Shard& aShard, const std::string& aKey, TimePoint aNow)
+ModelOwner::GrantWaiting(Shard& aShard, const std::string& aKey, TimePoint aNow)
 {
   ModelGroup& group = aShard.mGroups[aKey];
   for (const QueuedRequest& late : group.mQueue.Expire(aNow)) {
@@ -279,38 +280,38 @@
            late.mId,
            FailureOf(ErrorKind::DeadlinePassed, "its time passed waiting"));
   }
-  while (ServingReplica* serving = ModelGroupLeastLoaded(group)) {
-    if (!Give(aShard, aKey, *serving, aNow)) {
+  while (ServingReplica* replica = ModelGroupLeastLoaded(group)) {
+    if (!GrantNext(aShard, aKey, *replica, aNow)) {
       return;
     }
   }
 }
 
 void
-ModelOwner::ReleaseSlot(const EngineSlotRelease& aReturn)
+ModelOwner::ReleaseSlot(const EngineSlotRelease& aRelease)
 {
-  Shard& shard = ShardWith(aReturn.mEngineSlotId);
+  Shard& shard = ShardOfId(aRelease.mEngineSlotId);
   TimePoint now = mClock.Now();
   std::lock_guard<std::mutex> lock(shard.mLock);
-  auto found = shard.mPlaces.find(aReturn.mEngineSlotId);
-  if (found == shard.mPlaces.end()) {
+  auto found = shard.mHeldSlots.find(aRelease.mEngineSlotId);
+  if (found == shard.mHeldSlots.end()) {
     return; // given back already, or taken back
   }
-  HeldEngineSlot place = found->second;
-  shard.mPlaces.erase(found);
-  ModelGroup& group = shard.mGroups[place.mGroup];
-  ServingReplica* serving = ModelGroupReplicaAt(group, place.mEndpoint);
-  if (serving) {
-    --serving->mInFlight;
-    serving->mBatchInFlight -= place.mClass == RequestClass::Batch ? 1 : 0;
+  HeldEngineSlot slot = found->second;
+  shard.mHeldSlots.erase(found);
+  ModelGroup& group = shard.mGroups[slot.mGroup];
+  ServingReplica* replica = ModelGroupReplicaAt(group, slot.mEndpoint);
+  if (replica) {
+    --replica->mInFlight;
+    replica->mBatchInFlight -= slot.mClass == RequestClass::Batch ? 1 : 0;
     double seconds =
-      std::chrono::duration<double>(now - place.mGrantedAt).count();
-    ModelGroupRecordRate(group, *serving, aReturn.mTokens, seconds);
+      std::chrono::duration<double>(now - slot.mGrantedAt).count();
+    ModelGroupRecordRate(group, *replica, aRelease.mTokens, seconds);
   }
-  if (serving && (aReturn.mGone || aReturn.mFailed)) {
-    DropReplica(shard, place, now);
+  if (replica && (aRelease.mGone || aRelease.mFailed)) {
+    DropReplica(shard, slot, now);
   }
-  Pump(shard, place.mGroup, now);
+  GrantWaiting(shard, slot.mGroup, now);
 }
 
 } // namespace caraway
--- a/src/own/ModelOwner.h
+++ b/src/own/ModelOwner.h
@@ -40,7 +40,7 @@
   // call would not notice that its owner is frozen.
   Result<EngineSlotGrant> Acquire(const EngineSlotRequest& aRequest);
   Result<EngineSlotGrant> Await(uint64_t aTicket);
-  void ReleaseSlot(const EngineSlotRelease& aReturn);
+  void ReleaseSlot(const EngineSlotRelease& aRelease);
 
   // Takes back places whose holders have died, drops waiting requests whose
   // fronts no longer ask, refuses what is overdue.
@@ -58,9 +58,9 @@
   struct Shard
   {
     mutable std::mutex mLock;
-    std::map<std::string, ModelGroup> mGroups;  // by model and version
-    std::map<uint64_t, WaiterPtr> mWaiters;     // by ticket
-    std::map<uint64_t, HeldEngineSlot> mPlaces; // by place
+    std::map<std::string, ModelGroup> mGroups;     // by model and version
+    std::map<uint64_t, WaiterPtr> mWaiters;        // by ticket
+    std::map<uint64_t, HeldEngineSlot> mHeldSlots; // by place
   };
   static constexpr size_t kShards = 16;
 
@@ -73,28 +73,28 @@
                               TimePoint aNow);
   // Numbers carry their shard, so that whoever brings one back finds it.
   uint64_t NextId(size_t aShard);
-  Shard& ShardWith(uint64_t aId) { return mShards[aId % kShards]; }
+  Shard& ShardOfId(uint64_t aId) { return mShards[aId % kShards]; }
   Result<EngineSlotGrant> WaitFor(Shard& aShard, const WaiterPtr& aWaiter);
-  void Pump(Shard& aShard, const std::string& aKey, TimePoint aNow);
-  bool Give(Shard& aShard,
-            const std::string& aKey,
-            ServingReplica& aServing,
-            TimePoint aNow);
-  void DropReplica(Shard& aShard, const HeldEngineSlot& aPlace, TimePoint aNow);
+  void GrantWaiting(Shard& aShard, const std::string& aKey, TimePoint aNow);
+  bool GrantNext(Shard& aShard,
+                 const std::string& aKey,
+                 ServingReplica& aReplica,
+                 TimePoint aNow);
+  void DropReplica(Shard& aShard, const HeldEngineSlot& aSlot, TimePoint aNow);
   void Refuse(Shard& aShard, uint64_t aTicket, const Failure& aFailure);
   void StartLoad(const std::string& aKey,
                  ModelGroup& aGroup,
                  const ModelSpec& aModel,
                  LoadNeed aNeed,
                  TimePoint aUntil);
-  void LoadJob(const std::string& aKey,
+  void RunLoad(const std::string& aKey,
                const ModelSpec& aModel,
                LoadNeed aNeed,
                TimePoint aUntil);
-  void LoadFailed(const std::string& aKey,
-                  const ModelSpec& aModel,
-                  LoadNeed aNeed,
-                  const Failure& aFailure);
+  void OnLoadFailed(const std::string& aKey,
+                    const ModelSpec& aModel,
+                    LoadNeed aNeed,
+                    const Failure& aFailure);
   Result<void> EnsureAdapterLoaded(Shard& aShard,
                                    const std::string& aKey,
                                    const EndpointSpec& aEndpoint,
--- a/src/own/ModelOwnerUpkeep.cpp
+++ b/src/own/ModelOwnerUpkeep.cpp
@@ -11,28 +11,28 @@
 // look at once where it is or can be loaded.
 void
 ModelOwner::DropReplica(Shard& aShard,
-                        const HeldEngineSlot& aPlace,
+                        const HeldEngineSlot& aSlot,
                         TimePoint aNow)
 {
   constexpr Seconds kReload{ 30 };
-  ModelGroup& group = aShard.mGroups[aPlace.mGroup];
-  auto& servings = group.mServing;
-  servings.erase(std::remove_if(servings.begin(),
-                                servings.end(),
-                                [&](const ServingReplica& aServing) {
-                                  return aServing.mEndpoint.mName ==
-                                         aPlace.mEndpoint;
+  ModelGroup& group = aShard.mGroups[aSlot.mGroup];
+  auto& replicas = group.mServingReplicas;
+  replicas.erase(std::remove_if(replicas.begin(),
+                                replicas.end(),
+                                [&](const ServingReplica& aReplica) {
+                                  return aReplica.mEndpoint.mName ==
+                                         aSlot.mEndpoint;
                                 }),
-                 servings.end());
-  if (!servings.empty() || group.mQueue.Size() == 0 || group.mLoading) {
+                 replicas.end());
+  if (!replicas.empty() || group.mQueue.Size() == 0 || group.mLoading) {
     return;
   }
   ConfigPtr config = mConfig.Current();
   auto model =
-    config->mModels.find(aPlace.mGroup.substr(0, aPlace.mGroup.find('|')));
+    config->mModels.find(aSlot.mGroup.substr(0, aSlot.mGroup.find('|')));
   if (model != config->mModels.end()) {
     StartLoad(
-      aPlace.mGroup, group, model->second, LoadNeed::Required, aNow + kReload);
+      aSlot.mGroup, group, model->second, LoadNeed::Required, aNow + kReload);
   }
 }
 
@@ -46,15 +46,15 @@
   aGroup.mLoading = true;
   aGroup.mLoadBegan = mClock.Now();
   mWorkers.Submit([this, aKey, aModel, aNeed, aUntil] {
-    LoadJob(aKey, aModel, aNeed, aUntil);
+    RunLoad(aKey, aModel, aNeed, aUntil);
   });
 }
 
 void
-ModelOwner::LoadFailed(const std::string& aKey,
-                       const ModelSpec& aModel,
-                       LoadNeed aNeed,
-                       const Failure& aFailure)
+ModelOwner::OnLoadFailed(const std::string& aKey,
+                         const ModelSpec& aModel,
+                         LoadNeed aNeed,
+                         const Failure& aFailure)
 {
   LogWarn("model_not_loaded",
           { { "model", aModel.mName }, { "reason", aFailure.mDetail } });
@@ -78,7 +78,7 @@
 }
 
 void
-ModelOwner::LoadJob(const std::string& aKey,
+ModelOwner::RunLoad(const std::string& aKey,
                     const ModelSpec& aModel,
                     LoadNeed aNeed,
                     TimePoint aUntil)
@@ -96,7 +96,7 @@
   TimePoint now = mClock.Now();
   group.mLoading = false;
   if (auto* failure = std::get_if<Failure>(&loaded)) {
-    LoadFailed(aKey, aModel, aNeed, *failure);
+    OnLoadFailed(aKey, aModel, aNeed, *failure);
     return;
   }
   const EndpointSpec& endpoint = std::get<EndpointSpec>(loaded);
@@ -106,11 +106,11 @@
             { "endpoint", endpoint.mName },
             { "ms", std::to_string(group.mLoadTime.count()) } });
   if (!ModelGroupReplicaAt(group, endpoint.mName)) {
-    ServingReplica serving;
-    serving.mEndpoint = endpoint;
-    group.mServing.push_back(serving);
+    ServingReplica replica;
+    replica.mEndpoint = endpoint;
+    group.mServingReplicas.push_back(replica);
   }
-  Pump(shard, aKey, now);
+  GrantWaiting(shard, aKey, now);
 }
 
 // Endpoints that were taken out of the configuration, or moved, get no new
@@ -118,17 +118,17 @@
 void
 ModelOwner::PruneReplicas(const ConfigSnapshot& aConfig)
 {
-  auto leaves = [&](const ServingReplica& aServing) {
-    auto endpoint = aConfig.mEndpoints.find(aServing.mEndpoint.mName);
+  auto removed = [&](const ServingReplica& aReplica) {
+    auto endpoint = aConfig.mEndpoints.find(aReplica.mEndpoint.mName);
     return endpoint == aConfig.mEndpoints.end() ||
-           endpoint->second.mAddress != aServing.mEndpoint.mAddress;
+           endpoint->second.mAddress != aReplica.mEndpoint.mAddress;
   };
   for (Shard& shard : mShards) {
     std::lock_guard<std::mutex> lock(shard.mLock);
     for (auto& entry : shard.mGroups) {
-      auto& servings = entry.second.mServing;
-      servings.erase(std::remove_if(servings.begin(), servings.end(), leaves),
-                     servings.end());
+      auto& replicas = entry.second.mServingReplicas;
+      replicas.erase(std::remove_if(replicas.begin(), replicas.end(), removed),
+                     replicas.end());
     }
   }
 }
@@ -142,32 +142,32 @@
     mPrunedRevision = config->mRevision;
   }
   TimePoint now = mClock.Now();
-  std::vector<uint64_t> overdue;
+  std::vector<uint64_t> overdueSlots;
   for (Shard& shard : mShards) {
     std::lock_guard<std::mutex> lock(shard.mLock);
-    std::vector<uint64_t> silent;
+    std::vector<uint64_t> abandoned;
     for (const auto& waiter : shard.mWaiters) {
-      if (now - waiter.second->mAsked > kPollTimeout) {
-        silent.push_back(waiter.first);
+      if (now - waiter.second->mLastPolled > kPollTimeout) {
+        abandoned.push_back(waiter.first);
       }
     }
-    for (uint64_t ticket : silent) {
+    for (uint64_t ticket : abandoned) {
       Refuse(shard, ticket, FailureOf(ErrorKind::NoEndpoint, "not asked for"));
       shard.mWaiters.erase(ticket);
     }
     for (auto& entry : shard.mGroups) {
       if (entry.second.mQueue.Size() > 0) {
-        Pump(shard, entry.first, now);
+        GrantWaiting(shard, entry.first, now);
       }
     }
-    for (const auto& place : shard.mPlaces) {
-      if (place.second.mReclaimAt < now) {
-        overdue.push_back(place.first);
+    for (const auto& slot : shard.mHeldSlots) {
+      if (slot.second.mReclaimAt < now) {
+        overdueSlots.push_back(slot.first);
       }
     }
   }
-  for (uint64_t place : overdue) {
-    ReleaseSlot({ place, 0, false, false });
+  for (uint64_t slot : overdueSlots) {
+    ReleaseSlot({ slot, 0, false, false });
   }
 }
 
@@ -177,7 +177,7 @@
   size_t busy = 0;
   for (const Shard& shard : mShards) {
     std::lock_guard<std::mutex> lock(shard.mLock);
-    busy += shard.mWaiters.size() + shard.mPlaces.size();
+    busy += shard.mWaiters.size() + shard.mHeldSlots.size();
   }
   return busy;
 }
--- a/src/own/PlacementCodec.cpp
+++ b/src/own/PlacementCodec.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 
-constexpr const char* kStates[] = { "loading", "ready", "unloading" };
+constexpr const char* kStateNames[] = { "loading", "ready", "unloading" };
 
 ReplicaState
 StateOf(const std::string& aName)
 {
   for (int i = 0; i < 3; ++i) {
-    if (aName == kStates[i]) {
+    if (aName == kStateNames[i]) {
       return static_cast<ReplicaState>(i);
     }
   }
@@ -19,7 +19,7 @@
 }
 
 std::vector<std::string>
-Texts(const Json::Value& aJson)
+Strings(const Json::Value& aJson)
 {
   std::vector<std::string> texts;
   for (const Json::Value& entry : aJson) {
@@ -69,7 +69,7 @@
     entry["version"] = replica.mVersion;
     entry["base"] = replica.mBase;
     entry["bytes"] = Json::Int64(replica.mBytes);
-    entry["state"] = kStates[static_cast<int>(replica.mState)];
+    entry["state"] = kStateNames[static_cast<int>(replica.mState)];
     entry["fence"] = Json::Int64(replica.mFencingToken);
     entry["decision"] = replica.mDecision;
     entry["copies"] = replica.mLoadOrdersSent;
@@ -96,8 +96,8 @@
     replica.mIdle = Millis(entry["idle_ms"].asInt64());
     report.mReplicas.push_back(replica);
   }
-  report.mCachedInMemory = Texts(aJson["cached_memory"]);
-  report.mCachedOnDisk = Texts(aJson["cached_disk"]);
+  report.mCachedInMemory = Strings(aJson["cached_memory"]);
+  report.mCachedOnDisk = Strings(aJson["cached_disk"]);
   return report;
 }
 
--- a/src/own/PlacementStore.cpp
+++ b/src/own/PlacementStore.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr const char* kKind = "placement";
-constexpr int kTries = 5;
+constexpr int kMaxAttempts = 5;
 
 std::string
 NameOf(const EndpointSpec& aEndpoint)
@@ -17,7 +17,7 @@
 }
 
 StoredPlacement
-Empty(const EndpointSpec& aEndpoint)
+NewRecord(const EndpointSpec& aEndpoint)
 {
   StoredPlacement stored;
   stored.mRecord.mEndpoint = aEndpoint.mName;
@@ -28,9 +28,9 @@
 
 // Memory and fencing are the operators' to say; the rest is ours.
 StoredPlacement
-Stored(const EndpointSpec& aEndpoint,
-       const PlatformObject& aObject,
-       TimePoint aAsOf)
+FromObject(const EndpointSpec& aEndpoint,
+           const PlatformObject& aObject,
+           TimePoint aAsOf)
 {
   StoredPlacement stored;
   stored.mRecord = PlacementParse(aObject.mValue);
@@ -52,16 +52,16 @@
 Result<StoredPlacement>
 PlacementStore::Read(const EndpointSpec& aEndpoint)
 {
-  TimePoint asked = mClock.Now();
+  TimePoint readAt = mClock.Now();
   auto object =
     Outcome([&] { return mPlatform.Read(kKind, NameOf(aEndpoint)); });
   if (auto* failure = std::get_if<Failure>(&object)) {
     if (failure->mKind == ErrorKind::NotFound) {
-      return Empty(aEndpoint);
+      return NewRecord(aEndpoint);
     }
     return Fail(*failure);
   }
-  return Stored(aEndpoint, std::get<PlatformObject>(object), asked);
+  return FromObject(aEndpoint, std::get<PlatformObject>(object), readAt);
 }
 
 Result<std::vector<StoredPlacement>>
@@ -71,14 +71,14 @@
   if (aEndpoints.empty()) {
     return records;
   }
-  TimePoint asked = mClock.Now();
+  TimePoint readAt = mClock.Now();
   BOOST_LEAF_AUTO(objects,
                   mPlatform.List(kKind, aEndpoints.front().mZone + "."));
   for (const EndpointSpec& endpoint : aEndpoints) {
-    StoredPlacement stored = Empty(endpoint);
+    StoredPlacement stored = NewRecord(endpoint);
     for (const PlatformObject& object : objects) {
       if (object.mName == NameOf(endpoint)) {
-        stored = Stored(endpoint, object, asked);
+        stored = FromObject(endpoint, object, readAt);
       }
     }
     records.push_back(std::move(stored));
@@ -91,7 +91,7 @@
                         StoredPlacement& aStored,
                         const PlacementRecord& aNext)
 {
-  TimePoint asked = mClock.Now();
+  TimePoint readAt = mClock.Now();
   WriteResult result = mPlatform.Write({ kKind,
                                          NameOf(aEndpoint),
                                          aStored.mVersion,
@@ -100,7 +100,7 @@
   bool known =
     result.mEnd == WriteOutcome::Done || result.mEnd == WriteOutcome::Conflict;
   if (known) {
-    aStored = Stored(aEndpoint, result.mObject, asked);
+    aStored = FromObject(aEndpoint, result.mObject, readAt);
   }
   return result.mEnd;
 }
@@ -110,14 +110,14 @@
                        StoredPlacement& aStored,
                        const std::function<bool(PlacementRecord&)>& aChange)
 {
-  for (int i = 0; i < kTries; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     PlacementRecord next = aStored.mRecord;
     if (!aChange(next)) {
       return false;
     }
-    WriteOutcome end = Replace(aEndpoint, aStored, next);
-    if (end != WriteOutcome::Conflict) {
-      return end == WriteOutcome::Done;
+    WriteOutcome outcome = Replace(aEndpoint, aStored, next);
+    if (outcome != WriteOutcome::Conflict) {
+      return outcome == WriteOutcome::Done;
     }
   }
   return false;
--- a/src/own/StoreGate.cpp
+++ b/src/own/StoreGate.cpp
@@ -8,11 +8,11 @@
 
 constexpr const char* kOwnerKey = "store-gate";
 constexpr const char* kZoneOnly = "zone_only"; // of a question
-constexpr Millis kAskTime{ 300 };
+constexpr Millis kRequestTimeout{ 300 };
 constexpr Millis kPollAfterNoReply{ 100 };
 
 Json::Value
-QuestionJson(const LoadGateRequest& aRequest)
+RequestJson(const LoadGateRequest& aRequest)
 {
   Json::Value json;
   json["id"] = aRequest.mId;
@@ -22,18 +22,18 @@
 }
 
 LoadGateRequest
-QuestionParse(const Json::Value& aJson)
+RequestParse(const Json::Value& aJson)
 {
-  LoadGateRequest question;
-  question.mId = aJson["id"].asString();
-  RequestClassParse(aJson["class"].asString(), question.mClass);
-  question.mAlreadyAdmitted = aJson["inside"].asBool();
-  return question;
+  LoadGateRequest request;
+  request.mId = aJson["id"].asString();
+  RequestClassParse(aJson["class"].asString(), request.mClass);
+  request.mAlreadyAdmitted = aJson["inside"].asBool();
+  return request;
 }
 
 // Nobody could be asked: whoever is in stays in.
 LoadGateReply
-Later(const LoadGateRequest& aRequest)
+RetryLater(const LoadGateRequest& aRequest)
 {
   return { aRequest.mAlreadyAdmitted, kPollAfterNoReply };
 }
@@ -45,11 +45,11 @@
 {
   int zones = std::max(1, aSettings.mZones);
   double part = static_cast<double>(std::min(aZones, zones)) / zones;
-  LoadGateParameters terms;
-  terms.mMaxConcurrent =
+  LoadGateParameters limits;
+  limits.mMaxConcurrent =
     std::max(1, static_cast<int>(aSettings.mAtOnce * part));
-  terms.mStartsPerSecond = std::max(1.0, aSettings.mStarts * part);
-  return terms;
+  limits.mStartsPerSecond = std::max(1.0, aSettings.mStarts * part);
+  return limits;
 }
 
 StoreGate::StoreGate(StoreGateSettings aSettings,
@@ -65,24 +65,24 @@
 }
 
 LoadGateReply
-StoreGate::Ask(const LoadGateRequest& aRequest)
+StoreGate::Acquire(const LoadGateRequest& aRequest)
 {
   InstanceInfo owner = mMembers.FleetOwner(kOwnerKey);
   if (owner.mId == mMembers.Self().mId) {
     return AdmitLocally(mMembers.AvailableZoneCount(), aRequest);
   }
-  if (auto answer = QueryGate(owner, QuestionJson(aRequest))) {
-    return *answer;
+  if (auto reply = QueryGate(owner, RequestJson(aRequest))) {
+    return *reply;
   }
   // It may have stalled for a moment, and hold the places it gave. Letting
   // ourselves in, and everyone else who asked it, would make the store slow
   // for all. A load takes seconds; a second question costs it half of one.
-  return mMembers.IsAvailablePeer(owner.mId) ? Later(aRequest)
-                                             : AskZone(aRequest);
+  return mMembers.IsAvailablePeer(owner.mId) ? RetryLater(aRequest)
+                                             : QueryZoneGate(aRequest);
 }
 
 LoadGateReply
-StoreGate::AskZone(const LoadGateRequest& aRequest)
+StoreGate::QueryZoneGate(const LoadGateRequest& aRequest)
 {
   InstanceInfo owner = mMembers.Owner(kOwnerKey);
   if (owner.mId == mMembers.Self().mId) {
@@ -92,19 +92,20 @@
     std::lock_guard<std::mutex> lock(mLock);
     mZoneRequests.insert(aRequest.mId);
   }
-  Json::Value question = QuestionJson(aRequest);
-  question[kZoneOnly] = true;
-  auto answer = QueryGate(owner, question);
-  return answer ? *answer : Later(aRequest);
+  Json::Value request = RequestJson(aRequest);
+  request[kZoneOnly] = true;
+  auto reply = QueryGate(owner, request);
+  return reply ? *reply : RetryLater(aRequest);
 }
 
 std::optional<LoadGateReply>
 StoreGate::QueryGate(const InstanceInfo& aOwner, const Json::Value& aRequest)
 {
-  auto answer = Outcome([&] {
-    return mPeers.Call(aOwner.mPeerAddress, "load.ask", aRequest, kAskTime);
+  auto reply = Outcome([&] {
+    return mPeers.Call(
+      aOwner.mPeerAddress, "load.ask", aRequest, kRequestTimeout);
   });
-  auto* json = std::get_if<Json::Value>(&answer);
+  auto* json = std::get_if<Json::Value>(&reply);
   if (!json) {
     mMembers.Silent(aOwner.mPeerAddress);
     return std::nullopt;
@@ -126,16 +127,16 @@
 }
 
 void
-StoreGate::Leave(const std::string& aId)
+StoreGate::Release(const std::string& aId)
 {
-  bool askedZone = false;
+  bool askedZoneGate = false;
   {
     std::lock_guard<std::mutex> lock(mLock);
     LoadGateRelease(mGate, aId);
-    askedZone = mZoneRequests.erase(aId) > 0;
+    askedZoneGate = mZoneRequests.erase(aId) > 0;
   }
   ReleaseAt(mMembers.FleetOwner(kOwnerKey), aId);
-  if (askedZone) {
+  if (askedZoneGate) {
     ReleaseAt(mMembers.Owner(kOwnerKey), aId);
   }
 }
@@ -149,7 +150,8 @@
   Json::Value params;
   params["id"] = aId;
   Outcome([&] {
-    return mPeers.Call(aOwner.mPeerAddress, "load.leave", params, kAskTime);
+    return mPeers.Call(
+      aOwner.mPeerAddress, "load.leave", params, kRequestTimeout);
   });
 }
 
@@ -161,10 +163,11 @@
   std::unique_lock<std::mutex> lock(mAdapterLock);
   auto left = std::max(
     Millis(0), std::chrono::duration_cast<Millis>(aUntil - mClock.Now()));
-  if (!mAdapterFree.wait_for(lock, left, [&] { return mAdapters < part; })) {
+  if (!mAdapterReleased.wait_for(
+        lock, left, [&] { return mAdaptersInFlight < part; })) {
     return false;
   }
-  ++mAdapters;
+  ++mAdaptersInFlight;
   return true;
 }
 
@@ -173,9 +176,9 @@
 {
   {
     std::lock_guard<std::mutex> lock(mAdapterLock);
-    --mAdapters;
+    --mAdaptersInFlight;
   }
-  mAdapterFree.notify_one();
+  mAdapterReleased.notify_one();
 }
 
 void
@@ -183,10 +186,10 @@
 {
   aAdd("load.ask", [this](const Json::Value& aParams) {
     int zones = aParams[kZoneOnly].asBool() ? 1 : mMembers.AvailableZoneCount();
-    LoadGateReply answer = AdmitLocally(zones, QuestionParse(aParams));
+    LoadGateReply reply = AdmitLocally(zones, RequestParse(aParams));
     Json::Value json;
-    json["in"] = answer.mHasPermit;
-    json["again"] = Json::Int64(answer.mPollAfter.count());
+    json["in"] = reply.mHasPermit;
+    json["again"] = Json::Int64(reply.mPollAfter.count());
     return json;
   });
   aAdd("load.leave", [this](const Json::Value& aParams) {
--- a/src/own/StoreGate.h
+++ b/src/own/StoreGate.h
@@ -34,9 +34,9 @@
 
   // Asks two gates in turn at most, 300 ms each. Not answered, the load waits
   // and is to ask again.
-  LoadGateReply Ask(const LoadGateRequest& aRequest);
+  LoadGateReply Acquire(const LoadGateRequest& aRequest);
   // Unsaid, the place would be free a lease later.
-  void Leave(const std::string& aId);
+  void Release(const std::string& aId);
 
   // An adapter takes some milliseconds to arrive, less than a question to a
   // gate is worth: each instance keeps to its part of the fleet's limit. False
@@ -51,7 +51,7 @@
   // Nothing when aOwner doesn't answer.
   std::optional<LoadGateReply> QueryGate(const InstanceInfo& aOwner,
                                          const Json::Value& aRequest);
-  LoadGateReply AskZone(const LoadGateRequest& aRequest);
+  LoadGateReply QueryZoneGate(const LoadGateRequest& aRequest);
   void ReleaseAt(const InstanceInfo& aOwner, const std::string& aId);
   // From our own gate, for so many of the fleet's zones.
   LoadGateReply AdmitLocally(int aZones, const LoadGateRequest& aRequest);
@@ -64,8 +64,8 @@
   LoadGate mGate;
   std::set<std::string> mZoneRequests; // ids of loads that asked their zone's
   std::mutex mAdapterLock;
-  std::condition_variable mAdapterFree;
-  int mAdapters = 0; // in flight from here
+  std::condition_variable mAdapterReleased;
+  int mAdaptersInFlight = 0; // in flight from here
 };
 
 } // namespace caraway
--- a/tests/unit/ModelGroupTest.cpp
+++ b/tests/unit/ModelGroupTest.cpp
@@ -9,29 +9,29 @@
 // that was kept for it; without that, four of five bulletins were refused.
 TEST(ModelGroup, TheLastPlaceIsForBulletins)
 {
-  ServingReplica serving;
-  serving.mEndpoint.mSlots = 8;
-  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Batch);
-  serving.mInFlight = 6;
-  serving.mBatchInFlight = 6;
-  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Interactive);
-  serving.mBatchInFlight = 0;
-  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Batch);
-  serving.mInFlight = 7;
-  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Urgent);
+  ServingReplica replica;
+  replica.mEndpoint.mSlots = 8;
+  EXPECT_EQ(ModelGroupAdmissibleClass(replica), RequestClass::Batch);
+  replica.mInFlight = 6;
+  replica.mBatchInFlight = 6;
+  EXPECT_EQ(ModelGroupAdmissibleClass(replica), RequestClass::Interactive);
+  replica.mBatchInFlight = 0;
+  EXPECT_EQ(ModelGroupAdmissibleClass(replica), RequestClass::Batch);
+  replica.mInFlight = 7;
+  EXPECT_EQ(ModelGroupAdmissibleClass(replica), RequestClass::Urgent);
 }
 
 // An engine with one place serves every class with it.
 TEST(ModelGroup, FewPlacesAreNotKeptIdle)
 {
-  ServingReplica serving;
-  serving.mEndpoint.mSlots = 1;
-  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Batch);
-  serving.mEndpoint.mSlots = 2;
-  serving.mInFlight = 1;
-  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Batch);
-  serving.mBatchInFlight = 1;
-  EXPECT_EQ(ModelGroupAdmissibleClass(serving), RequestClass::Interactive);
+  ServingReplica replica;
+  replica.mEndpoint.mSlots = 1;
+  EXPECT_EQ(ModelGroupAdmissibleClass(replica), RequestClass::Batch);
+  replica.mEndpoint.mSlots = 2;
+  replica.mInFlight = 1;
+  EXPECT_EQ(ModelGroupAdmissibleClass(replica), RequestClass::Batch);
+  replica.mBatchInFlight = 1;
+  EXPECT_EQ(ModelGroupAdmissibleClass(replica), RequestClass::Interactive);
 }
 
 } // namespace caraway
--- a/tests/unit/StoreGateTest.cpp
+++ b/tests/unit/StoreGateTest.cpp
@@ -57,9 +57,9 @@
       return Json::Value(Json::objectValue);
     });
     mOwner.mPort.Serve();
-    for (GateNode* node : { &mNear0, &mNear1 }) {
+    for (GateNode* node : { &mNode0, &mNode1 }) {
       node->Serve();
-      for (GateNode* other : { &mNear0, &mNear1, &mOwner }) {
+      for (GateNode* other : { &mNode0, &mNode1, &mOwner }) {
         node->mMembers->Heard(other->mInfo);
       }
     }
@@ -72,13 +72,13 @@
   }
   bool Ask(GateNode& aNode, const std::string& aId, bool aInside = false)
   {
-    return aNode.mGate->Ask({ aId, RequestClass::Interactive, aInside })
+    return aNode.mGate->Acquire({ aId, RequestClass::Interactive, aInside })
       .mHasPermit;
   }
 
   PausedClock mClock;
-  GateNode mNear0{ "i0", "mendoza-a", mClock };
-  GateNode mNear1{ "i1", "mendoza-a", mClock };
+  GateNode mNode0{ "i0", "mendoza-a", mClock };
+  GateNode mNode1{ "i1", "mendoza-a", mClock };
   GateNode mOwner{ "i2", "uspallata-b", mClock };
   std::mutex mLock;
   std::condition_variable mResume;
@@ -92,9 +92,9 @@
 // the owner let in. They are told to ask again; one that is in stays in.
 TEST_F(StalledGate, AMomentLetsNobodyElseIn)
 {
-  EXPECT_TRUE(Ask(mNear0, "inside", true));
+  EXPECT_TRUE(Ask(mNode0, "inside", true));
   for (const char* id : { "a", "b", "c" }) {
-    EXPECT_FALSE(Ask(mNear0, id)) << id;
+    EXPECT_FALSE(Ask(mNode0, id)) << id;
   }
 }
 
@@ -104,7 +104,7 @@
 {
   int in = 0;
   for (int round = 0; round < 4; ++round) {
-    for (GateNode* node : { &mNear0, &mNear1 }) {
+    for (GateNode* node : { &mNode0, &mNode1 }) {
       in += Ask(*node, node->mInfo.mId + std::to_string(round)) ? 1 : 0;
     }
     mClock.Advance(Millis(400));
@@ -122,13 +122,14 @@
   node.mMembers->Heard({ "i1", "mendoza-a", "127.0.0.1:1", false });
   node.mMembers->Heard({ "i2", "uspallata-b", "127.0.0.1:2", false });
   constexpr size_t kPart = 30 / 3;
-  std::list<AdapterPermit> turns;
+  std::list<AdapterPermit> permits;
   for (size_t i = 0; i < kPart; ++i) {
-    EXPECT_TRUE(turns.emplace_back(node.mGate.get(), clock.Now()).In());
+    EXPECT_TRUE(
+      permits.emplace_back(node.mGate.get(), clock.Now()).HasPermit());
   }
-  EXPECT_FALSE(AdapterPermit(node.mGate.get(), clock.Now()).In());
-  turns.pop_front();
-  EXPECT_TRUE(AdapterPermit(node.mGate.get(), clock.Now()).In());
+  EXPECT_FALSE(AdapterPermit(node.mGate.get(), clock.Now()).HasPermit());
+  permits.pop_front();
+  EXPECT_TRUE(AdapterPermit(node.mGate.get(), clock.Now()).HasPermit());
 }
 
 } // namespace caraway
