--- a/src/own/AdapterPermit.h
+++ b/src/own/AdapterPermit.h
@@ -1,4 +1,4 @@
-// AdapterPermit.h: one adapter's way to an engine, given back at its end.
+// AdapterPermit.h: scoped permit to load one adapter.
 #ifndef caraway_own_AdapterPermit_h
 #define caraway_own_AdapterPermit_h
 
@@ -9,7 +9,7 @@
 class AdapterPermit
 {
 public:
-  // Waits until aUntil at most. Without a gate every adapter goes ahead.
+  // Waits until aUntil at most. Without a gate every adapter is admitted.
   AdapterPermit(StoreGate* aGate, TimePoint aUntil)
     : mGate(aGate)
     , mHasPermit(!aGate || aGate->AcquireAdapter(aUntil))
--- a/src/own/EndpointReconciler.cpp
+++ b/src/own/EndpointReconciler.cpp
@@ -66,8 +66,8 @@
                               EngineState& aState)
 {
   TimePoint now = mClock.Now();
-  // The record first, then the report: only a report younger than the record
-  // can say that something in it is gone.
+  // The record is read before the report: only a report younger than the record
+  // can show that one of its replicas is gone.
   if (aState.mReadAt == TimePoint{} ||
       now - aState.mReadAt > mSettings.mRereadInterval) {
     auto read = Outcome([&] { return mStore.Read(aEndpoint); });
@@ -93,7 +93,7 @@
   return aState.mFirstSeen.emplace(OrderStateKey(aReplica), aNow).first->second;
 }
 
-// False when the record turned out older than another's change.
+// False when another instance has changed the record since it was read.
 bool
 EndpointReconciler::ApplyReport(const EndpointSpec& aEndpoint,
                                 EngineState& aState,
@@ -139,7 +139,7 @@
     if (replica.mState == ReplicaState::Ready) {
       continue;
     }
-    // The decider itself is at it during the first moments of a load.
+    // At first the decider itself sends and resends the load order.
     Millis grace = replica.mState == ReplicaState::Loading
                      ? mSettings.mResendInterval
                      : Millis(0);
--- a/src/own/EndpointReconciler.h
+++ b/src/own/EndpointReconciler.h
@@ -1,4 +1,5 @@
-// EndpointReconciler.h: holds engines' reports against their records.
+// EndpointReconciler.h: reconciles engines' reports with their placement
+// records.
 #ifndef caraway_own_EndpointReconciler_h
 #define caraway_own_EndpointReconciler_h
 
@@ -16,18 +17,20 @@
 
 struct EndpointReconcilerSettings
 {
-  Millis mRereadInterval{ 10000 }; // record read again though nothing changed
+  Millis mRereadInterval{ 10000 }; // between reads of an unchanged record
   Millis mMaxOrderDelay{ 120000 }; // no order arrives later than this
-  Millis mResendInterval{ 5000 };  // an order seen without effect
-  Millis mIdleLimit{ 300000 };     // replica idle this long is unloaded, if it
-                                   // would have to come from the remote store
+  Millis mResendInterval{
+    5000
+  };                           // before an order without effect is sent again
+  Millis mIdleLimit{ 300000 }; // idle replicas are unloaded; shorter for
+                               // one cached near the engine
   LoadPlanParameters mParameters;
 };
 
-// Each engine is kept by one instance of its zone. It carries out what a
-// dead decider left behind, charges what nobody decided, and unloads what
-// has idled. Two keepers at once, or a frozen one that thaws, only repeat
-// orders whose numbers the record has given out.
+// Each engine is reconciled by one instance of its zone. It carries out
+// decisions whose decider died, charges replicas that nobody decided, and
+// unloads idle ones. Two reconcilers at once, or one that resumes after a
+// freeze, only repeat orders whose fencing tokens the record has issued.
 class EndpointReconciler
 {
 public:
@@ -39,7 +42,7 @@
                      Loader& aLoader,
                      const Clock& aClock);
 
-  // One look at every engine that is ours to keep.
+  // Reconciles every engine that this instance owns.
   void Round();
 
 private:
@@ -47,8 +50,7 @@
   {
     StoredPlacement mStored;
     TimePoint mReadAt{};
-    std::map<std::string, TimePoint>
-      mFirstSeen; // decision and state: first seen
+    std::map<std::string, TimePoint> mFirstSeen; // by OrderStateKey
     std::map<std::string, TimePoint> mLastSent;
   };
 
@@ -72,7 +74,7 @@
   Loader& mLoader;
   const Clock& mClock;
   std::map<std::string, EngineState>
-    mEngineStates; // used by the round's thread alone
+    mEngineStates; // used by Round()'s thread only
 };
 
 } // namespace caraway
--- a/src/own/EngineClient.cpp
+++ b/src/own/EngineClient.cpp
@@ -72,7 +72,8 @@
   call.mTimeout = kReportTimeout;
   HttpReply reply = mPool.Call(call);
   if (!reply.Ok()) {
-    return Fail(ErrorKind::NoEndpoint, "engine " + aAddress + " is silent");
+    return Fail(ErrorKind::NoEndpoint,
+                "engine " + aAddress + " does not answer");
   }
   return EngineReportParse(JsonParseOrEmpty(reply.mBody));
 }
--- a/src/own/EngineClient.h
+++ b/src/own/EngineClient.h
@@ -1,4 +1,4 @@
-// EngineClient.h: orders to engines, and their reports.
+// EngineClient.h: sends orders to engines and reads their reports.
 #ifndef caraway_own_EngineClient_h
 #define caraway_own_EngineClient_h
 
@@ -13,11 +13,11 @@
 
 enum class OrderOutcome
 {
-  Accepted,           // the engine answered; it has begun
-  Outdated,           // refused: it has taken a higher fencing number
-  InsufficientMemory, // refused: its memory
-  NotSent,            // no byte of it was offered
-  Unanswered,         // offered, no answer; may still arrive
+  Accepted,           // the engine confirmed and has begun
+  Outdated,           // refused: the engine has seen a higher fencing token
+  InsufficientMemory, // refused: too little memory
+  NotSent,            // no byte was sent
+  Unanswered,         // sent, no answer; may still be carried out
 };
 
 class EngineClient
@@ -25,7 +25,7 @@
 public:
   EngineClient();
 
-  // On a connection of its own, once.
+  // Sent once, on a connection of its own.
   OrderOutcome Load(const std::string& aAddress, const PlacedReplica& aReplica);
   OrderOutcome Unload(const std::string& aAddress,
                       const PlacedReplica& aReplica);
--- a/src/own/EngineSlotRequest.h
+++ b/src/own/EngineSlotRequest.h
@@ -1,4 +1,4 @@
-// EngineSlotRequest.h: asking a model's owner for a place at an engine.
+// EngineSlotRequest.h: requests to a model's owner for an engine slot.
 #ifndef caraway_own_EngineSlotRequest_h
 #define caraway_own_EngineSlotRequest_h
 
@@ -17,34 +17,33 @@
   std::string mAdapter; // "" = none
   std::string mTenant;
   RequestClass mClass = RequestClass::Interactive;
-  uint64_t mRequestDigest = 0; // digest of what is asked, to know a return by
-  double mTokens = 1;          // expected work
-  Millis mStartWithin{ 1400 }; // when the model is ready somewhere
-  Millis mColdWithin{ 30000 }; // when it has to be loaded
-  Millis mMaxHold{ 60000 };    // a place not given back by then is taken back
-  bool mNoRedirect = false;    // not to be sent to another zone
-  std::string mFailedZone;     // the home that didn't serve it; "" = none
-  bool mZoneSilent = false;    // it didn't answer, that is
+  uint64_t mRequestDigest = 0; // recognizes a retry
+  double mTokens = 1;          // expected cost
+  Millis mStartWithin{ 1400 }; // if a replica is ready
+  Millis mColdWithin{ 30000 }; // if the model must be loaded
+  Millis mMaxHold{ 60000 };    // the slot is reclaimed after this
+  bool mNoRedirect = false;    // must be served in this zone
+  std::string mFailedZone;     // home zone that didn't serve it; "" = none
+  bool mZoneSilent = false;    // mFailedZone didn't answer
 };
 
-// A place, or a ticket to ask again with, or another zone to ask.
+// A granted slot, a ticket to poll with, or another zone to ask.
 struct EngineSlotGrant
 {
-  uint64_t mTicket = 0; // not 0: still waiting
-  std::string
-    mRedirectZone; // not "": the model's home zone, to be asked instead
-  uint64_t mEngineSlotId = 0; // to give back
+  uint64_t mTicket = 0;       // not 0: still queued
+  std::string mRedirectZone;  // not "": the home zone, to be asked instead
+  uint64_t mEngineSlotId = 0; // to be released
   std::string mEndpoint;
   std::string mAddress;
-  bool mCold = false; // it waited for a load
+  bool mCold = false; // the request waited for a load
   Millis mWaited{ 0 };
 };
 
 struct EngineSlotRelease
 {
   uint64_t mEngineSlotId = 0;
-  double mTokens = 0;   // work done
-  bool mGone = false;   // the engine hadn't the model (any more)
+  double mTokens = 0;   // tokens generated
+  bool mGone = false;   // the engine doesn't have the model
   bool mFailed = false; // the engine didn't answer
 };
 
--- a/src/own/HomeZones.h
+++ b/src/own/HomeZones.h
@@ -1,4 +1,4 @@
-// HomeZones.h: the home zones of models, as this instance sees the fleet.
+// HomeZones.h: home zones of models, from this instance's view of the fleet.
 #ifndef caraway_own_HomeZones_h
 #define caraway_own_HomeZones_h
 
@@ -15,15 +15,15 @@
 class HomeZones
 {
 public:
-  // aNear: zones a few milliseconds away, and our own.
+  // aNearZones: zones a few milliseconds away, with the own one.
   HomeZones(std::vector<std::string> aNearZones, Members& aMembers);
 
-  // Among the near zones that have engines and an instance that answers. Our
-  // own when there is none.
+  // Chosen among the near zones that have engines and an instance that answers.
+  // The own zone when there is none.
   std::string HomeOf(const std::string& aModel, const ConfigSnapshot& aConfig);
   bool IsOwnZone(const std::string& aZone) const;
-  // Nobody answered a request that was sent there. It is nobody's home until
-  // one of its instances is heard.
+  // A request sent to aZone got no answer. It is not chosen again until one of
+  // its instances is heard from.
   void MarkSilent(const std::string& aZone);
 
 private:
@@ -32,8 +32,8 @@
   std::vector<std::string> mNearZones;
   Members& mMembers;
   std::mutex mLock;
-  int64_t mRevision = -1;                  // that mWithEngines is of
-  std::set<std::string> mZonesWithEngines; // zones
+  int64_t mRevision = -1;                  // of mZonesWithEngines
+  std::set<std::string> mZonesWithEngines; // by name
 };
 
 } // namespace caraway
--- a/src/own/LoadPermit.h
+++ b/src/own/LoadPermit.h
@@ -1,4 +1,4 @@
-// LoadPermit.h: one load's turn at the weight store, given back at its end.
+// LoadPermit.h: scoped permit to load from the weight store.
 #ifndef caraway_own_LoadPermit_h
 #define caraway_own_LoadPermit_h
 
@@ -12,20 +12,21 @@
 class LoadPermit
 {
 public:
-  // How urgent what waits for the load is now; asked each time anew.
+  // Current class of the most urgent request that waits for the load; called
+  // for each request to the gate.
   using Urgency = std::function<RequestClass()>;
 
-  // Without a gate every load goes ahead.
+  // Without a gate every load is admitted.
   LoadPermit(StoreGate* aGate, Urgency aUrgency);
   ~LoadPermit();
   LoadPermit(const LoadPermit&) = delete;
   LoadPermit& operator=(const LoadPermit&) = delete;
 
   bool HasPermit() const { return !mGate || mHasPermit; }
-  // False when aUntil passed first.
+  // Waits for the permit. False when aUntil passes first.
   bool Await(TimePoint aUntil);
-  // To be called often while loading; asks again as often as is needed for the
-  // place not to lapse.
+  // Keeps the permit from expiring. To be called often during the load; sends a
+  // request only when one is due.
   void Renew();
 
 private:
--- a/src/own/Loader.cpp
+++ b/src/own/Loader.cpp
@@ -11,7 +11,9 @@
 
 namespace {
 
-constexpr Millis kNoMemoryRetry{ 100 }; // pause when no engine has room yet
+constexpr Millis kNoMemoryRetry{
+  100
+}; // retry while no engine can take the model
 
 const PlacedReplica*
 FindByDecision(const PlacementRecord& aRecord, const std::string& aDecision)
@@ -96,13 +98,14 @@
     BOOST_LEAF_AUTO(stored, mStore.ReadZone(engines));
     std::vector<LoadCandidate> candidates = Candidates(engines, stored);
     if (!AnyReachable(candidates)) {
-      return Fail(ErrorKind::NoEndpoint, "no engine answers in this zone");
+      return Fail(ErrorKind::NoEndpoint, "no engine in this zone answers");
     }
     LoadPlan plan = LoadPlanChoose(
       candidates, aModel.mName, aModel.mVersion, aModel.mBytes, terms);
     if (plan.mCandidate < 0 && optional) {
       ++mCounts.mOptionalAbandoned;
-      return Fail(ErrorKind::NoCapacity, "no room for a replica to spare");
+      return Fail(ErrorKind::NoCapacity,
+                  "too little free memory for an optional replica");
     }
     if (plan.mCandidate < 0) {
       std::this_thread::sleep_for(kNoMemoryRetry);
@@ -112,8 +115,8 @@
       !plan.mJoin &&
       LoadPlanFromStore(candidates[plan.mCandidate].mReport, aModel.mName);
     if (fromStore && !permit.HasPermit()) {
-      // Before anything is decided, so that no memory is held for a load that
-      // waits. What we saw is old by then.
+      // Before the decision, so that no memory is charged for a load that
+      // waits. Afterwards the reports are stale and read again.
       permit.Await(aUntil);
       continue;
     }
@@ -137,11 +140,12 @@
               { "reason", failure->mDetail } });
     std::this_thread::sleep_for(mSettings.mPollInterval);
   }
-  return Fail(ErrorKind::NoCapacity, "no engine could load it in time");
+  return Fail(ErrorKind::NoCapacity,
+              "no engine loaded the model before the deadline");
 }
 
-// The decision is stored before anything is ordered. When another's decision
-// stands already, it is carried out instead of a second one.
+// The decision is stored before any order is sent. If another instance has
+// decided the same load, that decision is carried out.
 Result<void>
 Loader::LoadAt(const EndpointSpec& aEndpoint,
                StoredPlacement& aStored,
@@ -160,21 +164,24 @@
   };
   PlacementRecord next = aStored.mRecord;
   if (!PlacementDecideLoad(next, load)) {
-    return Fail(ErrorKind::NoCapacity, "it doesn't fit any more");
+    return Fail(ErrorKind::NoCapacity,
+                "the model no longer fits into the engine's memory");
   }
   WriteOutcome outcome = mStore.Replace(aEndpoint, aStored, next);
   if (outcome == WriteOutcome::Conflict) {
-    return Fail(ErrorKind::NoCapacity, "another decision came first");
+    return Fail(ErrorKind::NoCapacity,
+                "another placement decision was stored first");
   }
   if (outcome != WriteOutcome::Done) {
-    return Fail(ErrorKind::PlatformUnavailable, "the decision isn't stored");
+    return Fail(ErrorKind::PlatformUnavailable,
+                "the placement decision could not be stored");
   }
   ++mCounts.mDecided;
   LogInfo("load_decided",
           { { "model", aModel.mName }, { "endpoint", aEndpoint.mName } });
   OrderOutcome sent = SendLoad(aEndpoint, aStored, load.mDecision);
   if (sent == OrderOutcome::Outdated) {
-    // A later decision's order for this engine overtook ours.
+    // The order of a later decision for this engine arrived first.
     sent = ResendLoad(aEndpoint, aStored, load.mDecision);
   }
   return AwaitReady(aEndpoint,
@@ -185,11 +192,10 @@
                     aUntil);
 }
 
-// The last look at the clock before an order goes out. Whoever was paused
-// since it saw the record may act on a decision that has been cancelled
-// since, and an engine that ignores fencing would load what nobody decides
-// any more. The horizon for such engines is longer than this and the longest
-// delay on the way together.
+// Checks the age of the record last before an order is sent. After a pause the
+// decision may have been cancelled, and an engine that ignores fencing would
+// load a replica that isn't in the record. For such engines mMaxOrderDelay is
+// longer than mMaxRecordAge and the longest network delay together.
 OrderOutcome
 Loader::SendLoad(const EndpointSpec& aEndpoint,
                  StoredPlacement& aStored,
@@ -244,8 +250,8 @@
         if (!replica.mReady) {
           continue;
         }
-        // One try: the report is younger than the record it is held against
-        // only on this first one. If it fails, the keeper notes it.
+        // Stored once only: after a conflict the report is older than the
+        // record. The reconciler then records the replica as ready.
         PlacementRecord next = aStored.mRecord;
         const PlacedReplica* placed =
           PlacementFind(next, aModel.mName, aModel.mVersion);
@@ -259,24 +265,26 @@
       }
     }
     if (!seen && mClock.Now() - lastSent > kResend) {
-      // The order, ours or a dead decider's, hasn't arrived. The engine takes
-      // a second copy as the same order.
+      // The order, sent here or by a decider that died, hasn't arrived. The
+      // engine treats a second copy as the same order.
       BOOST_LEAF_AUTO(reread, mStore.Read(aEndpoint));
       aStored = reread;
       const PlacedReplica* placed =
         PlacementFind(aStored.mRecord, aModel.mName, aModel.mVersion);
       if (!placed || placed->mState == ReplicaState::Unloading) {
-        return Fail(ErrorKind::NoCapacity, "the load was cancelled");
+        return Fail(ErrorKind::NoCapacity,
+                    "the load was cancelled by another decision");
       }
       if (placed->mState == ReplicaState::Loading) {
-        singleOrder = false; // a second copy is on its way from here on
+        singleOrder = false; // a second copy may be in flight from here on
         ResendLoad(aEndpoint, aStored, placed->mDecision);
       }
       lastSent = mClock.Now();
     }
     std::this_thread::sleep_for(mSettings.mPollInterval);
   }
-  return Fail(ErrorKind::NoCapacity, "the load takes too long");
+  return Fail(ErrorKind::NoCapacity,
+              "model load did not finish before the deadline");
 }
 
 bool
@@ -320,7 +328,8 @@
 {
   AdapterPermit permit(mGate, aUntil);
   if (!permit.HasPermit()) {
-    return Fail(ErrorKind::NoCapacity, "too many adapters are on their way");
+    return Fail(ErrorKind::NoCapacity,
+                "too many adapter loads in progress until the deadline");
   }
   return LoadAdapter(aEndpoint, aAdapter, aUntil);
 }
@@ -340,7 +349,8 @@
     }
     std::this_thread::sleep_for(mSettings.mPollInterval);
   }
-  return Fail(ErrorKind::NoCapacity, "the adapter couldn't be loaded in time");
+  return Fail(ErrorKind::NoCapacity,
+              "adapter load did not finish before the deadline");
 }
 
 } // namespace caraway
--- a/src/own/Loader.h
+++ b/src/own/Loader.h
@@ -1,4 +1,4 @@
-// Loader.h: carries out decisions to load and unload.
+// Loader.h: decides on loads and evictions and carries them out.
 #ifndef caraway_own_Loader_h
 #define caraway_own_Loader_h
 
@@ -17,15 +17,15 @@
 struct LoaderSettings
 {
   std::string mZone;
-  Millis mPollInterval{ 50 };   // while waiting for an engine
-  Millis mMaxRecordAge{ 5000 }; // no order on a record seen longer ago
+  Millis mPollInterval{ 50 };   // between reports of an engine
+  Millis mMaxRecordAge{ 5000 }; // no order is sent on an older record
   LoadPlanParameters mParameters;
 };
 
 enum class LoadNeed
 {
-  Required, // requests wait for it
-  Optional  // saves a way; nobody waits
+  Required, // requests wait for the load
+  Optional  // saves requests the way to the home zone; none waits
 };
 
 struct LoaderCounts
@@ -43,14 +43,14 @@
          PlacementStore& aStore,
          EngineClient& aEngines,
          const Clock& aClock);
-  // From then on loads from the store take turns with the fleet's others.
+  // From then on loads from the weight store need a permit of aGate.
   void SetStoreGate(StoreGate& aGate) { mGate = &aGate; }
 
-  // Blocks until the model is ready at an engine of this zone. NoCapacity
-  // when none has room in time, NoEndpoint when none answers. An optional load
-  // evicts nothing that was used lately, and fails at once without room: a busy
-  // zone's replica isn't worth another model's cold start.
-
+  // Blocks until the model is ready at an engine of this zone. Fails with
+  // NoCapacity when none has enough memory in time, NoEndpoint when none
+  // answers. An optional load evicts no recently used replica and fails at once
+  // when memory is short: an additional replica isn't worth another model's
+  // cold start.
   Result<EndpointSpec> Ensure(const ConfigSnapshot& aConfig,
                               const ModelSpec& aModel,
                               LoadNeed aNeed,
@@ -61,13 +61,15 @@
                              const ModelSpec& aAdapter,
                              TimePoint aUntil);
 
-  // Stores the decision to unload, orders it and waits until it is gone.
+  // Stores the decision to unload, sends the order and waits until the replica
+  // is gone.
   bool Evict(const EndpointSpec& aEndpoint,
              StoredPlacement& aStored,
              const PlacedReplica& aReplica,
              TimePoint aUntil);
-  // Sends the load order of a decision once more: it may not have arrived, or
-  // its decider died before sending. The copy is stored first.
+  // Sends the load order of a decision again, as it may not have arrived or its
+  // decider may have died before sending. The copy is counted in the stored
+  // record first.
   OrderOutcome ResendLoad(const EndpointSpec& aEndpoint,
                           StoredPlacement& aStored,
                           const std::string& aDecision);
--- a/src/own/ModelGroup.cpp
+++ b/src/own/ModelGroup.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Share of a new measurement in what is learnt.
+// Weight of a new sample in the moving average.
 constexpr double kNewSampleWeight = 0.2;
 
 } // namespace
@@ -38,7 +38,7 @@
 RequestClass
 ModelGroupAdmissibleClass(const ServingReplica& aReplica)
 {
-  constexpr int kFewSlots = 4; // too few to keep any idle
+  constexpr int kFewSlots = 4; // with fewer slots none is reserved
   int slots = aReplica.mEndpoint.mSlots;
   if (slots < kFewSlots) {
     bool fits = aReplica.mBatchInFlight < std::max(1, slots - 1);
--- a/src/own/ModelGroup.h
+++ b/src/own/ModelGroup.h
@@ -1,4 +1,4 @@
-// ModelGroup.h: what the owner of a model knows of it in this zone.
+// ModelGroup.h: an owner's state of one model in its zone.
 #ifndef caraway_own_ModelGroup_h
 #define caraway_own_ModelGroup_h
 
@@ -15,26 +15,26 @@
 
 namespace caraway {
 
-// An engine that serves the model, as this owner uses it.
+// A replica of the model at an engine, with the requests of this owner.
 struct ServingReplica
 {
   EndpointSpec mEndpoint;
   int mInFlight = 0;
   int mBatchInFlight = 0;
-  std::set<std::string> mAdapters; // seen loaded
+  std::set<std::string> mAdapters; // known to be loaded
 };
 
-// A place given out and not yet given back.
+// An engine slot granted and not yet released.
 struct HeldEngineSlot
 {
   std::string mGroup; // key of its group
   std::string mEndpoint;
   RequestClass mClass = RequestClass::Interactive;
   TimePoint mGrantedAt{};
-  TimePoint mReclaimAt{}; // its holder has died by then
+  TimePoint mReclaimAt{}; // its holder is presumed dead
 };
 
-// A request that waits, or has been answered and not yet fetched its answer.
+// A request that waits, or whose result hasn't been fetched yet.
 struct SlotWaiter
 {
   std::condition_variable mWake;
@@ -43,7 +43,7 @@
   std::string mAdapter;
   Millis mMaxHold{ 0 };
   bool mCold = false;
-  TimePoint mLastPolled{}; // when its front last asked; silent ones are dropped
+  TimePoint mLastPolled{}; // by its front instance; see kPollTimeout
   bool mGranted = false;
   bool mRefused = false;
   Failure mFailure;
@@ -55,28 +55,28 @@
 {
   std::vector<ServingReplica> mServingReplicas;
   WaitQueue mQueue;
-  bool mLoading = false; // a load job of ours is under way
+  bool mLoading = false; // a load job of this owner is in progress
   TimePoint mLoadBegan{};
-  double mRate = 0;      // tokens a second, learnt; 0 = not yet
-  Millis mLoadTime{ 0 }; // last load, learnt
+  double mRate = 0;      // tokens a second, observed; 0 = unknown
+  Millis mLoadTime{ 0 }; // of the last load
   HomeZoneState mHome;
 };
 
-// The serving with the fewest requests that has a place free; null when none.
+// The replica with a free slot and the fewest requests; null when none.
 ServingReplica*
 ModelGroupLeastLoaded(ModelGroup& aGroup);
 ServingReplica*
 ModelGroupReplicaAt(ModelGroup& aGroup, const std::string& aEndpoint);
-// The least urgent class that may have one of its free places. The last one is
-// kept for bulletins and another from batch work: requests that are running
-// can't be put aside, and on a slow engine a bulletin's time is over before
-// one of them ends.
+// The least urgent class that may use a free slot. The last slot is reserved
+// for bulletins and another is kept from batch work: running requests can't be
+// preempted, and on a slow engine none of them ends before a bulletin's
+// deadline.
 RequestClass
 ModelGroupAdmissibleClass(const ServingReplica& aReplica);
-// Until it can serve, by the last load's time; 0 when it can.
+// Expected time until the model can serve, by its last load; 0 when it can.
 Millis
 ModelGroupReadyIn(const ModelGroup& aGroup, TimePoint aNow);
-// aTokens were made in aSeconds at one of aServing's places.
+// Updates mRate: a slot of aReplica generated aTokens in aSeconds.
 void
 ModelGroupRecordRate(ModelGroup& aGroup,
                      const ServingReplica& aReplica,
--- a/src/own/ModelOwner.cpp
+++ b/src/own/ModelOwner.cpp
@@ -65,7 +65,7 @@
   view.mWaiting = aGroup.mQueue.Size() > 0;
   std::string home;
   if (!view.mServing && !view.mWaiting) {
-    // Looks at all members; a warm request doesn't need to.
+    // HomeOf goes through all members, which a warm request can skip.
     home = mHomes->HomeOf(aModel.mName, aConfig);
     view.mIsHome = mHomes->IsOwnZone(home);
   }
@@ -85,7 +85,7 @@
   ConfigPtr config = mConfig.Current();
   auto model = config->mModels.find(aRequest.mModel);
   if (model == config->mModels.end()) {
-    return Fail(ErrorKind::ProfileUnknown, "no model " + aRequest.mModel);
+    return Fail(ErrorKind::ProfileUnknown, "unknown model " + aRequest.mModel);
   }
   std::string key = KeyOf(model->second);
   size_t index = ShardOf(key);
@@ -140,7 +140,7 @@
     std::lock_guard<std::mutex> lock(shard.mLock);
     auto found = shard.mWaiters.find(aTicket);
     if (found == shard.mWaiters.end()) {
-      return Fail(ErrorKind::NoEndpoint, "the owner has dropped the request");
+      return Fail(ErrorKind::NoEndpoint, "the owner no longer has the request");
     }
     waiter = found->second;
     waiter->mLastPolled = mClock.Now();
@@ -164,7 +164,8 @@
     if (!resolved() && now >= aWaiter->mItem.mStartBy) {
       Refuse(aShard,
              aWaiter->mItem.mId,
-             FailureOf(ErrorKind::DeadlinePassed, "its time passed waiting"));
+             FailureOf(ErrorKind::DeadlinePassed,
+                       "deadline passed while waiting for an engine slot"));
     }
     if (!resolved()) {
       grant.mTicket = aWaiter->mItem.mId;
@@ -214,7 +215,7 @@
   ConfigPtr config = mConfig.Current();
   auto adapter = config->mModels.find(aAdapter);
   if (adapter == config->mModels.end()) {
-    return Fail(ErrorKind::ProfileUnknown, "no adapter " + aAdapter);
+    return Fail(ErrorKind::ProfileUnknown, "unknown adapter " + aAdapter);
   }
   BOOST_LEAF_CHECK(mLoader.EnsureAdapter(
     aEndpoint, adapter->second, mClock.Now() + kAdapterTime));
@@ -278,7 +279,8 @@
   for (const QueuedRequest& late : group.mQueue.Expire(aNow)) {
     Refuse(aShard,
            late.mId,
-           FailureOf(ErrorKind::DeadlinePassed, "its time passed waiting"));
+           FailureOf(ErrorKind::DeadlinePassed,
+                     "deadline passed while waiting for an engine slot"));
   }
   while (ServingReplica* replica = ModelGroupLeastLoaded(group)) {
     if (!GrantNext(aShard, aKey, *replica, aNow)) {
@@ -295,7 +297,7 @@
   std::lock_guard<std::mutex> lock(shard.mLock);
   auto found = shard.mHeldSlots.find(aRelease.mEngineSlotId);
   if (found == shard.mHeldSlots.end()) {
-    return; // given back already, or taken back
+    return; // already released or reclaimed
   }
   HeldEngineSlot slot = found->second;
   shard.mHeldSlots.erase(found);
--- a/src/own/ModelOwner.h
+++ b/src/own/ModelOwner.h
@@ -1,4 +1,4 @@
-// ModelOwner.h: one queue per model and zone, and its cold start.
+// ModelOwner.h: queue, engine slots and cold start of each model in a zone.
 #ifndef caraway_own_ModelOwner_h
 #define caraway_own_ModelOwner_h
 
@@ -19,11 +19,12 @@
 
 namespace caraway {
 
-// All front instances of a zone ask the same owner for a place, so that a
-// burst of first requests makes one load, a queue has one order, and many
-// routers don't choose the same engine. It sends them to the model's home zone,
-// if that is another. Any instance can be the owner: two at
-// once cost a second queue, not a promise.
+// All front instances of a zone request engine slots from the same owner of a
+// model, so that a burst of first requests causes one load, the queue has a
+// single order, and routers don't all choose the same engine. The owner
+// redirects requests to the model's home zone if that is another zone. Any
+// instance can be the owner; two at once cost a second queue but break no
+// guarantee.
 class ModelOwner
 {
 public:
@@ -32,25 +33,25 @@
              WorkerPool& aWorkers,
              const Clock& aClock);
 
-  // Without, every zone is the home of all models.
+  // Without this call, every zone is the home zone of all models.
   void SetHomeZones(HomeZones& aHomes) { mHomes = &aHomes; }
 
-  // Blocks for kMaxPollWait at most: a place, a zone to ask instead, a refusal
-  // (true "not run"), or a ticket for Await. A front that waited in one long
-  // call would not notice that its owner is frozen.
+  // Blocks for kMaxPollWait at most. Gives a slot, a zone to ask instead, a
+  // refusal (the request has not run), or a ticket for Await. A front that
+  // waited in one long call would not notice a frozen owner.
   Result<EngineSlotGrant> Acquire(const EngineSlotRequest& aRequest);
   Result<EngineSlotGrant> Await(uint64_t aTicket);
   void ReleaseSlot(const EngineSlotRelease& aRelease);
 
-  // Takes back places whose holders have died, drops waiting requests whose
-  // fronts no longer ask, refuses what is overdue.
+  // Reclaims slots whose holders died, drops waiting requests that their fronts
+  // no longer poll, and refuses requests past their deadline.
   void Sweep();
   // Requests waiting or in flight.
   size_t Busy() const;
 
   static constexpr Millis kMaxPollWait{ 1000 };
-  // A front asks at least every kMaxPollWait. One that hasn't for this long has
-  // died or lost its caller.
+  // Fronts poll at least every kMaxPollWait. After this long without a poll the
+  // front has died or lost its caller.
   static constexpr Millis kPollTimeout{ 4000 };
 
 private:
@@ -60,18 +61,18 @@
     mutable std::mutex mLock;
     std::map<std::string, ModelGroup> mGroups;     // by model and version
     std::map<uint64_t, WaiterPtr> mWaiters;        // by ticket
-    std::map<uint64_t, HeldEngineSlot> mHeldSlots; // by place
+    std::map<uint64_t, HeldEngineSlot> mHeldSlots; // by slot id
   };
   static constexpr size_t kShards = 16;
 
   size_t ShardOf(const std::string& aKey) const;
-  // The zone to ask instead; "" = none.
+  // The zone to redirect the request to; "" = none.
   std::string RedirectZoneFor(const EngineSlotRequest& aRequest,
                               const ModelSpec& aModel,
                               const ConfigSnapshot& aConfig,
                               ModelGroup& aGroup,
                               TimePoint aNow);
-  // Numbers carry their shard, so that whoever brings one back finds it.
+  // An id encodes its shard; see ShardOfId.
   uint64_t NextId(size_t aShard);
   Shard& ShardOfId(uint64_t aId) { return mShards[aId % kShards]; }
   Result<EngineSlotGrant> WaitFor(Shard& aShard, const WaiterPtr& aWaiter);
@@ -110,7 +111,7 @@
   HomeZoneParameters mHomeZoneParameters;
   std::array<Shard, kShards> mShards;
   std::atomic<uint64_t> mNextId{ 1 };
-  int64_t mPrunedRevision = 0; // revision; used by Sweep's thread alone
+  int64_t mPrunedRevision = 0; // used by Sweep()'s thread only
 };
 
 } // namespace caraway
--- a/src/own/ModelOwnerUpkeep.cpp
+++ b/src/own/ModelOwnerUpkeep.cpp
@@ -1,4 +1,4 @@
-// The owner's work that no request waits in: loads, and clearing up.
+// ModelOwnerUpkeep.cpp: background work of the owner: loads and clean-up.
 #include "own/ModelOwner.h"
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 
 namespace caraway {
 
-// The engine hasn't the model any more, or doesn't answer. If requests wait,
-// look at once where it is or can be loaded.
+// Drops a replica whose engine no longer has the model or doesn't answer. If
+// requests wait and no replica is left, starts a load at once.
 void
 ModelOwner::DropReplica(Shard& aShard,
                         const HeldEngineSlot& aSlot,
@@ -68,7 +68,7 @@
     }
   }
   if (aNeed == LoadNeed::Optional && !waiting.empty()) {
-    // The home failed meanwhile, and they wait for us now.
+    // The home zone failed meanwhile, so these requests now need the load.
     StartLoad(aKey, shard.mGroups[aKey], aModel, LoadNeed::Required, until);
     return;
   }
@@ -113,8 +113,8 @@
   GrantWaiting(shard, aKey, now);
 }
 
-// Endpoints that were taken out of the configuration, or moved, get no new
-// work; what they are serving goes on.
+// Endpoints that were removed from the configuration or changed their address
+// get no new requests; those in flight go on.
 void
 ModelOwner::PruneReplicas(const ConfigSnapshot& aConfig)
 {
@@ -152,7 +152,10 @@
       }
     }
     for (uint64_t ticket : abandoned) {
-      Refuse(shard, ticket, FailureOf(ErrorKind::NoEndpoint, "not asked for"));
+      Refuse(shard,
+             ticket,
+             FailureOf(ErrorKind::NoEndpoint,
+                       "request no longer polled by its front instance"));
       shard.mWaiters.erase(ticket);
     }
     for (auto& entry : shard.mGroups) {
--- a/src/own/PlacementCodec.cpp
+++ b/src/own/PlacementCodec.cpp
@@ -14,7 +14,7 @@
       return static_cast<ReplicaState>(i);
     }
   }
-  // An unknown state is kept charged and never served from.
+  // A replica in an unknown state stays charged and never serves.
   return ReplicaState::Unloading;
 }
 
--- a/src/own/PlacementStore.cpp
+++ b/src/own/PlacementStore.cpp
@@ -26,7 +26,7 @@
   return stored;
 }
 
-// Memory and fencing are the operators' to say; the rest is ours.
+// Memory and fencing come from the configuration, the rest from the object.
 StoredPlacement
 FromObject(const EndpointSpec& aEndpoint,
            const PlatformObject& aObject,
--- a/src/own/PlacementStore.h
+++ b/src/own/PlacementStore.h
@@ -1,4 +1,4 @@
-// PlacementStore.h: placement records at the platform.
+// PlacementStore.h: placement records stored at the platform.
 #ifndef caraway_own_PlacementStore_h
 #define caraway_own_PlacementStore_h
 
@@ -17,10 +17,10 @@
 {
   PlacementRecord mRecord;
   int64_t mVersion = 0; // 0 = not stored yet
-  TimePoint mAsOf{};    // when the call that showed it was begun
+  TimePoint mAsOf{};    // start of the call that returned it
 };
 
-// Object names are zone.endpoint, so that one list call gives a zone.
+// Objects are named zone.endpoint, so that one list call returns a zone.
 class PlacementStore
 {
 public:
@@ -28,18 +28,18 @@
 
   // The stored record, or an empty one made from the endpoint's settings.
   Result<StoredPlacement> Read(const EndpointSpec& aEndpoint);
-  // Records of all of aEndpoints, which are of one zone.
+  // Records of aEndpoints, all of one zone.
   Result<std::vector<StoredPlacement>> ReadZone(
     const std::vector<EndpointSpec>& aEndpoints);
 
-  // Stores aNext in place of what aStored holds. On Done and on Conflict
-  // aStored is what stands now.
+  // Replaces aStored with aNext by conditional update. After Done and Conflict
+  // aStored is the current record.
   WriteOutcome Replace(const EndpointSpec& aEndpoint,
                        StoredPlacement& aStored,
                        const PlacementRecord& aNext);
 
-  // Reads, changes by aChange (false: nothing to change) and stores, again
-  // while others change it too. True when the change is in force.
+  // Applies aChange (false: nothing to change) to aStored and stores the
+  // result, retrying on conflicts. True when the change is in force.
   bool Change(const EndpointSpec& aEndpoint,
               StoredPlacement& aStored,
               const std::function<bool(PlacementRecord&)>& aChange);
--- a/src/own/StoreGate.cpp
+++ b/src/own/StoreGate.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr const char* kOwnerKey = "store-gate";
-constexpr const char* kZoneOnly = "zone_only"; // of a question
+constexpr const char* kZoneOnly = "zone_only"; // JSON field of a request
 constexpr Millis kRequestTimeout{ 300 };
 constexpr Millis kPollAfterNoReply{ 100 };
 
@@ -31,7 +31,7 @@
   return request;
 }
 
-// Nobody could be asked: whoever is in stays in.
+// No gate could be reached: an admitted load stays admitted.
 LoadGateReply
 RetryLater(const LoadGateRequest& aRequest)
 {
@@ -74,9 +74,9 @@
   if (auto reply = QueryGate(owner, RequestJson(aRequest))) {
     return *reply;
   }
-  // It may have stalled for a moment, and hold the places it gave. Letting
-  // ourselves in, and everyone else who asked it, would make the store slow
-  // for all. A load takes seconds; a second question costs it half of one.
+  // The owner may have stalled briefly, and its permits still count. Admitting
+  // all loads that asked it would slow the store down for everyone. A load
+  // takes seconds, so another request, at half a second, is cheap.
   return mMembers.IsAvailablePeer(owner.mId) ? RetryLater(aRequest)
                                              : QueryZoneGate(aRequest);
 }
--- a/src/own/StoreGate.h
+++ b/src/own/StoreGate.h
@@ -1,4 +1,4 @@
-// StoreGate.h: the fleet's loads take turns at the weight store.
+// StoreGate.h: fleet-wide admission of loads to the weight store.
 #ifndef caraway_own_StoreGate_h
 #define caraway_own_StoreGate_h
 
@@ -18,12 +18,13 @@
 
 namespace caraway {
 
-// Every instance has a gate; the one that all who reach each other agree on is
-// asked, and keeps to the part of the zones it reaches. So zones that are cut
-// off from each other keep to the limit together. Where it doesn't answer
-// twice, each zone's instances ask one of theirs for the zone's part. While
-// views of the members differ, two gates may let in more; the store is slower
-// then, and nothing else happens.
+// Every instance has a gate. Instances that reach each other agree on one
+// owner, whose gate admits loads up to the part of the limit for the zones it
+// reaches; so zones that are cut off from each other keep to the limit
+// together. When the owner fails to answer twice, the instances of each zone
+// ask a gate owner of their zone for the zone's part. While views of the
+// members differ, two gates may admit more loads, which only slows the store
+// down.
 class StoreGate
 {
 public:
@@ -32,15 +33,15 @@
             PeerClient& aPeers,
             const Clock& aClock);
 
-  // Asks two gates in turn at most, 300 ms each. Not answered, the load waits
-  // and is to ask again.
+  // Asks two gates in turn at most, 300 ms each. Without a reply the load waits
+  // and has to poll again.
   LoadGateReply Acquire(const LoadGateRequest& aRequest);
-  // Unsaid, the place would be free a lease later.
+  // Releases the permit, which would otherwise expire a lease later.
   void Release(const std::string& aId);
 
-  // An adapter takes some milliseconds to arrive, less than a question to a
-  // gate is worth: each instance keeps to its part of the fleet's limit. False
-  // when no place came free by aUntil.
+  // An adapter loads within some milliseconds, so a request to a gate isn't
+  // worth it: each instance keeps to its part of the fleet's limit. False when
+  // no permit became free by aUntil.
   bool AcquireAdapter(TimePoint aUntil);
   void ReleaseAdapter();
 
@@ -48,12 +49,12 @@
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
 
 private:
-  // Nothing when aOwner doesn't answer.
+  // Nothing when aOwner doesn't reply.
   std::optional<LoadGateReply> QueryGate(const InstanceInfo& aOwner,
                                          const Json::Value& aRequest);
   LoadGateReply QueryZoneGate(const LoadGateRequest& aRequest);
   void ReleaseAt(const InstanceInfo& aOwner, const std::string& aId);
-  // From our own gate, for so many of the fleet's zones.
+  // From the own gate, with the limit for aZones of the fleet's zones.
   LoadGateReply AdmitLocally(int aZones, const LoadGateRequest& aRequest);
 
   StoreGateSettings mSettings;
@@ -62,10 +63,11 @@
   const Clock& mClock;
   std::mutex mLock;
   LoadGate mGate;
-  std::set<std::string> mZoneRequests; // ids of loads that asked their zone's
+  std::set<std::string>
+    mZoneRequests; // ids of loads requested from the zone's owner
   std::mutex mAdapterLock;
   std::condition_variable mAdapterReleased;
-  int mAdaptersInFlight = 0; // in flight from here
+  int mAdaptersInFlight = 0; // loads begun by this instance
 };
 
 } // namespace caraway
--- a/src/own/StoreGateSettings.h
+++ b/src/own/StoreGateSettings.h
@@ -1,4 +1,4 @@
-// StoreGateSettings.h: what the weight store and the engines' adapters bear.
+// StoreGateSettings.h: limits on loads from the weight store and of adapters.
 #ifndef caraway_own_StoreGateSettings_h
 #define caraway_own_StoreGateSettings_h
 
@@ -9,12 +9,12 @@
 struct StoreGateSettings
 {
   int mZones = 1;                  // of the fleet
-  int mAtOnce = 4;                 // loads at full speed, all zones together
-  double mStarts = 5;              // loads begun a second, the same
-  int mMaxConcurrentAdapters = 30; // in flight, the same
+  int mAtOnce = 4;                 // concurrent loads, all zones together
+  double mStarts = 5;              // loads begun per second, all zones together
+  int mMaxConcurrentAdapters = 30; // adapter loads, all zones together
 };
 
-// The part of so many of its zones.
+// Limits for aZones of the fleet's zones.
 LoadGateParameters
 StoreGateParameters(const StoreGateSettings& aSettings, int aZones);
 
