--- a/tests/property/BriefingProperty.cpp
+++ b/tests/property/BriefingProperty.cpp
@@ -15,73 +15,74 @@
 {
   Runner(PlatformApi& aPlatform, const Clock& aClock)
     : mStore(aPlatform)
-    , mTurns(mStore, aClock)
+    , mSteps(mStore, aClock)
   {
   }
   BriefingStore mStore;
-  BriefingSteps mTurns;
+  BriefingSteps mSteps;
 };
 
-struct World
+struct BriefingModel
 {
   PausedClock mClock;
   MemoryPlatform mPlatform;
   std::vector<std::unique_ptr<Runner>> mRunners;
-  std::vector<std::string> mAccepted;         // callers were told
-  std::map<std::string, std::string> mEnding; // as first read
-  int mMade = 0;
+  std::vector<std::string> mAccepted;          // callers were told
+  std::map<std::string, std::string> mResults; // as first read
+  int mCreated = 0;
   int mRuns = 0;
 
-  World()
+  BriefingModel()
   {
     for (int i = 0; i < 2; ++i) {
       mRunners.push_back(std::make_unique<Runner>(mPlatform, mClock));
     }
   }
 
-  void DrawFaults(RandomChoices& aTape)
+  void DrawFaults(RandomChoices& aChoices)
   {
-    mPlatform.mOnWrite = [&aTape](const PlatformWrite&) {
-      return MemoryFaultOf(aTape.Below(20));
+    mPlatform.mOnWrite = [&aChoices](const PlatformWrite&) {
+      return MemoryFaultOf(aChoices.Below(20));
     };
-    mPlatform.mOnRead = [&aTape] {
-      int what = aTape.Below(12);
+    mPlatform.mOnRead = [&aChoices] {
+      int what = aChoices.Below(12);
       return what == 0 ? -1 : what == 1 ? 1 : 0;
     };
   }
 
-  void Ask(Runner& aAt)
+  void Submit(Runner& aRunner)
   {
     Briefing briefing;
-    briefing.mId = "b" + std::to_string(mMade++);
-    if (!FailureIn([&] { return aAt.mStore.Keep(briefing); })) {
+    briefing.mId = "b" + std::to_string(mCreated++);
+    if (!FailureIn([&] { return aRunner.mStore.Keep(briefing); })) {
       mAccepted.push_back(briefing.mId);
     }
   }
 
   // A round over all lists; aLong: the model call is slow enough for another
   // runner to do the same in the middle.
-  void Round(Runner& aRunner, Runner& aOther, RandomChoices& aTape)
+  void RunAllLists(Runner& aRunner, Runner& aOther, RandomChoices& aChoices)
   {
     for (int list = 0; list < BriefingStore::kLists; ++list) {
       auto open = Outcome([&] { return aRunner.mStore.Open(list); });
       auto* ids = std::get_if<std::set<std::string>>(&open);
       for (const std::string& id : ids ? *ids : std::set<std::string>()) {
-        aRunner.mTurns.Take(id, [&](const Briefing& aBriefing) {
-          if (aTape.Below(4) == 0) {
-            aOther.mTurns.Take(
-              id, [&](const Briefing& aSame) { return Ending(aSame, aTape); });
+        aRunner.mSteps.Take(id, [&](const Briefing& aBriefing) {
+          if (aChoices.Below(4) == 0) {
+            aOther.mSteps.Take(id, [&](const Briefing& aSame) {
+              return EndedBriefing(aSame, aChoices);
+            });
           }
-          return Ending(aBriefing, aTape);
+          return EndedBriefing(aBriefing, aChoices);
         });
       }
     }
   }
 
-  std::optional<Briefing> Ending(const Briefing& aBriefing,
-                                 RandomChoices& aTape)
+  std::optional<Briefing> EndedBriefing(const Briefing& aBriefing,
+                                        RandomChoices& aChoices)
   {
-    if (aTape.Below(3) == 1) {
+    if (aChoices.Below(3) == 1) {
       return std::nullopt; // no capacity for now
     }
     Briefing ended = aBriefing;
@@ -90,18 +91,18 @@
     return ended;
   }
 
-  void Step(RandomChoices& aTape)
+  void Step(RandomChoices& aChoices)
   {
-    DrawFaults(aTape);
-    size_t at = static_cast<size_t>(aTape.Below(2));
-    int what = aTape.Below(10);
+    DrawFaults(aChoices);
+    size_t at = static_cast<size_t>(aChoices.Below(2));
+    int what = aChoices.Below(10);
     if (what < 3) {
-      Ask(*mRunners[at]);
+      Submit(*mRunners[at]);
     } else if (what < 6) {
-      Round(*mRunners[at], *mRunners[1 - at], aTape);
+      RunAllLists(*mRunners[at], *mRunners[1 - at], aChoices);
     } else if (what < 8) {
-      mClock.Advance(Seconds(aTape.Below(100)));
-    } else if (what == 8 && !mPlatform.mLate.empty()) {
+      mClock.Advance(Seconds(aChoices.Below(100)));
+    } else if (what == 8 && !mPlatform.mLateWrites.empty()) {
       mPlatform.ApplyLate(0);
     } else if (what == 9) {
       mRunners[at] = std::make_unique<Runner>(mPlatform, mClock);
@@ -113,17 +114,17 @@
   void Check()
   {
     for (const std::string& id : mAccepted) {
-      Briefing stands =
-        BriefingParse(mPlatform.Standing("briefings", id).mValue);
-      RC_ASSERT(stands.mId == id);
-      bool ended = stands.mState != BriefingState::Accepted;
+      Briefing stored =
+        BriefingParse(mPlatform.CurrentObject("briefings", id).mValue);
+      RC_ASSERT(stored.mId == id);
+      bool ended = stored.mState != BriefingState::Accepted;
       std::string list = std::to_string(BriefingStore::ListOf(id));
       bool listed =
-        mPlatform.Standing("briefings-open", list).mValue.isMember(id);
+        mPlatform.CurrentObject("briefings-open", list).mValue.isMember(id);
       RC_ASSERT(ended || listed);
       if (ended) {
-        std::string answer = stands.mAnswer.asString();
-        RC_ASSERT(mEnding.emplace(id, answer).first->second == answer);
+        std::string answer = stored.mAnswer.asString();
+        RC_ASSERT(mResults.emplace(id, answer).first->second == answer);
       }
     }
   }
@@ -135,23 +136,23 @@
 // a result that changes after it was read. Writes are lost, late, or in force
 // without an answer, reads are out or behind, two instances run the same one,
 // and all may die at any moment: what stands at the platform must do.
-RC_GTEST_PROP(Briefings, AcceptedIsListedUntilItHasEnded, ())
+RC_GTEST_PROP(Briefings, AcceptedBriefingIsListedUntilItEnds, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(600);
-  World world;
-  while (!tape.Ended()) {
-    world.Step(tape);
+  RandomChoices choices = RandomChoices::OfLength(600);
+  BriefingModel model;
+  while (!choices.Ended()) {
+    model.Step(choices);
   }
-  world.mPlatform.mOnWrite = nullptr;
-  world.mPlatform.mOnRead = nullptr;
-  world.Round(*world.mRunners[0], *world.mRunners[1], tape);
-  world.Check();
-  RC_ASSERT(world.mEnding.size() == world.mAccepted.size());
+  model.mPlatform.mOnWrite = nullptr;
+  model.mPlatform.mOnRead = nullptr;
+  model.RunAllLists(*model.mRunners[0], *model.mRunners[1], choices);
+  model.Check();
+  RC_ASSERT(model.mResults.size() == model.mAccepted.size());
 }
 
 // Guards against a refusal of what is kept: the answer of the write was lost,
 // and before it is sent again another instance has begun to run the briefing.
-TEST(Briefings, KeptAndTakenUpBeforeItsAnswerIsKept)
+TEST(Briefings, RetriedStoreSucceedsAfterRunnerHasStarted)
 {
   MemoryPlatform platform;
   BriefingStore store(platform);
@@ -161,7 +162,7 @@
     if (aWrite.mKind == "briefings" && aWrite.mExpected == 0) {
       platform.Apply(aWrite);
       PlatformWrite taken = aWrite;
-      taken.mExpected = platform.Standing("briefings", "b1").mVersion;
+      taken.mExpected = platform.CurrentObject("briefings", "b1").mVersion;
       taken.mWriteId = "of-the-runner";
       platform.Apply(taken);
     }
--- a/tests/property/ClaimProperty.cpp
+++ b/tests/property/ClaimProperty.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-struct InFlight
+struct PendingWrite
 {
   ClaimRecord mRecord;
   int64_t mExpected;
@@ -28,11 +28,11 @@
 };
 
 // One order, its claim at the platform, and attempts at several instances.
-struct World
+struct ClaimModel
 {
   ClaimRecord mRecord;
   int64_t mVersion = 0;
-  std::vector<InFlight> mLate; // writes that may still take effect
+  std::vector<PendingWrite> mLateWrites; // writes that may still take effect
   std::vector<Attempt> mAttempts;
   std::map<std::string, size_t> mByNonce;
   int mRuns = 0;
@@ -49,7 +49,7 @@
     return mAttempts.size() - 1;
   }
 
-  bool Apply(const InFlight& aWrite)
+  bool Apply(const PendingWrite& aWrite)
   {
     if (aWrite.mExpected != mVersion) {
       return false;
@@ -59,7 +59,7 @@
     return true;
   }
 
-  ClaimEvent Standing() const
+  ClaimEvent CurrentRecord() const
   {
     ClaimEvent event;
     event.mKind =
@@ -73,9 +73,9 @@
   ClaimEvent Write(const Attempt& aAttempt,
                    ClaimRecordState aState,
                    int64_t aExpected,
-                   RandomChoices& aTape)
+                   RandomChoices& aChoices)
   {
-    InFlight write;
+    PendingWrite write;
     write.mExpected = aExpected;
     write.mRecord.mState = aState;
     write.mRecord.mBodyDigest = aAttempt.mState.mBodyDigest;
@@ -84,18 +84,18 @@
     write.mRecord.mAnswer = aAttempt.mState.mAnswer;
     ClaimEvent event;
     event.mKind = ClaimEventKind::NoPlatform;
-    switch (aTape.Below(6)) {
+    switch (aChoices.Below(6)) {
       case 0:
         Apply(write);
         return event;
       case 1:
         return event;
       case 2:
-        mLate.push_back(write);
+        mLateWrites.push_back(write);
         return event;
       default:
         if (!Apply(write)) {
-          return Standing();
+          return CurrentRecord();
         }
         event.mKind = ClaimEventKind::Written;
         event.mVersion = mVersion;
@@ -103,12 +103,12 @@
     }
   }
 
-  ClaimEvent Ask(const ClaimAction& aAction, RandomChoices& aTape)
+  ClaimEvent QueryPeer(const ClaimAction& aAction, RandomChoices& aChoices)
   {
     ClaimEvent event;
     event.mKind = ClaimEventKind::PeerUnknown;
     const Attempt& other = mAttempts[mByNonce.at(aAction.mNonce)];
-    if (other.mDead || aTape.Below(5) == 0) {
+    if (other.mDead || aChoices.Below(5) == 0) {
       return event;
     }
     if (!other.mDone) {
@@ -124,65 +124,66 @@
     return event;
   }
 
-  ClaimEvent ForwardOrder(Attempt& aAttempt, RandomChoices& aTape)
+  ClaimEvent ForwardOrder(Attempt& aAttempt, RandomChoices& aChoices)
   {
     ClaimEvent event;
-    int how = aTape.Below(6);
-    if (how == 0) {
+    int outcome = aChoices.Below(6);
+    if (outcome == 0) {
       event.mKind = ClaimEventKind::NotOffered;
-      event.mEndpointsLeft = aTape.Below(2) == 0;
+      event.mEndpointsLeft = aChoices.Below(2) == 0;
       return event;
     }
-    bool runs = how != 1; // lost before the endpoint read it
+    bool runs = outcome != 1; // lost before the endpoint read it
     if (runs) {
       ++mRuns;
       ++aAttempt.mRuns;
     }
     event.mKind =
-      how <= 2 ? ClaimEventKind::AnswerLost : ClaimEventKind::Answered;
+      outcome <= 2 ? ClaimEventKind::AnswerLost : ClaimEventKind::Answered;
     event.mRecord.mAnswer.mStatus = 200;
     event.mRecord.mAnswer.mBody = "ran";
     return event;
   }
 
-  ClaimEvent Do(Attempt& aAttempt, RandomChoices& aTape)
+  ClaimEvent Perform(Attempt& aAttempt, RandomChoices& aChoices)
   {
     const ClaimAction& action = aAttempt.mAction;
     switch (action.mKind) {
       case ClaimActionKind::Create:
-        return Write(aAttempt, ClaimRecordState::Claimed, 0, aTape);
+        return Write(aAttempt, ClaimRecordState::Claimed, 0, aChoices);
       case ClaimActionKind::TakeOver:
         return Write(
-          aAttempt, ClaimRecordState::Claimed, action.mVersion, aTape);
+          aAttempt, ClaimRecordState::Claimed, action.mVersion, aChoices);
       case ClaimActionKind::StoreAnswer:
         return Write(
-          aAttempt, ClaimRecordState::Answered, action.mVersion, aTape);
+          aAttempt, ClaimRecordState::Answered, action.mVersion, aChoices);
       case ClaimActionKind::StoreLost:
-        return Write(aAttempt, ClaimRecordState::Lost, action.mVersion, aTape);
+        return Write(
+          aAttempt, ClaimRecordState::Lost, action.mVersion, aChoices);
       case ClaimActionKind::Release:
         // Whoever releases says "not run" next.
         RC_ASSERT(mRuns == 0);
         return Write(
-          aAttempt, ClaimRecordState::Released, action.mVersion, aTape);
+          aAttempt, ClaimRecordState::Released, action.mVersion, aChoices);
       case ClaimActionKind::Read:
-        if (aTape.Below(4) == 0) {
+        if (aChoices.Below(4) == 0) {
           ClaimEvent event;
           event.mKind = ClaimEventKind::NoPlatform;
           return event;
         }
-        return Standing();
+        return CurrentRecord();
       case ClaimActionKind::QueryCreator:
-        return Ask(action, aTape);
+        return QueryPeer(action, aChoices);
       default:
-        return ForwardOrder(aAttempt, aTape);
+        return ForwardOrder(aAttempt, aChoices);
     }
   }
 
-  void Step(Attempt& aAttempt, RandomChoices& aTape, TimePoint aNow)
+  void Step(Attempt& aAttempt, RandomChoices& aChoices, TimePoint aNow)
   {
     ClaimEvent event;
     if (aAttempt.mStarted) {
-      event = Do(aAttempt, aTape);
+      event = Perform(aAttempt, aChoices);
       aAttempt.mOffered = aAttempt.mOffered ||
                           event.mKind == ClaimEventKind::Answered ||
                           event.mKind == ClaimEventKind::AnswerLost;
@@ -211,36 +212,36 @@
 // answer; endpoints refuse connections, run and drop the answer.
 RC_GTEST_PROP(Claim, RunsAtMostOnceAndNotRunIsTrue, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(300);
-  World world;
+  RandomChoices choices = RandomChoices::OfLength(300);
+  ClaimModel model;
   TimePoint now = TimePoint(Seconds(1000));
-  world.Add(now);
-  while (!tape.Ended()) {
-    now += Millis(tape.Below(200) * 10);
-    int what = tape.Below(12);
-    if (what == 0 && world.mAttempts.size() < 5) {
-      world.Add(now);
-    } else if (what == 1 && !world.mLate.empty()) {
-      world.Apply(world.mLate.front());
-      world.mLate.erase(world.mLate.begin());
+  model.Add(now);
+  while (!choices.Ended()) {
+    now += Millis(choices.Below(200) * 10);
+    int what = choices.Below(12);
+    if (what == 0 && model.mAttempts.size() < 5) {
+      model.Add(now);
+    } else if (what == 1 && !model.mLateWrites.empty()) {
+      model.Apply(model.mLateWrites.front());
+      model.mLateWrites.erase(model.mLateWrites.begin());
     } else {
-      int count = static_cast<int>(world.mAttempts.size());
+      int count = static_cast<int>(model.mAttempts.size());
       Attempt& attempt =
-        world.mAttempts[static_cast<size_t>(tape.Below(count))];
+        model.mAttempts[static_cast<size_t>(choices.Below(count))];
       if (what == 2) {
         attempt.mDead = true;
       } else if (!attempt.mDead && !attempt.mDone) {
-        world.Step(attempt, tape, now);
+        model.Step(attempt, choices, now);
       }
     }
-    RC_ASSERT(world.mRuns <= 1);
+    RC_ASSERT(model.mRuns <= 1);
   }
 }
 
 // What the caller sees: after trouble that ended before anything was handed
 // on, the same order under the same key is carried out. An order must not be
 // stuck for ever because somebody once gave it up.
-TEST(Claim, GivenUpOrdersCanBeSentAgain)
+TEST(Claim, ReleasedOrderCanBeSentAgain)
 {
   TimePoint now = TimePoint(Seconds(1000));
   ClaimState first;
@@ -264,12 +265,12 @@
   second.mNonce = "n1";
   second.mDeadline = now + Seconds(1);
   ClaimStep(second, {}, now);
-  ClaimEvent standing;
-  standing.mKind = ClaimEventKind::Standing;
-  standing.mVersion = 1;
-  standing.mRecord.mNonce = "n0";
-  standing.mRecord.mCreator = "i0";
-  action = ClaimStep(second, standing, now);
+  ClaimEvent stored;
+  stored.mKind = ClaimEventKind::Standing;
+  stored.mVersion = 1;
+  stored.mRecord.mNonce = "n0";
+  stored.mRecord.mCreator = "i0";
+  action = ClaimStep(second, stored, now);
   ASSERT_EQ(action.mKind, ClaimActionKind::QueryCreator);
   EXPECT_EQ(action.mPeer, "i0");
   ClaimEvent gaveUp;
--- a/tests/property/ConfigProperty.cpp
+++ b/tests/property/ConfigProperty.cpp
@@ -35,20 +35,20 @@
 };
 
 // What a beat was answered with; it arrives later, or never.
-struct Beat
+struct HeartbeatReply
 {
   size_t mTo = 0;
-  ConfigFreshness mSaid;
+  ConfigFreshness mFreshness;
   TimePoint mAsked{};
   ConfigSnapshot mConfig;
 };
 
-struct World
+struct ConfigModel
 {
   PausedClock mClock;
   MemoryPlatform mPlatform;
   std::vector<std::unique_ptr<Follower>> mFollowers;
-  std::vector<Beat> mBeats;
+  std::vector<HeartbeatReply> mReplies;
   std::map<int64_t, std::string> mTexts;    // of each revision, once seen
   std::map<int64_t, TimePoint> mInForce;    // since when
   std::map<int64_t, std::string> mAccepted; // what its operator was told
@@ -57,7 +57,7 @@
   int64_t mVersion = 0;  // of the index in force
   int64_t mRevision = 0; // the same
 
-  explicit World(bool aStale)
+  explicit ConfigModel(bool aStale)
     : mStale(aStale)
   {
     for (int i = 0; i < 3; ++i) {
@@ -66,21 +66,21 @@
   }
 
   // How this step's calls to the platform fare.
-  void DrawFaults(RandomChoices& aTape)
+  void DrawFaults(RandomChoices& aChoices)
   {
-    mPlatform.mOnWrite = [&aTape](const PlatformWrite&) {
-      return MemoryFaultOf(aTape.Below(40));
+    mPlatform.mOnWrite = [&aChoices](const PlatformWrite&) {
+      return MemoryFaultOf(aChoices.Below(40));
     };
-    mPlatform.mOnRead = [this, &aTape] {
-      int what = aTape.Below(16);
+    mPlatform.mOnRead = [this, &aChoices] {
+      int what = aChoices.Below(16);
       return what == 0 ? -1 : what < 4 && mStale ? what : 0;
     };
   }
 
   // An operator changes what this instance has, knowing nothing newer.
-  void Change(Follower& aAt)
+  void Change(Follower& aFollower)
   {
-    ConfigPtr current = aAt.mHolder.Current();
+    ConfigPtr current = aFollower.mHolder.Current();
     ConfigSnapshot next = *current;
     std::string id = "key" + std::to_string(mKeys++);
     next.mKeys[id].mId = id;
@@ -91,7 +91,8 @@
       next.mKeys.erase(next.mKeys.begin());
     }
     auto done = Outcome([&] {
-      return aAt.mStore.Commit(current->mRevision, next, "operator", id, "now");
+      return aFollower.mStore.Commit(
+        current->mRevision, next, "operator", id, "now");
     });
     if (auto* revision = std::get_if<ConfigRevision>(&done)) {
       RC_ASSERT(mAccepted.count(revision->mRevision) == 0u);
@@ -99,58 +100,59 @@
     }
   }
 
-  void Look(Follower& aAt)
+  void Look(Follower& aFollower)
   {
-    FailureIn([&] { return aAt.mFollower.Look(Millis(0)); });
+    FailureIn([&] { return aFollower.mFollower.Look(Millis(0)); });
   }
 
-  void Ask(size_t aFrom, size_t aTo)
+  void RequestConfig(size_t aFrom, size_t aTo)
   {
     ConfigHolder& peer = mFollowers[aFrom]->mHolder;
-    mBeats.push_back({ aTo, peer.Fresh(), mClock.Now(), *peer.Current() });
+    mReplies.push_back({ aTo, peer.Fresh(), mClock.Now(), *peer.Current() });
   }
 
-  void Arrive(RandomChoices& aTape)
+  void DeliverReply(RandomChoices& aChoices)
   {
-    if (mBeats.empty()) {
+    if (mReplies.empty()) {
       return;
     }
-    Beat beat = mBeats.front();
-    mBeats.erase(mBeats.begin());
-    mFollowers[beat.mTo]->mFollower.OnPeerFreshness(
-      beat.mSaid, beat.mAsked, [&] {
-        return aTape.Below(4) == 0 ? std::nullopt : std::optional(beat.mConfig);
+    HeartbeatReply reply = mReplies.front();
+    mReplies.erase(mReplies.begin());
+    mFollowers[reply.mTo]->mFollower.OnPeerFreshness(
+      reply.mFreshness, reply.mAsked, [&] {
+        return aChoices.Below(4) == 0 ? std::nullopt
+                                      : std::optional(reply.mConfig);
       });
   }
 
-  void Step(RandomChoices& aTape)
+  void Step(RandomChoices& aChoices)
   {
-    DrawFaults(aTape);
-    size_t at = static_cast<size_t>(aTape.Below(3));
+    DrawFaults(aChoices);
+    size_t at = static_cast<size_t>(aChoices.Below(3));
     Follower& follower = *mFollowers[at];
-    int what = aTape.Below(20);
+    int what = aChoices.Below(20);
     if (what < 3) {
       Change(follower);
     } else if (what < 9) {
       Look(follower);
     } else if (what < 12) {
-      Ask(at, static_cast<size_t>(aTape.Below(3)));
+      RequestConfig(at, static_cast<size_t>(aChoices.Below(3)));
     } else if (what < 15) {
-      Arrive(aTape);
+      DeliverReply(aChoices);
     } else if (what < 18) {
-      mClock.Advance(Millis(aTape.Below(50) * 20));
-    } else if (what == 18 && !mPlatform.mLate.empty()) {
+      mClock.Advance(Millis(aChoices.Below(50) * 20));
+    } else if (what == 18 && !mPlatform.mLateWrites.empty()) {
       mPlatform.ApplyLate(0);
-    } else if (what == 19 && aTape.Below(3) == 0) {
-      mBeats.clear();
+    } else if (what == 19 && aChoices.Below(3) == 0) {
+      mReplies.clear();
       mFollowers[at] = std::make_unique<Follower>(mPlatform, mClock);
     }
-    Note();
+    CheckRevisions();
   }
 
-  void Note()
+  void CheckRevisions()
   {
-    PlatformObject index = mPlatform.Standing("config", "index");
+    PlatformObject index = mPlatform.CurrentObject("config", "index");
     if (index.mVersion != mVersion) {
       mVersion = index.mVersion;
       mRevision = ConfigIndexParse(index.mValue).mNow.mRevision;
@@ -180,22 +182,22 @@
 // changes under one revision, or an instance back at an earlier one. Two
 // operators race; reads are stale, writes are lost, late, or in force without
 // an answer; peers answer late; instances start anew.
-RC_GTEST_PROP(Config, AcceptedStaysAndNobodyGoesBack, ())
+RC_GTEST_PROP(Config, AcceptedRevisionsPersistAndNeverRevert, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(400);
-  World world(true);
-  while (!tape.Ended()) {
-    world.Step(tape);
+  RandomChoices choices = RandomChoices::OfLength(400);
+  ConfigModel model(true);
+  while (!choices.Ended()) {
+    model.Step(choices);
   }
-  world.mPlatform.mOnRead = nullptr;
-  for (const auto& follower : world.mFollowers) {
-    world.Look(*follower);
-    world.Look(*follower);
+  model.mPlatform.mOnRead = nullptr;
+  for (const auto& follower : model.mFollowers) {
+    model.Look(*follower);
+    model.Look(*follower);
   }
-  world.Note();
+  model.CheckRevisions();
 
-  for (const auto& follower : world.mFollowers) {
-    RC_ASSERT(follower->mHolder.Current()->mRevision == world.mRevision);
+  for (const auto& follower : model.mFollowers) {
+    RC_ASSERT(follower->mHolder.Current()->mRevision == model.mRevision);
   }
 }
 
@@ -203,18 +205,18 @@
 // its keys are fresh. Whatever an instance knows by itself or from peers, every
 // revision that came into force before the moment it calls itself fresh for is
 // in force there.
-RC_GTEST_PROP(Config, FreshMeansNothingNewerStood, ())
+RC_GTEST_PROP(Config, FreshMeansNoNewerRevisionInForce, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(400);
-  World world(false);
-  while (!tape.Ended()) {
-    world.Step(tape);
-    for (const auto& follower : world.mFollowers) {
+  RandomChoices choices = RandomChoices::OfLength(400);
+  ConfigModel model(false);
+  while (!choices.Ended()) {
+    model.Step(choices);
+    for (const auto& follower : model.mFollowers) {
       ConfigFreshness fresh = follower->mHolder.Fresh();
-      TimePoint asOf = world.mClock.Now() - fresh.mAge;
-      for (const auto& revision : world.mInForce) {
-        bool stood = revision.second < asOf;
-        RC_ASSERT(fresh.mRevision == 0 || !stood ||
+      TimePoint asOf = model.mClock.Now() - fresh.mAge;
+      for (const auto& revision : model.mInForce) {
+        bool wasInForce = revision.second < asOf;
+        RC_ASSERT(fresh.mRevision == 0 || !wasInForce ||
                   fresh.mRevision >= revision.first);
       }
     }
--- a/tests/property/HomeZoneProperty.cpp
+++ b/tests/property/HomeZoneProperty.cpp
@@ -25,14 +25,14 @@
 
 // Three zones, requests in each, cuts, loads that end or fail, replicas that
 // idle out.
-struct World
+struct HomeZoneModel
 {
   HomeZoneParameters mParameters;
   TimePoint mNow = TimePoint(Seconds(1000));
   std::vector<Zone> mZones;
   int mBusyLoads = 0;
 
-  World()
+  HomeZoneModel()
   {
     for (const std::string& name : kZones) {
       mZones.push_back({ name, {}, false, false, false, false });
@@ -88,9 +88,9 @@
     }
     ServeHere(Home());
   }
-  void End(Zone& aZone, bool aWell)
+  void FinishLoad(Zone& aZone, bool aSucceeded)
   {
-    aZone.mServing = aZone.mServing || (aZone.mLoading && aWell);
+    aZone.mServing = aZone.mServing || (aZone.mLoading && aSucceeded);
     aZone.mLoading = false;
     aZone.mWaiting = false;
   }
@@ -105,14 +105,14 @@
 };
 
 void
-ApplyEvent(World& aWorld, int aWhat, Zone& aZone, bool aCuts)
+ApplyEvent(HomeZoneModel& aModel, int aEvent, Zone& aZone, bool aCuts)
 {
-  switch (aWhat) {
+  switch (aEvent) {
     case 0:
-      aWorld.End(aZone, true);
+      aModel.FinishLoad(aZone, true);
       return;
     case 1:
-      aWorld.End(aZone, false);
+      aModel.FinishLoad(aZone, false);
       return;
     case 2:
       aZone.mServing = false;
@@ -121,7 +121,7 @@
       aZone.mCut = aCuts && !aZone.mCut;
       return;
     default:
-      aWorld.Request(aZone);
+      aModel.Request(aZone);
   }
 }
 
@@ -132,14 +132,14 @@
 // of them ever loads: else each zone pays the cold start and the idle hours.
 RC_GTEST_PROP(HomeZone, OneReplicaForZonesThatReachEachOther, ())
 {
-  World world;
-  world.mParameters.mBusyThreshold = 1e9;
-  RandomChoices tape = RandomChoices::OfLength(300);
-  while (!tape.Ended()) {
-    Zone& zone = world.mZones[static_cast<size_t>(tape.Below(3))];
-    ApplyEvent(world, tape.Below(8), zone, false);
-    world.mNow += Millis(tape.Below(250) * 20);
-    RC_ASSERT(world.Replicas() <= 1);
+  HomeZoneModel model;
+  model.mParameters.mBusyThreshold = 1e9;
+  RandomChoices choices = RandomChoices::OfLength(300);
+  while (!choices.Ended()) {
+    Zone& zone = model.mZones[static_cast<size_t>(choices.Below(3))];
+    ApplyEvent(model, choices.Below(8), zone, false);
+    model.mNow += Millis(choices.Below(250) * 20);
+    RC_ASSERT(model.Replicas() <= 1);
   }
 }
 
@@ -147,47 +147,47 @@
 // or at a home that takes it without sending it on; after a home that failed,
 // those that follow don't wait for it again. A busy zone begins one load a
 // minute at most, however its loads end.
-RC_GTEST_PROP(HomeZone, AlwaysSomewhereAndLoadsAreFew, ())
+RC_GTEST_PROP(HomeZone, EveryRequestIsServedAndBusyLoadsAreLimited, ())
 {
-  World world;
-  world.mParameters.mBusyThreshold = 5;
-  RandomChoices tape = RandomChoices::OfLength(300);
-  TimePoint began = world.mNow;
-  while (!tape.Ended()) {
-    Zone& zone = world.mZones[static_cast<size_t>(tape.Below(3))];
-    ApplyEvent(world, tape.Below(10), zone, true);
-    world.mNow += Millis(tape.Below(250) * 4);
+  HomeZoneModel model;
+  model.mParameters.mBusyThreshold = 5;
+  RandomChoices choices = RandomChoices::OfLength(300);
+  TimePoint began = model.mNow;
+  while (!choices.Ended()) {
+    Zone& zone = model.mZones[static_cast<size_t>(choices.Below(3))];
+    ApplyEvent(model, choices.Below(10), zone, true);
+    model.mNow += Millis(choices.Below(250) * 4);
   }
-  auto minutes = (world.mNow - began) / std::chrono::minutes(1) + 1;
-  RC_ASSERT(world.mBusyLoads <= 2 * minutes); // two zones aren't the home
+  auto minutes = (model.mNow - began) / std::chrono::minutes(1) + 1;
+  RC_ASSERT(model.mBusyLoads <= 2 * minutes); // two zones aren't the home
 }
 
 // The load that took the home's place lasts longer than the home is avoided.
 // Sent away now, a request would have the home load a second replica.
-TEST(HomeZone, WaitsForTheLoadThatIsUnderWay)
+TEST(HomeZone, ServesLocallyWhileItsLoadIsInProgress)
 {
-  World world;
-  Zone& away = world.NonHome();
-  world.Home().mCut = true;
-  world.Request(away);
-  world.mNow += 2 * world.mParameters.mHomeRetryDelay;
-  EXPECT_EQ(world.Ask(away), HomeZoneAction::Local);
+  HomeZoneModel model;
+  Zone& zone = model.NonHome();
+  model.Home().mCut = true;
+  model.Request(zone);
+  model.mNow += 2 * model.mParameters.mHomeRetryDelay;
+  EXPECT_EQ(model.Ask(zone), HomeZoneAction::Local);
 }
 
 // A zone that reaches the home again goes back to it, once its own replica has
 // idled out.
-TEST(HomeZone, BackAfterTheHomeFailed)
+TEST(HomeZone, ReturnsToHomeZoneAfterItsReplicaIsGone)
 {
-  World world;
-  Zone& away = world.NonHome();
-  world.Home().mCut = true;
-  world.Request(away);
-  world.End(away, true);
-  world.Home().mCut = false;
-  world.mNow += world.mParameters.mHomeRetryDelay;
-  EXPECT_EQ(world.Ask(away), HomeZoneAction::Local); // a warm replica is here
-  away.mServing = false;
-  EXPECT_EQ(world.Ask(away), HomeZoneAction::Remote);
+  HomeZoneModel model;
+  Zone& zone = model.NonHome();
+  model.Home().mCut = true;
+  model.Request(zone);
+  model.FinishLoad(zone, true);
+  model.Home().mCut = false;
+  model.mNow += model.mParameters.mHomeRetryDelay;
+  EXPECT_EQ(model.Ask(zone), HomeZoneAction::Local); // a warm replica is here
+  zone.mServing = false;
+  EXPECT_EQ(model.Ask(zone), HomeZoneAction::Remote);
 }
 
 } // namespace caraway
--- a/tests/property/LoadGateProperty.cpp
+++ b/tests/property/LoadGateProperty.cpp
@@ -16,20 +16,20 @@
   RequestClass mClass = RequestClass::Batch;
   bool mHasPermit = false;
   bool mDead = false;
-  TimePoint mTold{}; // when it was last told that it is in
+  TimePoint mAdmittedAt{}; // when it was last told that it is in
 };
 
-struct World
+struct LoadGateModel
 {
   LoadGateParameters mParameters;
   TimePoint mNow = TimePoint(Seconds(1000));
   LoadGate mGate{ mParameters, mNow };
   std::vector<Load> mLoads;
   std::vector<TimePoint> mStarts;
-  int mMade = 0;
+  int mCreated = 0;
 
   // An answer may be lost: the load then doesn't know that it is in.
-  void Ask(Load& aLoad, bool aHeard)
+  void Ask(Load& aLoad, bool aReplyArrives)
   {
     bool before = mGate.mEntries.count(aLoad.mId) != 0 &&
                   mGate.mEntries[aLoad.mId].mHasPermit;
@@ -37,26 +37,26 @@
                 .mHasPermit;
     if (in && !before) {
       mStarts.push_back(mNow);
-      Check(mGate.mEntries[aLoad.mId]);
+      CheckAdmission(mGate.mEntries[aLoad.mId]);
     }
-    if (in && aHeard) {
+    if (in && aReplyArrives) {
       aLoad.mHasPermit = true;
-      aLoad.mTold = mNow;
+      aLoad.mAdmittedAt = mNow;
     }
   }
 
   // aEntry has just been let in.
-  void Check(const LoadGateEntry& aEntry) const
+  void CheckAdmission(const LoadGateEntry& aEntry) const
   {
     for (const auto& other : mGate.mEntries) {
       RC_ASSERT(other.second.mHasPermit ||
                 other.second.mClass >= aEntry.mClass ||
                 other.second.mArrived > aEntry.mArrived);
     }
-    int inside = LoadGateAdmitted(mGate);
+    int admitted = LoadGateAdmitted(mGate);
     bool urgent = aEntry.mClass == RequestClass::Urgent;
-    RC_ASSERT(inside <= mParameters.mMaxConcurrent +
-                          (urgent ? mParameters.mUrgentExtra : 0));
+    RC_ASSERT(admitted <= mParameters.mMaxConcurrent +
+                            (urgent ? mParameters.mUrgentExtra : 0));
     auto recent =
       std::count_if(mStarts.begin(), mStarts.end(), [&](TimePoint aStart) {
         return mNow - aStart < Seconds(1);
@@ -64,29 +64,29 @@
     RC_ASSERT(static_cast<double>(recent) <= 2 * mParameters.mStartsPerSecond);
   }
 
-  void Step(RandomChoices& aTape)
+  void Step(RandomChoices& aChoices)
   {
-    mNow += Millis(aTape.Below(20) * 10);
-    int what = aTape.Below(8);
+    mNow += Millis(aChoices.Below(20) * 10);
+    int what = aChoices.Below(8);
     if (what == 0 || mLoads.empty()) {
       Load load;
-      load.mId = std::to_string(mMade++);
-      load.mClass = static_cast<RequestClass>(aTape.Below(3));
+      load.mId = std::to_string(mCreated++);
+      load.mClass = static_cast<RequestClass>(aChoices.Below(3));
       mLoads.push_back(load);
       return;
     }
-    size_t at = static_cast<size_t>(aTape.Below(255)) % mLoads.size();
+    size_t at = static_cast<size_t>(aChoices.Below(255)) % mLoads.size();
     Load& load = mLoads[at];
     if (load.mDead) {
       return;
     }
-    if (what == 1 && aTape.Below(3) == 0) {
+    if (what == 1 && aChoices.Below(3) == 0) {
       load.mDead = true;
     } else if (what == 2 && load.mHasPermit) {
       LoadGateRelease(mGate, load.mId);
       mLoads.erase(mLoads.begin() + static_cast<long>(at));
     } else {
-      Ask(load, aTape.Below(5) != 0);
+      Ask(load, aChoices.Below(5) != 0);
     }
   }
 
@@ -100,10 +100,11 @@
           continue;
         }
         waiting = waiting || !load.mHasPermit;
-        TimePoint told = load.mTold;
+        TimePoint admittedAt = load.mAdmittedAt;
         Ask(load, true);
-        load.mTold = told == TimePoint{} ? load.mTold : told;
-        if (load.mHasPermit && mNow - load.mTold > Seconds(2)) {
+        load.mAdmittedAt =
+          admittedAt == TimePoint{} ? load.mAdmittedAt : admittedAt;
+        if (load.mHasPermit && mNow - load.mAdmittedAt > Seconds(2)) {
           load.mDead = true;
           LoadGateRelease(mGate, load.mId);
         }
@@ -123,20 +124,20 @@
 // are lost, loaders die inside and while waiting, asks are doubled. Never more
 // inside than the limit, and the urgent beyond it; and whoever goes on asking
 // gets in, the least urgent too.
-RC_GTEST_PROP(LoadGate, NeverTooManyAndEveryTurnComes, ())
+RC_GTEST_PROP(LoadGate, LimitsConcurrencyAndAdmitsEveryLoad, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(300);
-  World world;
-  while (!tape.Ended()) {
-    world.Step(tape);
+  RandomChoices choices = RandomChoices::OfLength(300);
+  LoadGateModel model;
+  while (!choices.Ended()) {
+    model.Step(choices);
   }
-  auto bound = Seconds(10 + 2 * static_cast<int>(world.mLoads.size()));
-  RC_ASSERT(world.DrainsWithin(bound));
+  auto bound = Seconds(10 + 2 * static_cast<int>(model.mLoads.size()));
+  RC_ASSERT(model.DrainsWithin(bound));
 }
 
 // A bulletin joins a briefing that waits for the same model's load: the load
 // is as urgent as the bulletin from then on.
-TEST(LoadGate, GrowsAsUrgentAsWhoWaits)
+TEST(LoadGate, TakesTheMostUrgentClassOfItsWaiters)
 {
   TimePoint now = TimePoint(Seconds(1000));
   LoadGate gate({}, now);
--- a/tests/property/PlacementProperty.cpp
+++ b/tests/property/PlacementProperty.cpp
@@ -11,11 +11,11 @@
 
 constexpr int64_t kMemory = 100;
 constexpr int64_t kBytes = 40;
-constexpr Millis kFresh{ 5000 };    // no order on a record seen longer ago
-constexpr Millis kDelay{ 20000 };   // longest way of an order
-constexpr Millis kHorizon{ 60000 }; // longer than both together
+constexpr Millis kMaxRecordAge{ 5000 }; // no order on a record seen longer ago
+constexpr Millis kMaxDelay{ 20000 };    // longest way of an order
+constexpr Millis kMaxOrderDelay{ 60000 }; // longer than both together
 
-struct Copy
+struct SentOrder
 {
   bool mLoad;
   PlacedReplica mReplica;
@@ -33,13 +33,13 @@
   std::map<std::string, TimePoint> mSince;
 };
 
-struct World
+struct PlacementModel
 {
   PlacementRecord mRecord;
   int64_t mVersion = 0;
   std::map<std::string, int64_t> mEngine; // name: bytes
   int64_t mHighestFencingToken = 0;
-  std::vector<Copy> mOnTheWay;
+  std::vector<SentOrder> mOrdersInFlight;
   std::vector<std::string> mAnswered; // decisions whose one order was answered
   std::vector<Decider> mDeciders = std::vector<Decider>(3);
   int mNextDecision = 0;
@@ -57,13 +57,13 @@
 
   bool Store(Decider& aDecider, const PlacementRecord& aNext, TimePoint aNow)
   {
-    bool stands = aDecider.mVersion == mVersion;
-    if (stands) {
+    bool current = aDecider.mVersion == mVersion;
+    if (current) {
       mRecord = aNext;
       ++mVersion;
     }
     Read(aDecider, aNow);
-    return stands;
+    return current;
   }
 
   void Decide(Decider& aDecider, int aModel, TimePoint aNow)
@@ -97,9 +97,9 @@
     for (const PlacedReplica& replica : aDecider.mRecord.mReplicas) {
       bool due = replica.mDecision == aDecider.mToSend &&
                  replica.mState == ReplicaState::Loading &&
-                 aNow - aDecider.mAsOf <= kFresh;
+                 aNow - aDecider.mAsOf <= kMaxRecordAge;
       if (due) {
-        mOnTheWay.push_back({ true, replica, aNow });
+        mOrdersInFlight.push_back({ true, replica, aNow });
       }
     }
     aDecider.mToSend.clear();
@@ -113,29 +113,29 @@
     }
     for (const PlacedReplica& replica : aDecider.mRecord.mReplicas) {
       if (replica.mState == ReplicaState::Unloading) {
-        mOnTheWay.push_back({ false, replica, aNow });
+        mOrdersInFlight.push_back({ false, replica, aNow });
       }
     }
   }
 
   void Deliver(size_t aIndex, bool aAnswered, TimePoint aNow)
   {
-    Copy copy = mOnTheWay[aIndex];
-    mOnTheWay.erase(mOnTheWay.begin() + static_cast<long>(aIndex));
-    if (aNow - copy.mSent > kDelay ||
+    SentOrder order = mOrdersInFlight[aIndex];
+    mOrdersInFlight.erase(mOrdersInFlight.begin() + static_cast<long>(aIndex));
+    if (aNow - order.mSent > kMaxDelay ||
         (mRecord.mChecksFencing &&
-         copy.mReplica.mFencingToken < mHighestFencingToken)) {
+         order.mReplica.mFencingToken < mHighestFencingToken)) {
       return;
     }
     mHighestFencingToken =
-      std::max(mHighestFencingToken, copy.mReplica.mFencingToken);
-    if (!copy.mLoad) {
-      mEngine.erase(copy.mReplica.mName);
+      std::max(mHighestFencingToken, order.mReplica.mFencingToken);
+    if (!order.mLoad) {
+      mEngine.erase(order.mReplica.mName);
       return;
     }
-    mEngine[copy.mReplica.mName] = copy.mReplica.mBytes;
+    mEngine[order.mReplica.mName] = order.mReplica.mBytes;
     if (aAnswered) {
-      mAnswered.push_back(copy.mReplica.mDecision);
+      mAnswered.push_back(order.mReplica.mDecision);
     }
   }
 
@@ -162,17 +162,18 @@
       replica.mReady = true;
       report.mReplicas.push_back(replica);
     }
-    std::set<std::string> past;
+    std::set<std::string> expired;
     for (const PlacedReplica& replica : aDecider.mRecord.mReplicas) {
       auto since = aDecider.mSince.find(replica.mDecision +
                                         std::to_string(replica.mFencingToken));
       if (replica.mState == ReplicaState::Unloading &&
-          since != aDecider.mSince.end() && aNow - since->second > kHorizon) {
-        past.insert(replica.mDecision);
+          since != aDecider.mSince.end() &&
+          aNow - since->second > kMaxOrderDelay) {
+        expired.insert(replica.mDecision);
       }
     }
     PlacementRecord next = aDecider.mRecord;
-    if (PlacementObserve(next, report, past)) {
+    if (PlacementObserve(next, report, expired)) {
       Store(aDecider, next, aNow);
     }
   }
@@ -190,47 +191,48 @@
 };
 
 void
-RunWorld(bool aChecksFencing)
+RunModel(bool aChecksFencing)
 {
-  RandomChoices tape = RandomChoices::OfLength(500);
-  World world;
-  world.mRecord.mMemory = kMemory;
-  world.mRecord.mChecksFencing = aChecksFencing;
+  RandomChoices choices = RandomChoices::OfLength(500);
+  PlacementModel model;
+  model.mRecord.mMemory = kMemory;
+  model.mRecord.mChecksFencing = aChecksFencing;
   TimePoint now = TimePoint(Seconds(1000));
-  while (!tape.Ended()) {
-    now += Millis(tape.Below(4) == 0 ? tape.Below(200) * 400 : 0);
-    Decider& decider = world.mDeciders[static_cast<size_t>(tape.Below(3))];
-    switch (tape.Below(9)) {
+  while (!choices.Ended()) {
+    now += Millis(choices.Below(4) == 0 ? choices.Below(200) * 400 : 0);
+    Decider& decider = model.mDeciders[static_cast<size_t>(choices.Below(3))];
+    switch (choices.Below(9)) {
       case 0:
-        world.Read(decider, now);
+        model.Read(decider, now);
         break;
       case 1:
-        world.Decide(decider, tape.Below(4), now);
+        model.Decide(decider, choices.Below(4), now);
         break;
       case 2:
-        world.Send(decider, now);
+        model.Send(decider, now);
         break;
       case 3:
-        world.Resend(decider, now);
+        model.Resend(decider, now);
         break;
       case 4:
-        world.Unload(decider, tape.Below(4), now);
+        model.Unload(decider, choices.Below(4), now);
         break;
       case 5:
-        world.Settle(decider, now);
+        model.Settle(decider, now);
         break;
       case 6:
-        world.Observe(decider, now);
+        model.Observe(decider, now);
         break;
       default:
-        if (!world.mOnTheWay.empty()) {
-          int count = static_cast<int>(world.mOnTheWay.size());
-          world.Deliver(
-            static_cast<size_t>(tape.Below(count)), tape.Below(2) == 0, now);
+        if (!model.mOrdersInFlight.empty()) {
+          int count = static_cast<int>(model.mOrdersInFlight.size());
+          model.Deliver(static_cast<size_t>(choices.Below(count)),
+                        choices.Below(2) == 0,
+                        now);
         }
         break;
     }
-    world.Check();
+    model.Check();
   }
 }
 
@@ -240,15 +242,15 @@
 // more than its memory. In any order: three instances decide, send, send again
 // and observe at once, each paused between any two steps; orders arrive late,
 // out of order or never; their answers are lost.
-RC_GTEST_PROP(Placement, EngineHoldsOnlyWhatIsDecided, ())
+RC_GTEST_PROP(Placement, EngineHoldsOnlyDecidedReplicas, ())
 {
-  RunWorld(true);
+  RunModel(true);
 }
 
 // The same at an engine that takes every order, however old its number.
-RC_GTEST_PROP(Placement, EngineThatIgnoresFencingHoldsOnlyWhatIsDecided, ())
+RC_GTEST_PROP(Placement, EngineIgnoringFencingHoldsOnlyDecidedReplicas, ())
 {
-  RunWorld(false);
+  RunModel(false);
 }
 
 } // namespace caraway
--- a/tests/property/ShareProperty.cpp
+++ b/tests/property/ShareProperty.cpp
@@ -14,13 +14,13 @@
 // while members promise each other; clocks running 2% apart.
 RC_GTEST_PROP(ShareLease, NoSlotHasTwoSpenders, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(1200);
-  ShareModel world;
+  RandomChoices choices = RandomChoices::OfLength(1200);
+  ShareModel model;
   TimePoint now = TimePoint(Seconds(1000));
-  world.AddThreeNodes();
-  while (!tape.Ended()) {
-    world.Step(tape, now);
-    world.CheckOneSpender(now);
+  model.AddThreeNodes();
+  while (!choices.Ended()) {
+    model.Step(choices, now);
+    model.CheckOneSpender(now);
   }
 }
 
@@ -29,20 +29,20 @@
 // holder, who never saw that, goes on with what it had. In the same troubles,
 // requests spend in between; the rate is 0, so all that is ever spent is the
 // burst.
-RC_GTEST_PROP(Share, HandedOnIsNeverSpentTwice, ())
+RC_GTEST_PROP(Share, HandedOverTokensAreNeverSpentTwice, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(1200);
-  ShareModel world;
+  RandomChoices choices = RandomChoices::OfLength(1200);
+  ShareModel model;
   TimePoint now = TimePoint(Seconds(1000));
   const double burst = 40;
   for (const char* name : { "acme", "globex", "initech" }) {
-    world.AddTenant(name, burst);
+    model.AddTenant(name, burst);
   }
-  world.AddThreeNodes();
-  while (!tape.Ended()) {
-    world.Step(tape, now);
-    world.Spend(tape, now);
-    for (const auto& spent : world.mSpent) {
+  model.AddThreeNodes();
+  while (!choices.Ended()) {
+    model.Step(choices, now);
+    model.Spend(choices, now);
+    for (const auto& spent : model.mSpent) {
       RC_ASSERT(spent.second <= burst + 1e-6);
     }
   }
@@ -51,52 +51,52 @@
 // What a tenant's neighbours would see: a burst spent twice. A holder hands a
 // slot on and never hears that this came into force; the next one spends, ends
 // and hands it back. The first must go on with what the next one left.
-TEST(Share, HandedBackUnseenIsNotSpentAgain)
+TEST(Share, SlotReturnedUnseenKeepsTheLevelLeft)
 {
   TimePoint now = TimePoint(Seconds(1000));
-  ShareModel world;
-  world.AddTenant("acme", 40);
-  world.Add("a0", 1);
-  world.Add("a1", 1);
-  ShareModelNode& first = world.mNodes[0];
-  ShareModelNode& next = world.mNodes[1];
+  ShareModel model;
+  model.AddTenant("acme", 40);
+  model.Add("a0", 1);
+  model.Add("a1", 1);
+  ShareModelNode& first = model.mNodes[0];
+  ShareModelNode& next = model.mNodes[1];
   int slot = ShareSlotsOf("acme")[0];
-  world.RenewNow(first, now);
-  double before = world.LevelOf(first, "acme", slot, now);
+  model.RenewNow(first, now);
+  double before = model.LevelOf(first, "acme", slot, now);
   ASSERT_GT(before, 0);
-  world.RenewNow(next, now);
-  ShareLeaseUpdate(first.mLease, world.mTable, world.mVersion, now);
-  ShareTable handed = world.ReleaseOf(first, false, now);
+  model.RenewNow(next, now);
+  ShareLeaseUpdate(first.mLease, model.mTable, model.mVersion, now);
+  ShareTable handed = model.ReleaseOf(first, false, now);
   if (handed.mSlots[slot].mHolder != "n1") {
     slot = ShareSlotsOf("acme")[1];
   }
   ASSERT_EQ(handed.mSlots[slot].mHolder, "n1");
-  world.Apply(handed, world.mVersion);
-  ShareLeaseUpdate(next.mLease, world.mTable, world.mVersion, now);
-  world.RenewNow(next, now);
-  ASSERT_EQ(world.LevelOf(next, "acme", slot, now), before);
+  model.Apply(handed, model.mVersion);
+  ShareLeaseUpdate(next.mLease, model.mTable, model.mVersion, now);
+  model.RenewNow(next, now);
+  ASSERT_EQ(model.LevelOf(next, "acme", slot, now), before);
   next.mBuckets.Find("acme", slot)->Take(15, now);
-  world.Apply(world.ReleaseOf(next, true, now), world.mVersion);
-  world.RenewNow(first, now);
+  model.Apply(model.ReleaseOf(next, true, now), model.mVersion);
+  model.RenewNow(first, now);
   EXPECT_TRUE(ShareLeaseMaySpend(first.mLease, slot, now));
-  EXPECT_EQ(world.LevelOf(first, "acme", slot, now), before - 15);
+  EXPECT_EQ(model.LevelOf(first, "acme", slot, now), before - 15);
 }
 
 // What the caller's tenant sees: half of its rate refused for good, or for as
 // long as the platform is out. A holder stops spending a slot before it hands
 // it on; when the handing on fails, or another takes it back, somebody must
 // spend it again. After any trouble, quiet rounds bring all slots back.
-RC_GTEST_PROP(ShareLease, EverySlotIsSpendableAfterTrouble, ())
+RC_GTEST_PROP(ShareLease, EverySlotIsSpendableAfterFaultsEnd, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(600);
-  ShareModel world;
+  RandomChoices choices = RandomChoices::OfLength(600);
+  ShareModel model;
   TimePoint now = TimePoint(Seconds(1000));
-  world.AddThreeNodes();
-  while (!tape.Ended()) {
-    world.Step(tape, now);
+  model.AddThreeNodes();
+  while (!choices.Ended()) {
+    model.Step(choices, now);
   }
-  bool anyAlive = world.SettleWithoutFaults(now);
-  RC_ASSERT(!anyAlive || world.Spendable(now) == kShareSlots);
+  bool anyAlive = model.SettleWithoutFaults(now);
+  RC_ASSERT(!anyAlive || model.Spendable(now) == kShareSlots);
 }
 
 // What the caller's tenant sees: requests gathered from several holders, whose
@@ -105,7 +105,7 @@
 // life can stretch it.
 RC_GTEST_PROP(Share, GatheredGrantsStayWithinRateAndBurst, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(500);
+  RandomChoices choices = RandomChoices::OfLength(500);
   const double rate = 100;
   const double burst = 60;
   const Millis life(100);
@@ -118,23 +118,23 @@
     buckets.back().Fill(part, now);
   }
   std::vector<WindowSpend> spends;
-  while (!tape.Ended()) {
-    now += Millis(tape.Below(60));
-    double missing = 1 + tape.Below(40);
+  while (!choices.Ended()) {
+    now += Millis(choices.Below(60));
+    double missing = 1 + choices.Below(40);
     double cost = missing;
     TimePoint begun = now;
     TimePoint at = now;
     std::vector<std::pair<int, double>> taken;
-    int first = tape.Below(holders);
+    int first = choices.Below(holders);
     for (int i = 0; i < holders && missing > 0; ++i) {
       TokenBucket& bucket = buckets[static_cast<size_t>((first + i) % holders)];
-      at += Millis(tape.Below(8));
+      at += Millis(choices.Below(8));
       double there = std::min(missing, bucket.Level(at));
-      if (there > 0 && bucket.Take(there, at) && tape.Below(10) != 0) {
+      if (there > 0 && bucket.Take(there, at) && choices.Below(10) != 0) {
         missing -= there;
         taken.emplace_back((first + i) % holders, there);
       }
-      at += Millis(tape.Below(40));
+      at += Millis(choices.Below(40));
     }
     if (missing <= 1e-9 && at - begun <= life) {
       spends.push_back({ at, cost });
@@ -149,7 +149,7 @@
 // may be cut off and spending. Once the platform's list hasn't had them for a
 // while they are taken over from; without the list it would take the isolation
 // limit, an hour, in which the zone's part of every rate is lost.
-TEST(ShareLease, ZoneReplacedAtOnce)
+TEST(ShareLease, SlotsOfUnlistedMembersAreTakenOver)
 {
   for (bool listed : { true, false }) {
     TimePoint now = TimePoint(Seconds(1000));
@@ -181,7 +181,7 @@
 // in the gaps of a hand-over callers were refused. Each slot has one place
 // where it should be, its partner another, and after one round of everybody
 // all are there, however many join.
-TEST(ShareLease, SlotsComeToRest)
+TEST(ShareLease, SlotsReachTheirTargets)
 {
   TimePoint now = TimePoint(Seconds(1000));
   ShareTable table;
--- a/tests/property/WaitQueueProperty.cpp
+++ b/tests/property/WaitQueueProperty.cpp
@@ -12,29 +12,29 @@
 // came, refused when its time passed, or gone by itself. A request that the
 // queue forgot would wait in silence until its connection broke. And no
 // request is served while a more urgent one waits.
-RC_GTEST_PROP(WaitQueue, EveryRequestEndsOnceAndUrgentFirst, ())
+RC_GTEST_PROP(WaitQueue, EveryRequestEndsOnceAndUrgentIsServedFirst, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(600);
+  RandomChoices choices = RandomChoices::OfLength(600);
   WaitQueue queue({ 8, 0.5 });
   TimePoint now = TimePoint(Seconds(1000));
   std::map<uint64_t, QueuedRequest> waiting;
   uint64_t next = 0;
-  while (!tape.Ended()) {
-    now += Millis(tape.Below(50));
-    int what = tape.Below(6);
+  while (!choices.Ended()) {
+    now += Millis(choices.Below(50));
+    int what = choices.Below(6);
     if (what < 3) {
       QueuedRequest item;
       item.mId = ++next;
-      item.mRequestDigest = static_cast<uint64_t>(tape.Below(20));
-      item.mTenant = std::string(1, static_cast<char>('a' + tape.Below(3)));
-      item.mClass = static_cast<RequestClass>(tape.Below(3));
-      item.mTokens = 1 + tape.Below(20);
-      item.mStartBy = now + Millis(tape.Below(200) * 5);
-      if (!queue.Offer(item, 1000, Millis(tape.Below(20)), now)) {
+      item.mRequestDigest = static_cast<uint64_t>(choices.Below(20));
+      item.mTenant = std::string(1, static_cast<char>('a' + choices.Below(3)));
+      item.mClass = static_cast<RequestClass>(choices.Below(3));
+      item.mTokens = 1 + choices.Below(20);
+      item.mStartBy = now + Millis(choices.Below(200) * 5);
+      if (!queue.Offer(item, 1000, Millis(choices.Below(20)), now)) {
         waiting[item.mId] = item;
       }
     } else if (what == 3) {
-      auto limit = static_cast<RequestClass>(tape.Below(3));
+      auto limit = static_cast<RequestClass>(choices.Below(3));
       auto served = queue.Next(limit);
       for (const auto& other : waiting) {
         RC_ASSERT(!served || other.second.mClass >= served->mClass);
@@ -61,9 +61,9 @@
 // What a small team sees beside one that floods: while both have requests
 // waiting, each is served as many tokens as the other, to within one request,
 // however many the other sends and however often it comes back.
-RC_GTEST_PROP(WaitQueue, TenantsThatWaitAreServedEvenly, ())
+RC_GTEST_PROP(WaitQueue, WaitingTenantsAreServedEvenly, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(400);
+  RandomChoices choices = RandomChoices::OfLength(400);
   WaitQueue queue({ 100000, 1.0 });
   TimePoint now = TimePoint(Seconds(1000));
   std::map<std::string, double> served;
@@ -73,7 +73,7 @@
     QueuedRequest item;
     item.mId = ++next;
     item.mTenant = aTenant;
-    item.mTokens = 1 + tape.Below(20);
+    item.mTokens = 1 + choices.Below(20);
     item.mStartBy = now + Seconds(100000);
     queue.Offer(item, 0, Millis(0), now);
     ++waits[aTenant];
@@ -82,8 +82,8 @@
     offer("flood");
   }
   offer("small");
-  while (!tape.Ended()) {
-    if (tape.Below(2) == 0) {
+  while (!choices.Ended()) {
+    if (choices.Below(2) == 0) {
       offer("flood");
     }
     auto item = queue.Next(RequestClass::Batch);
@@ -103,7 +103,7 @@
 
 // One queue at 1000 tokens a second, fed 200 ms of work at a time until it
 // refuses; served by Serve.
-struct Fed
+struct BusyQueue
 {
   WaitQueue mQueue;
   TimePoint mNow = TimePoint(Seconds(1000));
@@ -134,66 +134,66 @@
 // A caller is refused in a burst and told when to come back; it does, while the
 // burst goes on with others. It is let in then. Before, it was told the length
 // of the queue as it stood, and came back to a queue that others had filled.
-TEST(WaitQueue, ComingBackWhenToldIsLetIn)
+TEST(WaitQueue, RetryAtTheGivenTimeIsAdmitted)
 {
-  Fed fed;
+  BusyQueue busyQueue;
   uint64_t like = 1000;
   std::optional<WaitRefusal> refusal;
   while (!refusal) {
-    refusal = fed.Offer("acme", ++like);
+    refusal = busyQueue.Offer("acme", ++like);
   }
   uint64_t refused = like;
   for (int i = 0; i < 5; ++i) {
-    fed.Offer("acme", ++like); // told later times than it was
+    busyQueue.Offer("acme", ++like); // told later times than it was
   }
-  TimePoint due = fed.mNow + refusal->mRetryAfter;
-  while (fed.mNow < due) {
-    fed.Serve(Millis(200));
-    fed.Offer("acme", ++like);
-    fed.Offer("acme", ++like);
+  TimePoint due = busyQueue.mNow + refusal->mRetryAfter;
+  while (busyQueue.mNow < due) {
+    busyQueue.Serve(Millis(200));
+    busyQueue.Offer("acme", ++like);
+    busyQueue.Offer("acme", ++like);
   }
-  EXPECT_FALSE(fed.Offer("acme", refused));
+  EXPECT_FALSE(busyQueue.Offer("acme", refused));
 }
 
 // Many callers ask for the same, as drivers do at a closed pass. Told one
 // time, that of the first, all came back to the room of one. Each has its own.
-TEST(WaitQueue, CallersWhoAskTheSameComeBackInTurn)
+TEST(WaitQueue, SameRequestsGetDistinctRetryTimes)
 {
-  Fed fed;
+  BusyQueue busyQueue;
   constexpr uint64_t kSame = 7;
-  while (!fed.Offer("acme", kSame)) {
+  while (!busyQueue.Offer("acme", kSame)) {
   }
-  std::vector<TimePoint> told;
+  std::vector<TimePoint> retryTimes;
   for (int i = 0; i < 10; ++i) {
-    auto refusal = fed.Offer("acme", kSame);
+    auto refusal = busyQueue.Offer("acme", kSame);
     ASSERT_TRUE(refusal);
-    told.push_back(fed.mNow + refusal->mRetryAfter);
+    retryTimes.push_back(busyQueue.mNow + refusal->mRetryAfter);
   }
-  int in = 0;
-  for (TimePoint due : told) {
-    while (fed.mNow < due) {
-      fed.Serve(Millis(200));
+  int admitted = 0;
+  for (TimePoint due : retryTimes) {
+    while (busyQueue.mNow < due) {
+      busyQueue.Serve(Millis(200));
     }
-    in += fed.Offer("acme", kSame) ? 0 : 1;
+    admitted += busyQueue.Offer("acme", kSame) ? 0 : 1;
   }
-  EXPECT_EQ(in, 10);
-  EXPECT_GT(told.back() - told.front(), Millis(500));
+  EXPECT_EQ(admitted, 10);
+  EXPECT_GT(retryTimes.back() - retryTimes.front(), Millis(500));
 }
 
 // Callers that never come back when told: the room kept for them would leave
 // the engines idle while others are refused. After some that didn't come,
 // hardly any is kept.
-TEST(WaitQueue, NoRoomIsKeptForThoseWhoNeverCome)
+TEST(WaitQueue, UnusedReservationsDoNotHoldCapacity)
 {
-  Fed fed;
+  BusyQueue busyQueue;
   uint64_t like = 0;
   for (int i = 0; i < 500; ++i) {
-    fed.Offer("acme", ++like);
-    fed.Offer("acme", ++like);
-    fed.Serve(Millis(200));
+    busyQueue.Offer("acme", ++like);
+    busyQueue.Offer("acme", ++like);
+    busyQueue.Serve(Millis(200));
   }
   // The queue is as full as patience allows: 1.4 s of work.
-  EXPECT_GE(fed.mQueue.Size(), 5u);
+  EXPECT_GE(busyQueue.mQueue.Size(), 5u);
 }
 
 } // namespace caraway
--- a/tests/support/MemoryPlatform.h
+++ b/tests/support/MemoryPlatform.h
@@ -39,47 +39,49 @@
   std::function<MemoryFault(const PlatformWrite&)> mOnWrite;
   // Versions back that a read is shown; < 0 = the platform is out.
   std::function<int()> mOnRead;
-  std::vector<PlatformWrite> mLate;
+  std::vector<PlatformWrite> mLateWrites;
 
   WriteResult Apply(const PlatformWrite& aWrite)
   {
-    std::vector<PlatformObject>& past = Past(aWrite.mKind, aWrite.mName);
-    int64_t standing = past.empty() ? 0 : past.back().mVersion;
-    if (standing != aWrite.mExpected) {
+    std::vector<PlatformObject>& history =
+      HistoryOf(aWrite.mKind, aWrite.mName);
+    int64_t current = history.empty() ? 0 : history.back().mVersion;
+    if (current != aWrite.mExpected) {
       return { WriteOutcome::Conflict,
-               past.empty() ? PlatformObject() : past.back() };
+               history.empty() ? PlatformObject() : history.back() };
     }
-    past.push_back(
+    history.push_back(
       { aWrite.mName, ++mVersion, aWrite.mWriteId, aWrite.mValue });
-    return { WriteOutcome::Done, past.back() };
+    return { WriteOutcome::Done, history.back() };
   }
 
   void ApplyLate(size_t aIndex)
   {
-    PlatformWrite write = mLate[aIndex];
-    mLate.erase(mLate.begin() + static_cast<long>(aIndex));
+    PlatformWrite write = mLateWrites[aIndex];
+    mLateWrites.erase(mLateWrites.begin() + static_cast<long>(aIndex));
     Apply(write);
   }
 
   // The newest, whatever reads are shown.
-  PlatformObject Standing(const std::string& aKind, const std::string& aName)
+  PlatformObject CurrentObject(const std::string& aKind,
+                               const std::string& aName)
   {
-    std::vector<PlatformObject>& past = Past(aKind, aName);
-    return past.empty() ? PlatformObject() : past.back();
+    std::vector<PlatformObject>& history = HistoryOf(aKind, aName);
+    return history.empty() ? PlatformObject() : history.back();
   }
 
   Result<PlatformObject> Read(const std::string& aKind,
                               const std::string& aName) override
   {
-    int back = mOnRead ? mOnRead() : 0;
-    std::vector<PlatformObject>& past = Past(aKind, aName);
-    if (back < 0) {
+    int versionsBack = mOnRead ? mOnRead() : 0;
+    std::vector<PlatformObject>& history = HistoryOf(aKind, aName);
+    if (versionsBack < 0) {
       return Fail(ErrorKind::PlatformUnavailable, "out");
     }
-    if (past.size() <= static_cast<size_t>(back)) {
+    if (history.size() <= static_cast<size_t>(versionsBack)) {
       return Fail(ErrorKind::NotFound, aName);
     }
-    return past[past.size() - 1 - static_cast<size_t>(back)];
+    return history[history.size() - 1 - static_cast<size_t>(versionsBack)];
   }
 
   Result<std::vector<PlatformObject>> List(const std::string&,
@@ -97,7 +99,7 @@
         Apply(aWrite);
         return { WriteOutcome::Unknown, {} };
       case MemoryFault::Late:
-        mLate.push_back(aWrite);
+        mLateWrites.push_back(aWrite);
         return { WriteOutcome::Unknown, {} };
       case MemoryFault::WriteLost:
         return { WriteOutcome::Unknown, {} };
@@ -124,13 +126,13 @@
   }
 
 private:
-  std::vector<PlatformObject>& Past(const std::string& aKind,
-                                    const std::string& aName)
+  std::vector<PlatformObject>& HistoryOf(const std::string& aKind,
+                                         const std::string& aName)
   {
-    return mPast[aKind + "/" + aName];
+    return mHistory[aKind + "/" + aName];
   }
 
-  std::map<std::string, std::vector<PlatformObject>> mPast;
+  std::map<std::string, std::vector<PlatformObject>> mHistory;
   int64_t mVersion = 0;
 };
 
--- a/tests/support/ShareModel.h
+++ b/tests/support/ShareModel.h
@@ -81,39 +81,39 @@
     }
   }
 
-  ShareModelNode& RandomNode(RandomChoices& aTape)
+  ShareModelNode& RandomNode(RandomChoices& aChoices)
   {
-    return mNodes[static_cast<size_t>(aTape.Below(255)) % mNodes.size()];
+    return mNodes[static_cast<size_t>(aChoices.Below(255)) % mNodes.size()];
   }
 
   // One thing that happens: to a node, to the platform, or between two.
-  void Step(RandomChoices& aTape, TimePoint& aNow)
+  void Step(RandomChoices& aChoices, TimePoint& aNow)
   {
-    if (aTape.Below(2) == 0) {
-      aNow += Millis(aTape.Below(40) * 20);
+    if (aChoices.Below(2) == 0) {
+      aNow += Millis(aChoices.Below(40) * 20);
     }
-    ShareModelNode& node = RandomNode(aTape);
-    ShareModelNode& other = RandomNode(aTape);
+    ShareModelNode& node = RandomNode(aChoices);
+    ShareModelNode& other = RandomNode(aChoices);
     for (ShareModelNode& each : mNodes) {
       each.mFrozenSteps = std::max(0, each.mFrozenSteps - 1);
     }
     if (node.mFrozenSteps > 0) {
       return;
     }
-    int what = aTape.Below(26);
-    if (what == 24 && aTape.Below(3) == 0) {
-      node.mFrozenSteps = aTape.Below(120);
+    int what = aChoices.Below(26);
+    if (what == 24 && aChoices.Below(3) == 0) {
+      node.mFrozenSteps = aChoices.Below(120);
     } else if (what == 25) {
       node.mCutOff = !node.mCutOff;
     }
     if (what == 0 && mNodes.size() < 6) {
       Add("a" + std::to_string(mNodes.size()), 1.0);
-    } else if (what == 1 && aTape.Below(4) == 0 && mNodes.size() < 8 &&
+    } else if (what == 1 && aChoices.Below(4) == 0 && mNodes.size() < 8 &&
                !node.mDead) {
       std::string address = node.mLease.mAddress;
       node.mDead = true;
       Add(address, 1.0);
-    } else if (what == 2 && aTape.Below(8) == 0) {
+    } else if (what == 2 && aChoices.Below(8) == 0) {
       node.mDead = true;
     } else if (what == 3 && !mLateWrites.empty()) {
       Apply(mLateWrites.front().mTable, mLateWrites.front().mExpected);
@@ -121,7 +121,7 @@
     } else if (node.mDead) {
       return;
     } else if (what < 12) {
-      Renew(node, other, aTape, aNow);
+      Renew(node, other, aChoices, aNow);
     } else if (what < 16) {
       Promise(node, aNow);
     } else if (what < 19 && !other.mDead) {
@@ -130,7 +130,7 @@
                        other.mLease.mVersion,
                        node.Now(aNow));
     } else {
-      Release(node, aTape, aNow);
+      Release(node, aChoices, aNow);
     }
   }
 
@@ -147,14 +147,14 @@
   // aDone: in force and the writer knows; else it may be, or may come later.
   bool Write(ShareModelNode& aNode,
              const ShareTable& aTable,
-             RandomChoices& aTape,
+             RandomChoices& aChoices,
              TimePoint aNow)
   {
     int64_t expected = aNode.mLease.mVersion;
     if (aNode.mCutOff) {
       return false;
     }
-    switch (aTape.Below(6)) {
+    switch (aChoices.Below(6)) {
       case 0:
         Apply(aTable, expected);
         return false;
@@ -175,7 +175,7 @@
   // One node writes for itself and for another that asked aAgo before.
   void Renew(ShareModelNode& aNode,
              ShareModelNode& aOther,
-             RandomChoices& aTape,
+             RandomChoices& aChoices,
              TimePoint& aNow)
   {
     TimePoint begun = aNode.Now(aNow);
@@ -185,14 +185,14 @@
     if (both) {
       others[aOther.mLease.mSelf] = aOther.mLease.mTable.mSerial;
     }
-    aNow += Millis(aTape.Below(8) * 100);
+    aNow += Millis(aChoices.Below(8) * 100);
     ShareTable table = ShareLeasePropose(aNode.mLease, others, begun);
-    aNow += Millis(aTape.Below(8) * 100);
-    if (!Write(aNode, table, aTape, aNow)) {
+    aNow += Millis(aChoices.Below(8) * 100);
+    if (!Write(aNode, table, aChoices, aNow)) {
       return;
     }
     ShareLeaseRenewed(aNode.mLease, table, mVersion, begun, aNode.Now(aNow));
-    bool answered = both && aTape.Below(3) != 0;
+    bool answered = both && aChoices.Below(3) != 0;
     if (answered && others.begin()->second >= table.mChangedSerial) {
       ShareLeaseRenewedUnchanged(
         aOther.mLease, table.mSerial, mVersion, asked, aOther.Now(aNow));
@@ -226,16 +226,16 @@
     return ShareLeaseHandOver(aNode.mLease, levels, aLeaving);
   }
 
-  void Release(ShareModelNode& aNode, RandomChoices& aTape, TimePoint aNow)
+  void Release(ShareModelNode& aNode, RandomChoices& aChoices, TimePoint aNow)
   {
-    bool leaving = aTape.Below(8) == 0;
+    bool leaving = aChoices.Below(8) == 0;
     if (!leaving && ShareLeaseSlotsToHandOver(aNode.mLease, false).empty()) {
       return;
     }
     ShareTable table = ReleaseOf(aNode, leaving, aNow);
     if (aNode.mCutOff) {
       ShareLeaseReopen(aNode.mLease, aNode.mNewlyClosed);
-    } else if (Write(aNode, table, aTape, aNow)) {
+    } else if (Write(aNode, table, aChoices, aNow)) {
       ShareLeaseUpdate(aNode.mLease, table, mVersion, aNode.Now(aNow));
     }
   }
@@ -254,21 +254,21 @@
   }
 
   // As a request does, at any moment.
-  void Spend(RandomChoices& aTape, TimePoint aNow)
+  void Spend(RandomChoices& aChoices, TimePoint aNow)
   {
-    ShareModelNode& node = RandomNode(aTape);
+    ShareModelNode& node = RandomNode(aChoices);
     if (!node.Awake()) {
       return;
     }
     TimePoint now = node.Now(aNow);
-    int slot = aTape.Below(kShareSlots);
+    int slot = aChoices.Below(kShareSlots);
     if (!ShareLeaseMaySpend(node.mLease, slot, now)) {
       return;
     }
     node.mBuckets.Sync(node.mLease.mTable, mConfig, now);
     for (const auto& tenant : mConfig.mTenants) {
       TokenBucket* bucket = node.mBuckets.Find(tenant.first, slot);
-      double cost = 1 + aTape.Below(4);
+      double cost = 1 + aChoices.Below(4);
       if (bucket && bucket->Take(cost, now)) {
         mSpent[tenant.first] += cost;
       }
--- a/tests/unit/ModelGroupTest.cpp
+++ b/tests/unit/ModelGroupTest.cpp
@@ -7,7 +7,7 @@
 // An engine runs at a tenth of its speed and chat holds all its places: each
 // request lasts longer than a bulletin's time. The bulletin finds the place
 // that was kept for it; without that, four of five bulletins were refused.
-TEST(ModelGroup, TheLastPlaceIsForBulletins)
+TEST(ModelGroup, LastSlotIsReservedForBulletins)
 {
   ServingReplica replica;
   replica.mEndpoint.mSlots = 8;
@@ -22,7 +22,7 @@
 }
 
 // An engine with one place serves every class with it.
-TEST(ModelGroup, FewPlacesAreNotKeptIdle)
+TEST(ModelGroup, NothingIsReservedWithFewSlots)
 {
   ServingReplica replica;
   replica.mEndpoint.mSlots = 1;
--- a/tests/unit/ShareManagerTest.cpp
+++ b/tests/unit/ShareManagerTest.cpp
@@ -43,11 +43,11 @@
 
   ShareTable StoredTable()
   {
-    return ShareTableParse(mPlatform.Standing("shares", "a").mValue);
+    return ShareTableParse(mPlatform.CurrentObject("shares", "a").mValue);
   }
   void ReadTable()
   {
-    PlatformObject object = mPlatform.Standing("shares", "a");
+    PlatformObject object = mPlatform.CurrentObject("shares", "a");
     ShareLeaseUpdate(mNewMember,
                      ShareTableParse(object.mValue),
                      object.mVersion,
@@ -63,7 +63,7 @@
   }
   // The n-th write from now befalls aFault. A round's first write meets the
   // joining, its second renews, its third hands on.
-  void AtWrite(int aNumber, const std::function<MemoryFault()>& aFault)
+  void FaultAtWrite(int aNumber, const std::function<MemoryFault()>& aFault)
   {
     auto count = std::make_shared<int>(0);
     mPlatform.mOnWrite = [=](const PlatformWrite&) {
@@ -88,9 +88,9 @@
 // A tenant's half is refused for up to a second: its holder stopped spending,
 // to hand it on, and another member's renewal came first. The holder must try
 // again at once.
-TEST_F(SlotHandOver, AnothersRenewalComesFirst)
+TEST_F(SlotHandOver, RetriesAfterAnotherMembersRenewal)
 {
-  AtWrite(3, [this] {
+  FaultAtWrite(3, [this] {
     ReadTable();
     Join();
     return MemoryFault::None;
@@ -105,21 +105,21 @@
 
 // The platform goes out just as slots are handed on. They stay spendable where
 // they are for as long as it lasts.
-TEST_F(SlotHandOver, PlatformOutMeanwhile)
+TEST_F(SlotHandOver, SlotsStaySpendableDuringPlatformOutage)
 {
-  AtWrite(3, [] { return MemoryFault::Refused; });
+  FaultAtWrite(3, [] { return MemoryFault::Refused; });
   mManager.Round();
   EXPECT_EQ(mManager.SlotsHeld(), kShareSlots);
 }
 
 // Nobody answers whether the slots were handed on. Until it is known nobody
 // spends them, for both might; the next renewal tells, whichever it was.
-TEST_F(SlotHandOver, NobodyAnswers)
+TEST_F(SlotHandOver, SlotsStayClosedUntilTheOutcomeIsKnown)
 {
-  AtWrite(3, [] { return MemoryFault::WriteLost; });
+  FaultAtWrite(3, [] { return MemoryFault::WriteLost; });
   mManager.Round();
   EXPECT_EQ(mManager.SlotsHeld(), 8);
-  AtWrite(2, [] { return MemoryFault::AnswerLost; });
+  FaultAtWrite(2, [] { return MemoryFault::AnswerLost; });
   mManager.Round();
   EXPECT_EQ(mManager.SlotsHeld(), 8);
   mManager.Round();
--- a/tests/unit/StoreGateTest.cpp
+++ b/tests/unit/StoreGateTest.cpp
@@ -70,9 +70,12 @@
     mReleased = true;
     mResume.notify_all();
   }
-  bool Ask(GateNode& aNode, const std::string& aId, bool aInside = false)
+  bool Ask(GateNode& aNode,
+           const std::string& aId,
+           bool aAlreadyAdmitted = false)
   {
-    return aNode.mGate->Acquire({ aId, RequestClass::Interactive, aInside })
+    return aNode.mGate
+      ->Acquire({ aId, RequestClass::Interactive, aAlreadyAdmitted })
       .mHasPermit;
   }
 
@@ -90,7 +93,7 @@
 // The gate's owner stalls for a moment while several loads ask. Were each to
 // take its asker's own gate for the fleet's, all would start beside those that
 // the owner let in. They are told to ask again; one that is in stays in.
-TEST_F(StalledGate, AMomentLetsNobodyElseIn)
+TEST_F(StalledGate, BriefStallAdmitsNoOtherLoad)
 {
   EXPECT_TRUE(Ask(mNode0, "inside", true));
   for (const char* id : { "a", "b", "c" }) {
@@ -100,22 +103,22 @@
 
 // The owner doesn't come back. Two instances that each went by their own gate
 // would both give out the zone's part; the zone's owner gives it out once.
-TEST_F(StalledGate, ZoneThenGivesItsPartOnce)
+TEST_F(StalledGate, ZoneGateAdmitsItsPartOnce)
 {
-  int in = 0;
+  int admitted = 0;
   for (int round = 0; round < 4; ++round) {
     for (GateNode* node : { &mNode0, &mNode1 }) {
-      in += Ask(*node, node->mInfo.mId + std::to_string(round)) ? 1 : 0;
+      admitted += Ask(*node, node->mInfo.mId + std::to_string(round)) ? 1 : 0;
     }
     mClock.Advance(Millis(400));
   }
-  EXPECT_EQ(in, 4 / 2);
+  EXPECT_EQ(admitted, 4 / 2);
 }
 
 // A burst wants more adapters at once than the fleet may have on their way.
 // Each instance keeps to its part, so that they don't all arrive late; a place
 // that comes free is given to the next.
-TEST(AdapterTurns, EachInstanceKeepsToItsPart)
+TEST(AdapterPermits, EachInstanceKeepsToItsPart)
 {
   PausedClock clock;
   GateNode node("i0", "mendoza-a", clock);
