--- a/src/share/ShareClient.cpp
+++ b/src/share/ShareClient.cpp
@@ -208,8 +208,8 @@
     ShareSlotBurst(aTenant, mSettings) * mSettings.mZones * kShareHalves;
   if (aTokens > maxTokens) {
     return Fail(ErrorKind::CostAboveBurst,
-                "it costs " + std::to_string(aTokens) + " tokens; " +
-                  std::to_string(maxTokens) + " are let in at once at most");
+                "request costs " + std::to_string(aTokens) + " tokens; " +
+                  std::to_string(maxTokens) + " is the most admitted at once");
   }
   TimePoint begun{}; // first request that brought tokens
   ShareTicket ticket;
@@ -244,13 +244,17 @@
   Settle(ticket, 0);
   if (missing <= kTokenEpsilon) {
     ++mCounts.mLapsed;
-    return Fail(ErrorKind::RateUnavailable, "the shares answered too slowly");
+    return Fail(
+      ErrorKind::RateUnavailable,
+      "share holders replied too slowly; tokens expired before admission");
   }
   if (!anyHolder) {
-    return Fail(ErrorKind::RateUnavailable, "no holder of the share answers");
+    return Fail(ErrorKind::RateUnavailable,
+                "no holder of the tenant's share answers");
   }
-  Failure failure = FailureOf(ErrorKind::RateExceeded,
-                              "tenant " + aTenant.mName + " is over its rate");
+  Failure failure =
+    FailureOf(ErrorKind::RateExceeded,
+              "tenant " + aTenant.mName + " exceeds its rate limit");
   if (aTenant.mRate > 0) {
     Millis retry(static_cast<int64_t>(missing / aTenant.mRate * 1000));
     failure.mRetryAfter = std::max(kMinRetry, retry);
--- a/tests/property/BriefingProperty.cpp
+++ b/tests/property/BriefingProperty.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// One life of an instance that runs briefings.
+// An incarnation of an instance that runs briefings.
 struct Runner
 {
   Runner(PlatformApi& aPlatform, const Clock& aClock)
@@ -27,7 +27,7 @@
   PausedClock mClock;
   MemoryPlatform mPlatform;
   std::vector<std::unique_ptr<Runner>> mRunners;
-  std::vector<std::string> mAccepted;          // callers were told
+  std::vector<std::string> mAccepted;          // acknowledged to callers
   std::map<std::string, std::string> mResults; // as first read
   int mCreated = 0;
   int mRuns = 0;
@@ -59,8 +59,8 @@
     }
   }
 
-  // A round over all lists; aLong: the model call is slow enough for another
-  // runner to do the same in the middle.
+  // Runs the briefings of all lists. Some model calls are slow enough for
+  // another runner to take the same briefing in between.
   void RunAllLists(Runner& aRunner, Runner& aOther, RandomChoices& aChoices)
   {
     for (int list = 0; list < BriefingStore::kLists; ++list) {
@@ -83,7 +83,7 @@
                                         RandomChoices& aChoices)
   {
     if (aChoices.Below(3) == 1) {
-      return std::nullopt; // no capacity for now
+      return std::nullopt; // no capacity at the moment
     }
     Briefing ended = aBriefing;
     ended.mState = BriefingState::Done;
@@ -110,7 +110,8 @@
     Check();
   }
 
-  // Whatever stands at the platform at this moment: all instances may die now.
+  // All instances may die at any moment, so the stored state alone must
+  // suffice.
   void Check()
   {
     for (const std::string& id : mAccepted) {
@@ -132,10 +133,10 @@
 
 } // namespace
 
-// What a planner would see: a briefing that was accepted and is never run, or
-// a result that changes after it was read. Writes are lost, late, or in force
-// without an answer, reads are out or behind, two instances run the same one,
-// and all may die at any moment: what stands at the platform must do.
+// Guards against accepted briefings that are never run, and results that change
+// after they were read. Writes are lost, late, or in force without a reply,
+// reads fail or are stale, two instances run the same briefing, and all may die
+// at any moment: the state stored at the platform must suffice.
 RC_GTEST_PROP(Briefings, AcceptedBriefingIsListedUntilItEnds, ())
 {
   RandomChoices choices = RandomChoices::OfLength(600);
@@ -150,8 +151,9 @@
   RC_ASSERT(model.mResults.size() == model.mAccepted.size());
 }
 
-// Guards against a refusal of what is kept: the answer of the write was lost,
-// and before it is sent again another instance has begun to run the briefing.
+// Guards against refusing a briefing that is stored: the reply to the write was
+// lost, and another instance begins to run the briefing before the write is
+// retried.
 TEST(Briefings, RetriedStoreSucceedsAfterRunnerHasStarted)
 {
   MemoryPlatform platform;
--- a/tests/property/ClaimProperty.cpp
+++ b/tests/property/ClaimProperty.cpp
@@ -23,11 +23,11 @@
   bool mStarted = false;
   bool mDone = false;
   bool mDead = false;    // its instance was killed
-  bool mOffered = false; // as ClaimDriver keeps it
+  bool mOffered = false; // as recorded by ClaimDriver
   int mRuns = 0;
 };
 
-// One order, its claim at the platform, and attempts at several instances.
+// One order, its stored claim, and attempts at several instances.
 struct ClaimModel
 {
   ClaimRecord mRecord;
@@ -69,7 +69,7 @@
     return event;
   }
 
-  // Taken and answered; taken and the answer lost; lost on the way in; late.
+  // In force with a reply; in force, reply lost; lost; or late.
   ClaimEvent Write(const Attempt& aAttempt,
                    ClaimRecordState aState,
                    int64_t aExpected,
@@ -161,7 +161,7 @@
         return Write(
           aAttempt, ClaimRecordState::Lost, action.mVersion, aChoices);
       case ClaimActionKind::Release:
-        // Whoever releases says "not run" next.
+        // An attempt that releases its claim reports "not run" next.
         RC_ASSERT(mRuns == 0);
         return Write(
           aAttempt, ClaimRecordState::Released, action.mVersion, aChoices);
@@ -205,11 +205,11 @@
 
 } // namespace
 
-// What the caller sees: one order, sent to several instances at once and
-// again, is carried out at most once, and a "not run" is true. In any order:
-// writes are lost, answered late or not, or take effect after their writer
-// gave up; instances die, are frozen (aren't scheduled) and thaw; peers don't
-// answer; endpoints refuse connections, run and drop the answer.
+// Guards against an order that runs twice, and against a false "not run". One
+// order is sent to several instances at once and again. In any order: writes
+// are lost, get late or no replies, or take effect after their writer gave up;
+// instances die, freeze (aren't scheduled) and resume; peers don't reply;
+// endpoints refuse connections, or run the order and drop the answer.
 RC_GTEST_PROP(Claim, RunsAtMostOnceAndNotRunIsTrue, ())
 {
   RandomChoices choices = RandomChoices::OfLength(300);
@@ -238,9 +238,9 @@
   }
 }
 
-// What the caller sees: after trouble that ended before anything was handed
-// on, the same order under the same key is carried out. An order must not be
-// stuck for ever because somebody once gave it up.
+// Guards against an order that stays refused for ever because an attempt
+// released its claim: after a fault before the order was forwarded, the same
+// order under the same key is carried out.
 TEST(Claim, ReleasedOrderCanBeSentAgain)
 {
   TimePoint now = TimePoint(Seconds(1000));
@@ -252,7 +252,7 @@
   EXPECT_EQ(ClaimStep(first, event, now).mKind, ClaimActionKind::Create);
   event.mKind = ClaimEventKind::Written;
   event.mVersion = 1;
-  // It comes back from a pause after its time.
+  // The attempt resumes from a pause after its deadline.
   now += Seconds(2);
   ClaimAction action = ClaimStep(first, event, now);
   EXPECT_EQ(action.mKind, ClaimActionKind::Release);
--- a/tests/property/ConfigProperty.cpp
+++ b/tests/property/ConfigProperty.cpp
@@ -19,7 +19,7 @@
   return JsonWrite(ConfigJson(aConfig));
 }
 
-// One life of an instance.
+// An incarnation of an instance.
 struct Follower
 {
   Follower(PlatformApi& aPlatform, const Clock& aClock)
@@ -31,10 +31,10 @@
   ConfigStore mStore;
   ConfigHolder mHolder;
   ConfigFollower mFollower;
-  int64_t mSeen = 0; // highest revision seen from outside
+  int64_t mSeen = 0; // highest revision observed
 };
 
-// What a beat was answered with; it arrives later, or never.
+// Reply to a heartbeat; it arrives later, or never.
 struct HeartbeatReply
 {
   size_t mTo = 0;
@@ -49,13 +49,13 @@
   MemoryPlatform mPlatform;
   std::vector<std::unique_ptr<Follower>> mFollowers;
   std::vector<HeartbeatReply> mReplies;
-  std::map<int64_t, std::string> mTexts;    // of each revision, once seen
-  std::map<int64_t, TimePoint> mInForce;    // since when
-  std::map<int64_t, std::string> mAccepted; // what its operator was told
-  bool mStale = false;                      // may reads be?
+  std::map<int64_t, std::string> mTexts;    // by revision, once observed
+  std::map<int64_t, TimePoint> mInForce;    // when it came into force
+  std::map<int64_t, std::string> mAccepted; // acknowledged to the operator
+  bool mStale = false;                      // reads may be stale
   int mKeys = 0;
   int64_t mVersion = 0;  // of the index in force
-  int64_t mRevision = 0; // the same
+  int64_t mRevision = 0; // of the configuration in force
 
   explicit ConfigModel(bool aStale)
     : mStale(aStale)
@@ -65,7 +65,7 @@
     }
   }
 
-  // How this step's calls to the platform fare.
+  // Sets random faults for this step's calls to the platform.
   void DrawFaults(RandomChoices& aChoices)
   {
     mPlatform.mOnWrite = [&aChoices](const PlatformWrite&) {
@@ -77,7 +77,7 @@
     };
   }
 
-  // An operator changes what this instance has, knowing nothing newer.
+  // An operator changes this instance's configuration, unaware of newer ones.
   void Change(Follower& aFollower)
   {
     ConfigPtr current = aFollower.mHolder.Current();
@@ -178,10 +178,10 @@
 
 } // namespace
 
-// What an operator would see: a change that was accepted and is gone, two
-// changes under one revision, or an instance back at an earlier one. Two
-// operators race; reads are stale, writes are lost, late, or in force without
-// an answer; peers answer late; instances start anew.
+// Guards against accepted changes that are lost, two changes under one
+// revision, and instances that return to an earlier one. Two operators race;
+// reads are stale, writes are lost, late, or in force without a reply; peers
+// reply late; instances restart.
 RC_GTEST_PROP(Config, AcceptedRevisionsPersistAndNeverRevert, ())
 {
   RandomChoices choices = RandomChoices::OfLength(400);
@@ -201,10 +201,10 @@
   }
 }
 
-// What a tenant would see: its withdrawn key let in at an instance that says
-// its keys are fresh. Whatever an instance knows by itself or from peers, every
-// revision that came into force before the moment it calls itself fresh for is
-// in force there.
+// Guards against a withdrawn key that is accepted by an instance whose keys are
+// reported fresh. Whether an instance learnt its configuration by itself or
+// from peers, it has every revision that came into force before the time it
+// reports itself fresh for.
 RC_GTEST_PROP(Config, FreshMeansNoNewerRevisionInForce, ())
 {
   RandomChoices choices = RandomChoices::OfLength(400);
--- a/tests/property/HomeZoneProperty.cpp
+++ b/tests/property/HomeZoneProperty.cpp
@@ -12,19 +12,19 @@
                                           "sanjuan-c",
                                           "uspallata-b" };
 
-// One model's owner in one zone.
+// Owner of one model in one zone.
 struct Zone
 {
   std::string mName;
   HomeZoneState mState;
   bool mServing = false;
   bool mLoading = false;
-  bool mWaiting = false; // for that load
-  bool mCut = false;     // from all others
+  bool mWaiting = false; // requests wait for that load
+  bool mCut = false;     // from all other zones
 };
 
-// Three zones, requests in each, cuts, loads that end or fail, replicas that
-// idle out.
+// Three zones with requests, network cuts, loads that finish or fail, and idle
+// replicas that are unloaded.
 struct HomeZoneModel
 {
   HomeZoneParameters mParameters;
@@ -47,7 +47,8 @@
     }
     return mZones[0];
   }
-  // Whom a zone holds for the home: cuts are noticed by the requests alone.
+  // The home zone as seen by any zone: cuts are noticed only by failed
+  // requests.
   Zone& Home() { return Named(HomeZoneOf(kZones, "m")); }
   Zone& NonHome() { return &Home() == &mZones[0] ? mZones[1] : mZones[0]; }
 
@@ -66,7 +67,8 @@
       aZone.mWaiting = true;
     }
   }
-  // As a front does it. The home doesn't send on what was sent to it.
+  // As a front instance does. The home zone doesn't redirect what is sent to
+  // it.
   void Request(Zone& aZone)
   {
     HomeZoneAction action = Ask(aZone);
@@ -81,7 +83,7 @@
     }
     if (aZone.mCut || Home().mCut) {
       HomeZoneFailed(aZone.mState, mParameters, mNow);
-      // From now on its requests stay, without trying the home each time.
+      // Later requests are served locally without trying the home zone again.
       RC_ASSERT(Ask(aZone) == HomeZoneAction::Local);
       ServeHere(aZone);
       return;
@@ -127,9 +129,10 @@
 
 } // namespace
 
-// First requests burst at many instances of all zones, loads fail, replicas
-// idle out. As long as the zones reach each other and none is busy, only one
-// of them ever loads: else each zone pays the cold start and the idle hours.
+// Guards against a replica in each zone, which costs each zone a cold start and
+// idle memory. First requests arrive in all zones at once, loads fail, idle
+// replicas are unloaded; while the zones reach each other and none is busy,
+// only one of them loads the model.
 RC_GTEST_PROP(HomeZone, OneReplicaForZonesThatReachEachOther, ())
 {
   HomeZoneModel model;
@@ -143,10 +146,11 @@
   }
 }
 
-// Zones are cut off and come back at any moment. Each request is served: here,
-// or at a home that takes it without sending it on; after a home that failed,
-// those that follow don't wait for it again. A busy zone begins one load a
-// minute at most, however its loads end.
+// Guards against requests redirected without end or waiting for a failed home
+// zone again and again, and against repeated loads. Zones are cut off and
+// reconnected at any moment. Each request is served locally or by a home zone
+// that doesn't redirect it; a busy zone begins one load a minute at most,
+// however its loads end.
 RC_GTEST_PROP(HomeZone, EveryRequestIsServedAndBusyLoadsAreLimited, ())
 {
   HomeZoneModel model;
@@ -159,11 +163,12 @@
     model.mNow += Millis(choices.Below(250) * 4);
   }
   auto minutes = (model.mNow - began) / std::chrono::minutes(1) + 1;
-  RC_ASSERT(model.mBusyLoads <= 2 * minutes); // two zones aren't the home
+  RC_ASSERT(model.mBusyLoads <= 2 * minutes); // two zones aren't the home zone
 }
 
-// The load that took the home's place lasts longer than the home is avoided.
-// Sent away now, a request would have the home load a second replica.
+// Guards against a second replica: the local load lasts longer than the home
+// zone is avoided, and a request redirected then would make the home zone load
+// too.
 TEST(HomeZone, ServesLocallyWhileItsLoadIsInProgress)
 {
   HomeZoneModel model;
@@ -174,8 +179,8 @@
   EXPECT_EQ(model.Ask(zone), HomeZoneAction::Local);
 }
 
-// A zone that reaches the home again goes back to it, once its own replica has
-// idled out.
+// A zone that reaches the home zone again returns to it once its own idle
+// replica is unloaded.
 TEST(HomeZone, ReturnsToHomeZoneAfterItsReplicaIsGone)
 {
   HomeZoneModel model;
@@ -185,7 +190,7 @@
   model.FinishLoad(zone, true);
   model.Home().mCut = false;
   model.mNow += model.mParameters.mHomeRetryDelay;
-  EXPECT_EQ(model.Ask(zone), HomeZoneAction::Local); // a warm replica is here
+  EXPECT_EQ(model.Ask(zone), HomeZoneAction::Local); // has a warm replica
   zone.mServing = false;
   EXPECT_EQ(model.Ask(zone), HomeZoneAction::Remote);
 }
--- a/tests/property/LoadGateProperty.cpp
+++ b/tests/property/LoadGateProperty.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// A load as its loader sees it.
+// A load from the point of view of its loader.
 struct Load
 {
   std::string mId;
   RequestClass mClass = RequestClass::Batch;
   bool mHasPermit = false;
   bool mDead = false;
-  TimePoint mAdmittedAt{}; // when it was last told that it is in
+  TimePoint mAdmittedAt{}; // last reply that confirmed the permit
 };
 
 struct LoadGateModel
@@ -28,7 +28,7 @@
   std::vector<TimePoint> mStarts;
   int mCreated = 0;
 
-  // An answer may be lost: the load then doesn't know that it is in.
+  // A reply may be lost: the load then doesn't know that it has a permit.
   void Ask(Load& aLoad, bool aReplyArrives)
   {
     bool before = mGate.mEntries.count(aLoad.mId) != 0 &&
@@ -45,7 +45,7 @@
     }
   }
 
-  // aEntry has just been let in.
+  // aEntry has just been admitted.
   void CheckAdmission(const LoadGateEntry& aEntry) const
   {
     for (const auto& other : mGate.mEntries) {
@@ -90,7 +90,7 @@
     }
   }
 
-  // All that live ask every 100 ms, and load for two seconds.
+  // All live loads poll every 100 ms and last two seconds.
   bool DrainsWithin(Seconds aTime)
   {
     for (TimePoint end = mNow + aTime; mNow < end; mNow += Millis(100)) {
@@ -119,11 +119,11 @@
 
 } // namespace
 
-// What the callers of all models would see: loads that crawl, because more
-// draw on the store than it has speed for; or one that never begins. Answers
-// are lost, loaders die inside and while waiting, asks are doubled. Never more
-// inside than the limit, and the urgent beyond it; and whoever goes on asking
-// gets in, the least urgent too.
+// Guards against slow loads, because more of them use the weight store than it
+// serves at full speed, and against loads that never begin. Replies are lost,
+// requests repeated, and loaders die while loading or waiting. Never more loads
+// are admitted than the limit and its urgent extra, and every load that goes on
+// polling is admitted, the least urgent ones too.
 RC_GTEST_PROP(LoadGate, LimitsConcurrencyAndAdmitsEveryLoad, ())
 {
   RandomChoices choices = RandomChoices::OfLength(300);
@@ -135,8 +135,8 @@
   RC_ASSERT(model.DrainsWithin(bound));
 }
 
-// A bulletin joins a briefing that waits for the same model's load: the load
-// is as urgent as the bulletin from then on.
+// A bulletin joins a briefing that waits for a load of the same model, which is
+// as urgent as the bulletin from then on.
 TEST(LoadGate, TakesTheMostUrgentClassOfItsWaiters)
 {
   TimePoint now = TimePoint(Seconds(1000));
--- a/tests/property/PlacementProperty.cpp
+++ b/tests/property/PlacementProperty.cpp
@@ -11,9 +11,9 @@
 
 constexpr int64_t kMemory = 100;
 constexpr int64_t kBytes = 40;
-constexpr Millis kMaxRecordAge{ 5000 }; // no order on a record seen longer ago
-constexpr Millis kMaxDelay{ 20000 };    // longest way of an order
-constexpr Millis kMaxOrderDelay{ 60000 }; // longer than both together
+constexpr Millis kMaxRecordAge{ 5000 };   // no order is sent on an older record
+constexpr Millis kMaxDelay{ 20000 };      // longest network delay of an order
+constexpr Millis kMaxOrderDelay{ 60000 }; // longer than the sum of both
 
 struct SentOrder
 {
@@ -22,14 +22,14 @@
   TimePoint mSent;
 };
 
-// An instance that decides, orders and observes; may be paused between any
-// two of these.
+// An instance that decides, sends orders and observes; it may be paused between
+// any two of these steps.
 struct Decider
 {
   PlacementRecord mRecord;
   int64_t mVersion = 0;
   TimePoint mAsOf{};
-  std::string mToSend; // decision whose load it is about to order
+  std::string mToSend; // decision whose load order it is about to send
   std::map<std::string, TimePoint> mSince;
 };
 
@@ -37,10 +37,10 @@
 {
   PlacementRecord mRecord;
   int64_t mVersion = 0;
-  std::map<std::string, int64_t> mEngine; // name: bytes
+  std::map<std::string, int64_t> mEngine; // bytes by name
   int64_t mHighestFencingToken = 0;
   std::vector<SentOrder> mOrdersInFlight;
-  std::vector<std::string> mAnswered; // decisions whose one order was answered
+  std::vector<std::string> mAnswered; // decisions whose order was answered
   std::vector<Decider> mDeciders = std::vector<Decider>(3);
   int mNextDecision = 0;
 
@@ -238,16 +238,17 @@
 
 } // namespace
 
-// What operators see: an engine never holds a replica that nobody decided, nor
-// more than its memory. In any order: three instances decide, send, send again
-// and observe at once, each paused between any two steps; orders arrive late,
-// out of order or never; their answers are lost.
+// Guards against replicas that nobody decided, and against overcommitted
+// memory. In any order: three instances decide, send, resend and observe
+// concurrently, each paused between any two steps; orders arrive late, out of
+// order or never, and their answers are lost.
 RC_GTEST_PROP(Placement, EngineHoldsOnlyDecidedReplicas, ())
 {
   RunModel(true);
 }
 
-// The same at an engine that takes every order, however old its number.
+// The same for an engine that accepts every order, however old its fencing
+// token.
 RC_GTEST_PROP(Placement, EngineIgnoringFencingHoldsOnlyDecidedReplicas, ())
 {
   RunModel(false);
--- a/tests/property/ShareProperty.cpp
+++ b/tests/property/ShareProperty.cpp
@@ -7,11 +7,11 @@
 
 namespace caraway {
 
-// What a tenant's neighbours would see: twice its rate let through, because
-// two instances both believe that they hold its slot. In any order: renewals
-// lost, late or answered late; members frozen (not scheduled) and thawed,
-// killed, restarted at their address, joining in the middle; the platform out
-// while members promise each other; clocks running 2% apart.
+// Guards against a tenant admitted at twice its rate because two instances both
+// consider themselves holder of its slot. In any order: renewals are lost, late
+// or answered late; members freeze (not scheduled) and resume, are killed,
+// restart at their address or join; the platform is out while members promise
+// each other; clocks run 2% apart.
 RC_GTEST_PROP(ShareLease, NoSlotHasTwoSpenders, ())
 {
   RandomChoices choices = RandomChoices::OfLength(1200);
@@ -24,11 +24,10 @@
   }
 }
 
-// What a tenant's neighbours would see: more than its burst let through,
-// because a slot was handed on, spent there and handed back, and the first
-// holder, who never saw that, goes on with what it had. In the same troubles,
-// requests spend in between; the rate is 0, so all that is ever spent is the
-// burst.
+// Guards against a tenant admitted above its burst: a slot is handed over,
+// spent there and handed back, and the first holder, which never saw that,
+// continues with its old level. Requests spend under the same faults; the rate
+// is 0, so only the burst can ever be spent.
 RC_GTEST_PROP(Share, HandedOverTokensAreNeverSpentTwice, ())
 {
   RandomChoices choices = RandomChoices::OfLength(1200);
@@ -48,9 +47,9 @@
   }
 }
 
-// What a tenant's neighbours would see: a burst spent twice. A holder hands a
-// slot on and never hears that this came into force; the next one spends, ends
-// and hands it back. The first must go on with what the next one left.
+// Guards against a burst spent twice. A holder hands a slot over and never
+// learns that this took effect; the next holder spends, shuts down and hands it
+// back. The first must continue with the level that the next one left.
 TEST(Share, SlotReturnedUnseenKeepsTheLevelLeft)
 {
   TimePoint now = TimePoint(Seconds(1000));
@@ -82,10 +81,10 @@
   EXPECT_EQ(model.LevelOf(first, "acme", slot, now), before - 15);
 }
 
-// What the caller's tenant sees: half of its rate refused for good, or for as
-// long as the platform is out. A holder stops spending a slot before it hands
-// it on; when the handing on fails, or another takes it back, somebody must
-// spend it again. After any trouble, quiet rounds bring all slots back.
+// Guards against half of a tenant's rate refused for good or during a platform
+// outage. A holder stops spending a slot before it hands it over; if that
+// fails, or another member takes the slot back, it must become spendable again.
+// After any faults, rounds without faults make all slots spendable.
 RC_GTEST_PROP(ShareLease, EverySlotIsSpendableAfterFaultsEnd, ())
 {
   RandomChoices choices = RandomChoices::OfLength(600);
@@ -99,10 +98,9 @@
   RC_ASSERT(!anyAlive || model.Spendable(now) == kShareSlots);
 }
 
-// What the caller's tenant sees: requests gathered from several holders, whose
-// answers come late or never, are let in together at no more than its rate and
-// burst over the whole fleet. What the burst is shortened by is what a grant's
-// life can stretch it.
+// Guards against exceeding a tenant's rate and burst over the whole fleet when
+// tokens are gathered from several holders whose replies come late or never.
+// The burst is reduced by as much as the lifetime of grants can stretch it.
 RC_GTEST_PROP(Share, GatheredGrantsStayWithinRateAndBurst, ())
 {
   RandomChoices choices = RandomChoices::OfLength(500);
@@ -144,11 +142,11 @@
   RC_ASSERT(WindowExcess(spends, rate, burst) < 1e-6);
 }
 
-// All instances of a zone die at once and others take their place at new
-// addresses. The dead never heard of the new ones, so for all these know they
-// may be cut off and spending. Once the platform's list hasn't had them for a
-// while they are taken over from; without the list it would take the isolation
-// limit, an hour, in which the zone's part of every rate is lost.
+// Guards against losing a zone's part of every rate for the isolation limit of
+// an hour. All instances of a zone die at once and others replace them at new
+// addresses. The dead members never knew the new ones, so these must assume
+// that they are cut off and spending, until they have been missing from the
+// platform's instance list for long enough.
 TEST(ShareLease, SlotsOfUnlistedMembersAreTakenOver)
 {
   for (bool listed : { true, false }) {
@@ -177,10 +175,10 @@
   }
 }
 
-// Slots were handed from member to member in circles and never came to rest:
-// in the gaps of a hand-over callers were refused. Each slot has one place
-// where it should be, its partner another, and after one round of everybody
-// all are there, however many join.
+// Guards against slots that are handed from member to member in circles, with
+// callers refused during each hand-over. Each slot has one target, its partner
+// another, and after one round of all members every slot is at its target,
+// however many join.
 TEST(ShareLease, SlotsReachTheirTargets)
 {
   TimePoint now = TimePoint(Seconds(1000));
--- a/tests/property/WaitQueueProperty.cpp
+++ b/tests/property/WaitQueueProperty.cpp
@@ -8,10 +8,10 @@
 
 namespace caraway {
 
-// What callers see: each gets exactly one ending: served, refused when it
-// came, refused when its time passed, or gone by itself. A request that the
-// queue forgot would wait in silence until its connection broke. And no
-// request is served while a more urgent one waits.
+// Guards against requests that the queue loses, whose callers wait until their
+// connection breaks, and against serving one while a more urgent one waits.
+// Each request ends exactly once: served, refused on arrival, refused at its
+// deadline, or withdrawn.
 RC_GTEST_PROP(WaitQueue, EveryRequestEndsOnceAndUrgentIsServedFirst, ())
 {
   RandomChoices choices = RandomChoices::OfLength(600);
@@ -58,9 +58,9 @@
   }
 }
 
-// What a small team sees beside one that floods: while both have requests
-// waiting, each is served as many tokens as the other, to within one request,
-// however many the other sends and however often it comes back.
+// Guards against a flooding tenant that starves a small one: while both have
+// requests queued, each is served as many tokens as the other, to within one
+// request, however many the other sends and however often it returns.
 RC_GTEST_PROP(WaitQueue, WaitingTenantsAreServedEvenly, ())
 {
   RandomChoices choices = RandomChoices::OfLength(400);
@@ -89,7 +89,7 @@
     auto item = queue.Next(RequestClass::Batch);
     served[item->mTenant] += item->mTokens;
     --waits[item->mTenant];
-    // The small one always has one waiting; the flood many.
+    // The small tenant always has one request queued, the flooding one many.
     for (const char* tenant : { "small", "flood" }) {
       if (waits[tenant] == 0) {
         offer(tenant);
@@ -101,8 +101,7 @@
 
 namespace {
 
-// One queue at 1000 tokens a second, fed 200 ms of work at a time until it
-// refuses; served by Serve.
+// A queue at 1000 tokens a second that is offered 200 ms of work at a time.
 struct BusyQueue
 {
   WaitQueue mQueue;
@@ -131,9 +130,9 @@
 
 } // namespace
 
-// A caller is refused in a burst and told when to come back; it does, while the
-// burst goes on with others. It is let in then. Before, it was told the length
-// of the queue as it stood, and came back to a queue that others had filled.
+// Guards against retry times derived from the queue length alone: a caller that
+// was refused in a burst would retry into a queue that others have filled
+// again. It must be admitted at its retry time, while the burst goes on.
 TEST(WaitQueue, RetryAtTheGivenTimeIsAdmitted)
 {
   BusyQueue busyQueue;
@@ -144,7 +143,7 @@
   }
   uint64_t refused = like;
   for (int i = 0; i < 5; ++i) {
-    busyQueue.Offer("acme", ++like); // told later times than it was
+    busyQueue.Offer("acme", ++like); // get later retry times
   }
   TimePoint due = busyQueue.mNow + refusal->mRetryAfter;
   while (busyQueue.mNow < due) {
@@ -155,8 +154,9 @@
   EXPECT_FALSE(busyQueue.Offer("acme", refused));
 }
 
-// Many callers ask for the same, as drivers do at a closed pass. Told one
-// time, that of the first, all came back to the room of one. Each has its own.
+// Guards against one retry time for many callers with the same request, such as
+// drivers at a closed pass, who would all retry for the capacity of one. Each
+// gets its own time.
 TEST(WaitQueue, SameRequestsGetDistinctRetryTimes)
 {
   BusyQueue busyQueue;
@@ -180,9 +180,9 @@
   EXPECT_GT(retryTimes.back() - retryTimes.front(), Millis(500));
 }
 
-// Callers that never come back when told: the room kept for them would leave
-// the engines idle while others are refused. After some that didn't come,
-// hardly any is kept.
+// Guards against engines left idle by reservations of callers that never retry,
+// while others are refused. After some unused reservations, hardly any capacity
+// is held.
 TEST(WaitQueue, UnusedReservationsDoNotHoldCapacity)
 {
   BusyQueue busyQueue;
@@ -192,7 +192,7 @@
     busyQueue.Offer("acme", ++like);
     busyQueue.Serve(Millis(200));
   }
-  // The queue is as full as patience allows: 1.4 s of work.
+  // The queue holds as much as the start deadlines allow, 1.4 s of work.
   EXPECT_GE(busyQueue.mQueue.Size(), 5u);
 }
 
--- a/tests/support/MemoryPlatform.h
+++ b/tests/support/MemoryPlatform.h
@@ -1,4 +1,4 @@
-// MemoryPlatform.h: the platform's object API within a test, with its faults.
+// MemoryPlatform.h: in-memory platform object API with fault injection.
 #ifndef caraway_tests_MemoryPlatform_h
 #define caraway_tests_MemoryPlatform_h
 
@@ -11,17 +11,17 @@
 
 namespace caraway {
 
-// What befalls a write. The writer hears Refused or Unknown, but for None.
+// Fault of a write. Except for None, the writer gets Refused or Unknown.
 enum class MemoryFault
 {
   None,
-  Refused,    // never left
-  AnswerLost, // in force
-  WriteLost,  // never will be
-  Late,       // may be: when the test applies it
+  Refused,    // never sent
+  AnswerLost, // takes effect
+  WriteLost,  // takes no effect
+  Late,       // takes effect if the test applies it
 };
 
-// By what a test drew: 0 to 3 are faults, all above is none.
+// Maps a random number to a fault: 0 to 3 are faults, higher numbers None.
 inline MemoryFault
 MemoryFaultOf(int aDrawn)
 {
@@ -35,9 +35,9 @@
 class MemoryPlatform : public PlatformApi
 {
 public:
-  // Asked before each write, in which it may also write itself.
+  // Called before each write to choose its fault; may write objects itself.
   std::function<MemoryFault(const PlatformWrite&)> mOnWrite;
-  // Versions back that a read is shown; < 0 = the platform is out.
+  // Number of versions by which a read is stale; < 0 = the platform is out.
   std::function<int()> mOnRead;
   std::vector<PlatformWrite> mLateWrites;
 
@@ -62,7 +62,7 @@
     Apply(write);
   }
 
-  // The newest, whatever reads are shown.
+  // The newest version, however stale reads are.
   PlatformObject CurrentObject(const std::string& aKind,
                                const std::string& aName)
   {
@@ -87,7 +87,8 @@
   Result<std::vector<PlatformObject>> List(const std::string&,
                                            const std::string&) override
   {
-    return Fail(ErrorKind::PlatformUnavailable, "no test lists yet");
+    return Fail(ErrorKind::PlatformUnavailable,
+                "MemoryPlatform does not support lists");
   }
 
   WriteResult Write(const PlatformWrite& aWrite) override
@@ -122,7 +123,8 @@
 
   Result<std::vector<InstanceInfo>> Instances() override
   {
-    return Fail(ErrorKind::PlatformUnavailable, "no test lists yet");
+    return Fail(ErrorKind::PlatformUnavailable,
+                "MemoryPlatform does not support lists");
   }
 
 private:
--- a/tests/support/ShareModel.h
+++ b/tests/support/ShareModel.h
@@ -1,4 +1,4 @@
-// ShareModel.h: instances that share a zone's slots, and what befalls them.
+// ShareModel.h: model of a zone's slot holders under random faults.
 #ifndef caraway_tests_ShareModel_h
 #define caraway_tests_ShareModel_h
 
@@ -13,16 +13,16 @@
 
 namespace caraway {
 
-// An instance: its lease, its buckets, its clock and its troubles.
+// An instance with its lease, buckets, clock and faults.
 struct ShareModelNode
 {
   ShareLease mLease;
-  double mClockRate = 1; // of its clock
+  double mClockRate = 1; // clock speed, 1 = exact
   bool mDead = false;
-  int mFrozenSteps = 0; // steps it is frozen for
-  bool mCutOff = false; // from the platform
+  int mFrozenSteps = 0; // steps for which it stays frozen
+  bool mCutOff = false; // can't reach the platform
   ShareBuckets mBuckets;
-  std::set<int> mNewlyClosed; // by its last hand-over: closed, open before
+  std::set<int> mNewlyClosed; // by its last hand-over
 
   explicit ShareModelNode(const std::string& aSelf)
     : mBuckets({}, aSelf)
@@ -44,8 +44,8 @@
   int64_t mExpected;
 };
 
-// The zone's table at a platform that loses and delays writes, and whoever
-// writes it.
+// A zone's table at a platform that loses and delays writes, and the nodes that
+// write it.
 struct ShareModel
 {
   ShareTable mTable;
@@ -64,7 +64,7 @@
     mNodes.push_back(node);
   }
 
-  // Its rate is 0: all that it can ever spend is its burst.
+  // With a rate of 0 the tenant can never spend more than its burst.
   void AddTenant(const std::string& aName, double aBurst)
   {
     Tenant& tenant = mConfig.mTenants[aName];
@@ -86,7 +86,7 @@
     return mNodes[static_cast<size_t>(aChoices.Below(255)) % mNodes.size()];
   }
 
-  // One thing that happens: to a node, to the platform, or between two.
+  // One random event at a node, at the platform or between two nodes.
   void Step(RandomChoices& aChoices, TimePoint& aNow)
   {
     if (aChoices.Below(2) == 0) {
@@ -144,7 +144,8 @@
     return true;
   }
 
-  // aDone: in force and the writer knows; else it may be, or may come later.
+  // True: in force and known to the writer. False: it may or may not take
+  // effect, now or later.
   bool Write(ShareModelNode& aNode,
              const ShareTable& aTable,
              RandomChoices& aChoices,
@@ -172,7 +173,7 @@
     }
   }
 
-  // One node writes for itself and for another that asked aAgo before.
+  // aNode renews itself and aOther in one write; either may learn of it or not.
   void Renew(ShareModelNode& aNode,
              ShareModelNode& aOther,
              RandomChoices& aChoices,
@@ -215,7 +216,7 @@
     ShareLeaseOnAllPromised(aNode.mLease, begun);
   }
 
-  // Closes what is to be handed on, and gives the table that hands it on.
+  // Closes the slots to hand over and returns the table that does so.
   ShareTable ReleaseOf(ShareModelNode& aNode, bool aLeaving, TimePoint aNow)
   {
     TimePoint now = aNode.Now(aNow);
@@ -253,7 +254,7 @@
     }
   }
 
-  // As a request does, at any moment.
+  // Spends tokens as requests do, at a random node and slot.
   void Spend(RandomChoices& aChoices, TimePoint aNow)
   {
     ShareModelNode& node = RandomNode(aChoices);
@@ -275,7 +276,7 @@
     }
   }
 
-  // With nothing lost: knows the newest and is renewed.
+  // A renewal without faults, from the newest table.
   void RenewNow(ShareModelNode& aNode, TimePoint aNow)
   {
     TimePoint now = aNode.Now(aNow);
@@ -296,8 +297,8 @@
     return bucket ? bucket->Level(now) : -1;
   }
 
-  // Nothing fails any more: everybody renews and hands on, for a while.
-  // False when nobody is left.
+  // Lets all nodes renew and hand over for a while without faults. False when
+  // no node is alive.
   bool SettleWithoutFaults(TimePoint& aNow)
   {
     for (int round = 0; round < 60; ++round) {
@@ -316,8 +317,8 @@
     });
   }
 
-  // As an instance does at rest: the first renews for all others, by one
-  // write; who isn't a member yet joins by itself.
+  // As in normal operation: the first member renews all others by one write;
+  // nodes that aren't members yet join by their own writes.
   void RenewAllNow(TimePoint aNow)
   {
     ShareModelNode* renewer = nullptr;
--- a/tests/unit/ModelGroupTest.cpp
+++ b/tests/unit/ModelGroupTest.cpp
@@ -4,9 +4,9 @@
 
 namespace caraway {
 
-// An engine runs at a tenth of its speed and chat holds all its places: each
-// request lasts longer than a bulletin's time. The bulletin finds the place
-// that was kept for it; without that, four of five bulletins were refused.
+// Guards against refused bulletins on a slow engine: at a tenth of its speed,
+// with chat in all slots, every request lasts longer than a bulletin's
+// deadline. Without a reserved slot four of five bulletins are refused.
 TEST(ModelGroup, LastSlotIsReservedForBulletins)
 {
   ServingReplica replica;
@@ -21,7 +21,7 @@
   EXPECT_EQ(ModelGroupAdmissibleClass(replica), RequestClass::Urgent);
 }
 
-// An engine with one place serves every class with it.
+// An engine with a single slot serves every class.
 TEST(ModelGroup, NothingIsReservedWithFewSlots)
 {
   ServingReplica replica;
--- a/tests/unit/ShareManagerTest.cpp
+++ b/tests/unit/ShareManagerTest.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A keeper that holds all slots, and a member that has just joined, who isn't
-// a process: its port refuses.
+// A manager that holds all slots, and a member that has just joined. The member
+// has no process: its port refuses connections.
 class SlotHandOver : public ::testing::Test
 {
 protected:
@@ -53,7 +53,7 @@
                      object.mVersion,
                      mClock.Now());
   }
-  // The member joins or renews, by a write of its own.
+  // The new member joins or renews by an own write.
   void Join()
   {
     ShareTable table = ShareLeasePropose(mNewMember, {}, mClock.Now());
@@ -61,8 +61,8 @@
       { "shares", "a", mNewMember.mVersion, "w", ShareTableJson(table) });
     ReadTable();
   }
-  // The n-th write from now befalls aFault. A round's first write meets the
-  // joining, its second renews, its third hands on.
+  // Injects aFault into the n-th write from now. The first write of a round
+  // conflicts with the join, the second renews, the third hands slots over.
   void FaultAtWrite(int aNumber, const std::function<MemoryFault()>& aFault)
   {
     auto count = std::make_shared<int>(0);
@@ -85,9 +85,9 @@
 
 } // namespace
 
-// A tenant's half is refused for up to a second: its holder stopped spending,
-// to hand it on, and another member's renewal came first. The holder must try
-// again at once.
+// Guards against refusing half of a tenant's rate for up to a second: the
+// holder has stopped spending to hand slots over, and another member's renewal
+// comes first. The holder must retry at once.
 TEST_F(SlotHandOver, RetriesAfterAnotherMembersRenewal)
 {
   FaultAtWrite(3, [this] {
@@ -103,8 +103,8 @@
   EXPECT_EQ(mManager.SlotsHeld(), 8);
 }
 
-// The platform goes out just as slots are handed on. They stay spendable where
-// they are for as long as it lasts.
+// Guards against slots that nobody can spend during a platform outage that
+// begins in the middle of a hand-over. They stay spendable at their holder.
 TEST_F(SlotHandOver, SlotsStaySpendableDuringPlatformOutage)
 {
   FaultAtWrite(3, [] { return MemoryFault::Refused; });
@@ -112,8 +112,8 @@
   EXPECT_EQ(mManager.SlotsHeld(), kShareSlots);
 }
 
-// Nobody answers whether the slots were handed on. Until it is known nobody
-// spends them, for both might; the next renewal tells, whichever it was.
+// Guards against slots spent twice when the outcome of a hand-over is unknown:
+// nobody spends them until the next renewal shows the outcome.
 TEST_F(SlotHandOver, SlotsStayClosedUntilTheOutcomeIsKnown)
 {
   FaultAtWrite(3, [] { return MemoryFault::WriteLost; });
--- a/tests/unit/StoreGateTest.cpp
+++ b/tests/unit/StoreGateTest.cpp
@@ -13,7 +13,7 @@
 
 const std::string kSecret = "0123456789abcdef";
 
-// An instance as far as the store's gate needs one.
+// The parts of an instance that the store gate needs.
 struct GateNode
 {
   GateNode(const std::string& aId,
@@ -44,8 +44,8 @@
   std::unique_ptr<StoreGate> mGate;
 };
 
-// i2 of the other zone owns the fleet's gate. It takes questions and doesn't
-// answer them.
+// i2 of the other zone owns the fleet's gate. It accepts requests but doesn't
+// reply to them.
 class StalledGate : public ::testing::Test
 {
 protected:
@@ -90,9 +90,10 @@
 
 } // namespace
 
-// The gate's owner stalls for a moment while several loads ask. Were each to
-// take its asker's own gate for the fleet's, all would start beside those that
-// the owner let in. They are told to ask again; one that is in stays in.
+// Guards against an overloaded store when the gate's owner stalls briefly. If
+// each instance used its own gate for the fleet's, all waiting loads would
+// start beside those that the owner admitted. They must poll again; an admitted
+// load stays so.
 TEST_F(StalledGate, BriefStallAdmitsNoOtherLoad)
 {
   EXPECT_TRUE(Ask(mNode0, "inside", true));
@@ -101,8 +102,9 @@
   }
 }
 
-// The owner doesn't come back. Two instances that each went by their own gate
-// would both give out the zone's part; the zone's owner gives it out once.
+// Guards against admitting a zone's part of the limit twice when the owner
+// stays away and two instances use their own gates: the zone's owner admits it
+// once.
 TEST_F(StalledGate, ZoneGateAdmitsItsPartOnce)
 {
   int admitted = 0;
@@ -115,9 +117,9 @@
   EXPECT_EQ(admitted, 4 / 2);
 }
 
-// A burst wants more adapters at once than the fleet may have on their way.
-// Each instance keeps to its part, so that they don't all arrive late; a place
-// that comes free is given to the next.
+// Guards against adapters that all load late because a burst starts more of
+// them than the fleet's limit. Each instance keeps to its part; a released
+// permit goes to the next adapter.
 TEST(AdapterPermits, EachInstanceKeepsToItsPart)
 {
   PausedClock clock;
