--- a/src/decide/RetrySchedule.cpp
+++ b/src/decide/RetrySchedule.cpp
@@ -35,10 +35,10 @@
   if (tenant == mTenants.end()) {
     return std::nullopt;
   }
-  auto known = tenant->second.mDueByDigest.find(aRequestDigest);
-  return known == tenant->second.mDueByDigest.end()
+  auto dueTimes = tenant->second.mDueByDigest.find(aRequestDigest);
+  return dueTimes == tenant->second.mDueByDigest.end()
            ? std::nullopt
-           : std::optional<TimePoint>(*known->second.begin());
+           : std::optional<TimePoint>(*dueTimes->second.begin());
 }
 
 void
@@ -48,9 +48,9 @@
   TenantRetries& tenant = mTenants[aTenant];
   auto range =
     tenant.mDue.equal_range(*tenant.mDueByDigest[aRequestDigest].begin());
-  for (auto one = range.first; one != range.second; ++one) {
-    if (one->second.first == aRequestDigest) {
-      tenant.mDue.erase(one);
+  for (auto entry = range.first; entry != range.second; ++entry) {
+    if (entry->second.first == aRequestDigest) {
+      tenant.mDue.erase(entry);
       break;
     }
   }
@@ -94,10 +94,10 @@
                    TimePoint aUntil) const
 {
   double tokens = 0;
-  for (auto one = aRetries.mDue.begin();
-       one != aRetries.mDue.end() && one->first < aUntil;
-       ++one) {
-    tokens += one->second.second;
+  for (auto entry = aRetries.mDue.begin();
+       entry != aRetries.mDue.end() && entry->first < aUntil;
+       ++entry) {
+    tokens += entry->second.second;
   }
   return tokens * ReturnProbability(aTenant);
 }
--- a/src/decide/WaitQueue.cpp
+++ b/src/decide/WaitQueue.cpp
@@ -232,9 +232,9 @@
       ServedTokens(classQueue, aItem.mTenant);
   }
   classQueue.mArrivals[aItem.mTenant].Add(aItem.mTokens, aNow);
-  TenantQueue& tenantItems = classQueue.mTenantQueues[aItem.mTenant];
-  tenantItems.mItems.emplace(aItem.mStartBy, aItem);
-  tenantItems.mTokens += aItem.mTokens;
+  TenantQueue& ownQueue = classQueue.mTenantQueues[aItem.mTenant];
+  ownQueue.mItems.emplace(aItem.mStartBy, aItem);
+  ownQueue.mTokens += aItem.mTokens;
   ++classQueue.mSize;
   return std::nullopt;
 }
--- a/src/own/ModelOwner.cpp
+++ b/src/own/ModelOwner.cpp
@@ -47,7 +47,7 @@
                             ModelGroup& aGroup,
                             TimePoint aNow)
 {
-  constexpr Seconds kBusyLoad{ 30 };
+  constexpr Seconds kBusyLoadTimeout{ 30 };
   if (!mHomes) {
     return "";
   }
@@ -73,8 +73,11 @@
   auto action = HomeZoneRoute(aGroup.mHome, view, mHomeZoneParameters, aNow);
   if (action == HomeZoneAction::RemoteAndLoad && !aGroup.mLoading) {
     LogInfo("load_for_busy_zone", { { "model", aModel.mName } });
-    StartLoad(
-      KeyOf(aModel), aGroup, aModel, LoadNeed::Optional, aNow + kBusyLoad);
+    StartLoad(KeyOf(aModel),
+              aGroup,
+              aModel,
+              LoadNeed::Optional,
+              aNow + kBusyLoadTimeout);
   }
   return action == HomeZoneAction::Local ? "" : home;
 }
@@ -203,7 +206,7 @@
                                 const EndpointSpec& aEndpoint,
                                 const std::string& aAdapter)
 {
-  constexpr Millis kAdapterTime{ 1500 };
+  constexpr Millis kAdapterTimeout{ 1500 };
   {
     std::lock_guard<std::mutex> lock(aShard.mLock);
     ServingReplica* replica =
@@ -218,7 +221,7 @@
     return Fail(ErrorKind::ProfileUnknown, "unknown adapter " + aAdapter);
   }
   BOOST_LEAF_CHECK(mLoader.EnsureAdapter(
-    aEndpoint, adapter->second, mClock.Now() + kAdapterTime));
+    aEndpoint, adapter->second, mClock.Now() + kAdapterTimeout));
   std::lock_guard<std::mutex> lock(aShard.mLock);
   ServingReplica* replica =
     ModelGroupReplicaAt(aShard.mGroups[aKey], aEndpoint.mName);
--- a/src/own/ModelOwnerUpkeep.cpp
+++ b/src/own/ModelOwnerUpkeep.cpp
@@ -14,7 +14,7 @@
                         const HeldEngineSlot& aSlot,
                         TimePoint aNow)
 {
-  constexpr Seconds kReload{ 30 };
+  constexpr Seconds kReloadTimeout{ 30 };
   ModelGroup& group = aShard.mGroups[aSlot.mGroup];
   auto& replicas = group.mServingReplicas;
   replicas.erase(std::remove_if(replicas.begin(),
@@ -31,8 +31,11 @@
   auto model =
     config->mModels.find(aSlot.mGroup.substr(0, aSlot.mGroup.find('|')));
   if (model != config->mModels.end()) {
-    StartLoad(
-      aSlot.mGroup, group, model->second, LoadNeed::Required, aNow + kReload);
+    StartLoad(aSlot.mGroup,
+              group,
+              model->second,
+              LoadNeed::Required,
+              aNow + kReloadTimeout);
   }
 }
 
--- a/src/share/ShareClient.cpp
+++ b/src/share/ShareClient.cpp
@@ -33,9 +33,9 @@
   , mMembers(aMembers)
   , mClock(aClock)
 {
-  auto own = std::find(mZones.begin(), mZones.end(), mSettings.mZone);
-  if (own != mZones.end()) {
-    std::rotate(mZones.begin(), own, own + 1);
+  auto ownZone = std::find(mZones.begin(), mZones.end(), mSettings.mZone);
+  if (ownZone != mZones.end()) {
+    std::rotate(mZones.begin(), ownZone, ownZone + 1);
   }
 }
 
@@ -68,13 +68,13 @@
     read = mClock.Now();
   }
   for (const InstanceInfo& peer : mMembers.AvailablePeersIn(aZone)) {
-    auto answer = Outcome([&] {
+    auto peerReply = Outcome([&] {
       return mPeers.Call(peer.mPeerAddress,
                          "share.table",
                          Json::Value(Json::objectValue),
                          kTableTimeout);
     });
-    if (auto* json = std::get_if<Json::Value>(&answer)) {
+    if (auto* json = std::get_if<Json::Value>(&peerReply)) {
       UpdateTable(aZone, *json);
       return;
     }
@@ -158,10 +158,10 @@
   params["slot"] = aSlot;
   params["tokens"] = aTokens;
   std::string address = IncarnationAddress(holder);
-  auto answer = Outcome([&] {
+  auto peerReply = Outcome([&] {
     return mPeers.Call(address, "share.take", params, mSettings.mTakeTimeout);
   });
-  auto* json = std::get_if<Json::Value>(&answer);
+  auto* json = std::get_if<Json::Value>(&peerReply);
   if (!json) {
     MarkUnresponsive(holder);
     return true;
@@ -267,29 +267,29 @@
 {
   double used = aUsed;
   for (const ShareGrant& grant : aTicket.mGrants) {
-    double here = std::min(used, grant.mTokens);
-    used -= here;
-    ShareGrant back = grant;
-    back.mTokens = grant.mTokens - here;
-    if (back.mTokens <= kTokenEpsilon) {
+    double usedHere = std::min(used, grant.mTokens);
+    used -= usedHere;
+    ShareGrant refund = grant;
+    refund.mTokens = grant.mTokens - usedHere;
+    if (refund.mTokens <= kTokenEpsilon) {
       continue;
     }
-    if (back.mAddress.empty()) {
-      mManager.GiveBack(aTicket.mTenant, back);
+    if (refund.mAddress.empty()) {
+      mManager.GiveBack(aTicket.mTenant, refund);
       continue;
     }
     Json::Value params;
     params["tenant"] = aTicket.mTenant;
-    params["holder"] = back.mHolder;
-    params["slot"] = back.mSlot;
-    params["tokens"] = back.mTokens;
-    params["at"] = Json::Int64(back.mTakenAt);
+    params["holder"] = refund.mHolder;
+    params["slot"] = refund.mSlot;
+    params["tokens"] = refund.mTokens;
+    params["at"] = Json::Int64(refund.mTakenAt);
     // Not resent: a refund that arrives twice would create tokens, while a lost
     // one only loses them.
     constexpr bool kResend = false;
     Outcome([&] {
       return mPeers.Call(
-        back.mAddress, "share.give", params, mSettings.mTakeTimeout, kResend);
+        refund.mAddress, "share.give", params, mSettings.mTakeTimeout, kResend);
     });
   }
 }
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -13,7 +13,7 @@
 
 constexpr const char* kKind = "shares";
 constexpr int kMaxAttempts = 4;
-constexpr Millis kPromiseTime{ 500 };
+constexpr Millis kPromiseTimeout{ 500 };
 constexpr int kRenewDivisor = 5; // a peer gets 2/5 of the lease to reply
 
 int64_t
@@ -61,11 +61,11 @@
   if (!bucket) {
     return std::nullopt;
   }
-  double there = std::max(0.0, std::min(aTokens, bucket->Level(now)));
+  double available = std::max(0.0, std::min(aTokens, bucket->Level(now)));
   TakeResult taken;
   taken.mRetryAfter = bucket->Until(aTokens, now);
-  if (there > 0 && bucket->Take(there, now)) {
-    taken.mGrant.mTokens = there;
+  if (available > 0 && bucket->Take(available, now)) {
+    taken.mGrant.mTokens = available;
   }
   taken.mGrant.mHolder = mSelf;
   taken.mGrant.mSlot = aSlot;
@@ -222,10 +222,10 @@
   // With a frozen renewer there must be time left for an own write within the
   // lease.
   Millis within = mSettings.mParameters.mLease * 2 / kRenewDivisor;
-  auto answer = Outcome([&] {
+  auto reply = Outcome([&] {
     return mPeers.Call(aRenewer.mPeerAddress, "share.renew", params, within);
   });
-  auto* json = std::get_if<Json::Value>(&answer);
+  auto* json = std::get_if<Json::Value>(&reply);
   if (!json) {
     mMembers.MarkUnreachable(aRenewer.mPeerAddress);
     return false;
@@ -262,11 +262,11 @@
     Json::Value params;
     params["member"] = mSelf;
     params["of"] = member;
-    auto answer = Outcome([&] {
+    auto reply = Outcome([&] {
       return mPeers.Call(
-        IncarnationAddress(member), "share.promise", params, kPromiseTime);
+        IncarnationAddress(member), "share.promise", params, kPromiseTimeout);
     });
-    auto* json = std::get_if<Json::Value>(&answer);
+    auto* json = std::get_if<Json::Value>(&reply);
     if (!json || !(*json)["promised"].asBool()) {
       LogInfo("share_promise_missing", { { "member", member } });
       return;
--- a/src/share/ShareManagerPeers.cpp
+++ b/src/share/ShareManagerPeers.cpp
@@ -46,7 +46,7 @@
     std::lock_guard<std::mutex> lock(mLock);
     mPendingRenewals[member] = aParams["knows"].asInt64();
   }
-  Json::Value answer;
+  Json::Value reply;
   {
     std::lock_guard<std::mutex> write(mWriteLock);
     std::map<std::string, int64_t> others;
@@ -63,15 +63,15 @@
     if (waiting) {
       RenewAndRecord(others);
     }
-    answer["renewed"] = mBatchRenewed[member];
+    reply["renewed"] = mBatchRenewed[member];
   }
   std::lock_guard<std::mutex> lock(mLock);
-  answer["version"] = Json::Int64(mLease.mVersion);
-  answer["serial"] = Json::Int64(mLease.mTable.mSerial);
+  reply["version"] = Json::Int64(mLease.mVersion);
+  reply["serial"] = Json::Int64(mLease.mTable.mSerial);
   if (aParams["knows"].asInt64() < mLease.mTable.mChangedSerial) {
-    answer["table"] = ShareTableJson(mLease.mTable);
+    reply["table"] = ShareTableJson(mLease.mTable);
   }
-  return answer;
+  return reply;
 }
 
 Json::Value
@@ -79,10 +79,10 @@
 {
   std::lock_guard<std::mutex> lock(mLock);
   bool ours = aParams["of"].asString() == mSelf;
-  Json::Value answer;
-  answer["promised"] =
+  Json::Value reply;
+  reply["promised"] =
     ours && ShareLeaseCanPromise(mLease, aParams["member"].asString());
-  return answer;
+  return reply;
 }
 
 Json::Value
@@ -94,18 +94,18 @@
     taken =
       Take(aParams["tenant"].asString(), slot, aParams["tokens"].asDouble());
   }
-  Json::Value answer;
-  answer["holder"] = taken.has_value();
+  Json::Value reply;
+  reply["holder"] = taken.has_value();
   if (taken) {
-    answer["tokens"] = taken->mGrant.mTokens;
-    answer["at"] = Json::Int64(taken->mGrant.mTakenAt);
-    answer["self"] = mSelf;
-    answer["retry"] = Json::Int64(taken->mRetryAfter.count());
+    reply["tokens"] = taken->mGrant.mTokens;
+    reply["at"] = Json::Int64(taken->mGrant.mTakenAt);
+    reply["self"] = mSelf;
+    reply["retry"] = Json::Int64(taken->mRetryAfter.count());
   } else {
     // The table names the right holder.
-    answer["now"] = TableJson();
+    reply["now"] = TableJson();
   }
-  return answer;
+  return reply;
 }
 
 Json::Value
--- a/tests/property/HomeZoneProperty.cpp
+++ b/tests/property/HomeZoneProperty.cpp
@@ -52,7 +52,7 @@
   Zone& Home() { return Named(HomeZoneOf(kZones, "m")); }
   Zone& NonHome() { return &Home() == &mZones[0] ? mZones[1] : mZones[0]; }
 
-  HomeZoneAction Ask(Zone& aZone)
+  HomeZoneAction Route(Zone& aZone)
   {
     HomeZoneView view;
     view.mIsHome = &aZone == &Home();
@@ -60,7 +60,7 @@
     view.mWaiting = aZone.mWaiting;
     return HomeZoneRoute(aZone.mState, view, mParameters, mNow);
   }
-  void ServeHere(Zone& aZone)
+  void ServeIn(Zone& aZone)
   {
     if (!aZone.mServing) {
       aZone.mLoading = true;
@@ -71,9 +71,9 @@
   // it.
   void Request(Zone& aZone)
   {
-    HomeZoneAction action = Ask(aZone);
+    HomeZoneAction action = Route(aZone);
     if (action == HomeZoneAction::Local) {
-      ServeHere(aZone);
+      ServeIn(aZone);
       return;
     }
     RC_ASSERT(&aZone != &Home());
@@ -84,11 +84,11 @@
     if (aZone.mCut || Home().mCut) {
       HomeZoneFailed(aZone.mState, mParameters, mNow);
       // Later requests are served locally without trying the home zone again.
-      RC_ASSERT(Ask(aZone) == HomeZoneAction::Local);
-      ServeHere(aZone);
+      RC_ASSERT(Route(aZone) == HomeZoneAction::Local);
+      ServeIn(aZone);
       return;
     }
-    ServeHere(Home());
+    ServeIn(Home());
   }
   void FinishLoad(Zone& aZone, bool aSucceeded)
   {
@@ -176,7 +176,7 @@
   model.Home().mCut = true;
   model.Request(zone);
   model.mNow += 2 * model.mParameters.mHomeRetryDelay;
-  EXPECT_EQ(model.Ask(zone), HomeZoneAction::Local);
+  EXPECT_EQ(model.Route(zone), HomeZoneAction::Local);
 }
 
 // A zone that reaches the home zone again returns to it once its own idle
@@ -190,9 +190,9 @@
   model.FinishLoad(zone, true);
   model.Home().mCut = false;
   model.mNow += model.mParameters.mHomeRetryDelay;
-  EXPECT_EQ(model.Ask(zone), HomeZoneAction::Local); // has a warm replica
+  EXPECT_EQ(model.Route(zone), HomeZoneAction::Local); // has a warm replica
   zone.mServing = false;
-  EXPECT_EQ(model.Ask(zone), HomeZoneAction::Remote);
+  EXPECT_EQ(model.Route(zone), HomeZoneAction::Remote);
 }
 
 } // namespace caraway
--- a/tests/property/LoadGateProperty.cpp
+++ b/tests/property/LoadGateProperty.cpp
@@ -29,17 +29,18 @@
   int mCreated = 0;
 
   // A reply may be lost: the load then doesn't know that it has a permit.
-  void Ask(Load& aLoad, bool aReplyArrives)
+  void Poll(Load& aLoad, bool aReplyArrives)
   {
-    bool before = mGate.mEntries.count(aLoad.mId) != 0 &&
-                  mGate.mEntries[aLoad.mId].mHasPermit;
-    bool in = LoadGateAcquire(mGate, { aLoad.mId, aLoad.mClass, false }, mNow)
-                .mHasPermit;
-    if (in && !before) {
+    bool hadPermit = mGate.mEntries.count(aLoad.mId) != 0 &&
+                     mGate.mEntries[aLoad.mId].mHasPermit;
+    bool hasPermit =
+      LoadGateAcquire(mGate, { aLoad.mId, aLoad.mClass, false }, mNow)
+        .mHasPermit;
+    if (hasPermit && !hadPermit) {
       mStarts.push_back(mNow);
       CheckAdmission(mGate.mEntries[aLoad.mId]);
     }
-    if (in && aReplyArrives) {
+    if (hasPermit && aReplyArrives) {
       aLoad.mHasPermit = true;
       aLoad.mAdmittedAt = mNow;
     }
@@ -86,7 +87,7 @@
       LoadGateRelease(mGate, load.mId);
       mLoads.erase(mLoads.begin() + static_cast<long>(at));
     } else {
-      Ask(load, aChoices.Below(5) != 0);
+      Poll(load, aChoices.Below(5) != 0);
     }
   }
 
@@ -101,7 +102,7 @@
         }
         waiting = waiting || !load.mHasPermit;
         TimePoint admittedAt = load.mAdmittedAt;
-        Ask(load, true);
+        Poll(load, true);
         load.mAdmittedAt =
           admittedAt == TimePoint{} ? load.mAdmittedAt : admittedAt;
         if (load.mHasPermit && mNow - load.mAdmittedAt > Seconds(2)) {
--- a/tests/property/ShareProperty.cpp
+++ b/tests/property/ShareProperty.cpp
@@ -65,7 +65,7 @@
   ASSERT_GT(before, 0);
   model.RenewNow(next, now);
   ShareLeaseUpdate(first.mLease, model.mTable, model.mVersion, now);
-  ShareTable handed = model.ReleaseOf(first, false, now);
+  ShareTable handed = model.CloseAndHandOver(first, false, now);
   if (handed.mSlots[slot].mHolder != "n1") {
     slot = ShareSlotsOf("acme")[1];
   }
@@ -75,7 +75,7 @@
   model.RenewNow(next, now);
   ASSERT_EQ(model.LevelOf(next, "acme", slot, now), before);
   next.mBuckets.Find("acme", slot)->Take(15, now);
-  model.Apply(model.ReleaseOf(next, true, now), model.mVersion);
+  model.Apply(model.CloseAndHandOver(next, true, now), model.mVersion);
   model.RenewNow(first, now);
   EXPECT_TRUE(ShareLeaseMaySpend(first.mLease, slot, now));
   EXPECT_EQ(model.LevelOf(first, "acme", slot, now), before - 15);
--- a/tests/support/ShareModel.h
+++ b/tests/support/ShareModel.h
@@ -130,7 +130,7 @@
                        other.mLease.mVersion,
                        node.Now(aNow));
     } else {
-      Release(node, aChoices, aNow);
+      HandOver(node, aChoices, aNow);
     }
   }
 
@@ -180,10 +180,10 @@
              TimePoint& aNow)
   {
     TimePoint begun = aNode.Now(aNow);
-    TimePoint asked = aOther.Now(aNow);
+    TimePoint requestedAt = aOther.Now(aNow);
     std::map<std::string, int64_t> others;
-    bool both = &aNode != &aOther && aOther.Awake();
-    if (both) {
+    bool withOther = &aNode != &aOther && aOther.Awake();
+    if (withOther) {
       others[aOther.mLease.mSelf] = aOther.mLease.mTable.mSerial;
     }
     aNow += Millis(aChoices.Below(8) * 100);
@@ -193,13 +193,13 @@
       return;
     }
     ShareLeaseRenewed(aNode.mLease, table, mVersion, begun, aNode.Now(aNow));
-    bool answered = both && aChoices.Below(3) != 0;
+    bool answered = withOther && aChoices.Below(3) != 0;
     if (answered && others.begin()->second >= table.mChangedSerial) {
       ShareLeaseRenewedUnchanged(
-        aOther.mLease, table.mSerial, mVersion, asked, aOther.Now(aNow));
+        aOther.mLease, table.mSerial, mVersion, requestedAt, aOther.Now(aNow));
     } else if (answered) {
       ShareLeaseRenewed(
-        aOther.mLease, table, mVersion, asked, aOther.Now(aNow));
+        aOther.mLease, table, mVersion, requestedAt, aOther.Now(aNow));
     }
   }
 
@@ -217,23 +217,25 @@
   }
 
   // Closes the slots to hand over and returns the table that does so.
-  ShareTable ReleaseOf(ShareModelNode& aNode, bool aLeaving, TimePoint aNow)
+  ShareTable CloseAndHandOver(ShareModelNode& aNode,
+                              bool aLeaving,
+                              TimePoint aNow)
   {
     TimePoint now = aNode.Now(aNow);
-    std::set<int> excess = ShareLeaseSlotsToHandOver(aNode.mLease, aLeaving);
+    std::set<int> slots = ShareLeaseSlotsToHandOver(aNode.mLease, aLeaving);
     aNode.mBuckets.Sync(aNode.mLease.mTable, mConfig, now);
-    aNode.mNewlyClosed = ShareLeaseClose(aNode.mLease, excess);
-    auto levels = aNode.mBuckets.LevelsOf(excess, now);
+    aNode.mNewlyClosed = ShareLeaseClose(aNode.mLease, slots);
+    auto levels = aNode.mBuckets.LevelsOf(slots, now);
     return ShareLeaseHandOver(aNode.mLease, levels, aLeaving);
   }
 
-  void Release(ShareModelNode& aNode, RandomChoices& aChoices, TimePoint aNow)
+  void HandOver(ShareModelNode& aNode, RandomChoices& aChoices, TimePoint aNow)
   {
     bool leaving = aChoices.Below(8) == 0;
     if (!leaving && ShareLeaseSlotsToHandOver(aNode.mLease, false).empty()) {
       return;
     }
-    ShareTable table = ReleaseOf(aNode, leaving, aNow);
+    ShareTable table = CloseAndHandOver(aNode, leaving, aNow);
     if (aNode.mCutOff) {
       ShareLeaseReopen(aNode.mLease, aNode.mNewlyClosed);
     } else if (Write(aNode, table, aChoices, aNow)) {
@@ -307,7 +309,7 @@
       for (ShareModelNode& node : mNodes) {
         if (!node.mDead &&
             !ShareLeaseSlotsToHandOver(node.mLease, false).empty()) {
-          Apply(ReleaseOf(node, false, aNow), node.mLease.mVersion);
+          Apply(CloseAndHandOver(node, false, aNow), node.mLease.mVersion);
           ShareLeaseUpdate(node.mLease, mTable, mVersion, node.Now(aNow));
         }
       }
@@ -344,12 +346,12 @@
     Apply(table, mVersion);
     ShareLeaseRenewed(renewer->mLease, table, mVersion, now, now);
     for (ShareModelNode& node : mNodes) {
-      auto asked = others.find(node.mLease.mSelf);
-      if (asked == others.end()) {
+      auto requested = others.find(node.mLease.mSelf);
+      if (requested == others.end()) {
         continue;
       }
       TimePoint at = node.Now(aNow);
-      if (asked->second < table.mChangedSerial) {
+      if (requested->second < table.mChangedSerial) {
         ShareLeaseRenewed(node.mLease, table, mVersion, at, at);
       } else {
         ShareLeaseRenewedUnchanged(
--- a/tests/unit/StoreGateTest.cpp
+++ b/tests/unit/StoreGateTest.cpp
@@ -70,9 +70,9 @@
     mReleased = true;
     mResume.notify_all();
   }
-  bool Ask(GateNode& aNode,
-           const std::string& aId,
-           bool aAlreadyAdmitted = false)
+  bool Acquire(GateNode& aNode,
+               const std::string& aId,
+               bool aAlreadyAdmitted = false)
   {
     return aNode.mGate
       ->Acquire({ aId, RequestClass::Interactive, aAlreadyAdmitted })
@@ -96,9 +96,9 @@
 // load stays so.
 TEST_F(StalledGate, BriefStallAdmitsNoOtherLoad)
 {
-  EXPECT_TRUE(Ask(mNode0, "inside", true));
+  EXPECT_TRUE(Acquire(mNode0, "inside", true));
   for (const char* id : { "a", "b", "c" }) {
-    EXPECT_FALSE(Ask(mNode0, id)) << id;
+    EXPECT_FALSE(Acquire(mNode0, id)) << id;
   }
 }
 
@@ -110,7 +110,8 @@
   int admitted = 0;
   for (int round = 0; round < 4; ++round) {
     for (GateNode* node : { &mNode0, &mNode1 }) {
-      admitted += Ask(*node, node->mInfo.mId + std::to_string(round)) ? 1 : 0;
+      admitted +=
+        Acquire(*node, node->mInfo.mId + std::to_string(round)) ? 1 : 0;
     }
     mClock.Advance(Millis(400));
   }
