--- a/src/decide/LoadGate.h
+++ b/src/decide/LoadGate.h
@@ -22,7 +22,7 @@
 struct LoadGateParameters
 {
   int mMaxConcurrent = 4;      // loads that the store serves at full speed
-  double mStartsPerSecond = 5; // loads that the store accepts
+  double mStartsPerSecond = 5; // load starts that the store accepts
   // Urgent loads admitted above mMaxConcurrent. Sharing the store slows all of
   // them a little, where waiting would cost the urgent one a whole load.
   int mUrgentExtra = 2;
@@ -55,7 +55,7 @@
 
 struct LoadGateRequest
 {
-  std::string mId;                                 // id of the load
+  std::string mId;                                 // of the load
   RequestClass mClass = RequestClass::Interactive; // may become more urgent
   bool mAlreadyAdmitted = false; // by another gate; counted, never stopped
 };
@@ -63,7 +63,7 @@
 struct LoadGateReply
 {
   bool mHasPermit = false;  // lapses a lease after the last request
-  Millis mPollAfter{ 100 }; // longer the more loads are ahead
+  Millis mPollAfter{ 100 }; // grows with the loads ahead
 };
 
 // Idempotent, since a reply may be lost.
--- a/src/decide/LoadPlan.h
+++ b/src/decide/LoadPlan.h
@@ -34,9 +34,8 @@
 
 struct LoadPlan
 {
-  int mCandidate = -1; // index; -1 = no engine
-  std::vector<PlacedReplica>
-    mEvict;           // replicas of that candidate, in this order
+  int mCandidate = -1;               // index; -1 = no engine
+  std::vector<PlacedReplica> mEvict; // of that candidate, in this order
   bool mJoin = false; // the engine has it already, loading or ready
 };
 
--- a/src/decide/RetrySchedule.cpp
+++ b/src/decide/RetrySchedule.cpp
@@ -8,7 +8,7 @@
 
 // Allowance for the caller's timer and the network.
 constexpr Millis kLateTolerance{ 1500 };
-constexpr size_t kMaxRetriesPerTenant = 2000; // bounds memory
+constexpr size_t kMaxRetriesPerTenant = 2000; // to bound memory
 constexpr double kInitialReturnRate = 0.5;    // until observed
 constexpr double kReturnRateWeight = 0.1;
 
--- a/src/decide/RetrySchedule.h
+++ b/src/decide/RetrySchedule.h
@@ -48,8 +48,8 @@
 private:
   struct TenantRetries
   {
-    std::multimap<TimePoint, std::pair<uint64_t, double>>
-      mDue;                                               // digest, tokens
+    // Digest and tokens by due time.
+    std::multimap<TimePoint, std::pair<uint64_t, double>> mDue;
     std::map<uint64_t, std::set<TimePoint>> mDueByDigest; // due times by digest
     void EraseFirst(uint64_t aRequestDigest);
   };
--- a/src/decide/ShareLease.h
+++ b/src/decide/ShareLease.h
@@ -13,8 +13,8 @@
 // promise that it isn't suspected. A member that promises can suspect it only
 // later, and takes its slots no sooner than a lease and a margin after that. A
 // member unknown to the holder may not suspect it before the long isolation
-// limit. What a holder knows is the serial it stated when it renewed, not the
-// renewal itself, since the reply to a renewal may have been lost.
+// limit. Which members a holder knows is judged by the serial it stated when it
+// renewed, not by the renewal, whose reply may have been lost.
 #ifndef caraway_decide_ShareLease_h
 #define caraway_decide_ShareLease_h
 
@@ -30,11 +30,9 @@
 
 struct ShareLeaseParameters
 {
-  Millis mLease{ 3000 };  // validity after a renewal
-  Millis mMargin{ 1000 }; // covers clock drift over a lease
-  Millis mIsolationLimit{
-    3600000
-  }; // longest time of spending on promises alone
+  Millis mLease{ 3000 };             // validity after a renewal
+  Millis mMargin{ 1000 };            // covers clock drift over a lease
+  Millis mIsolationLimit{ 3600000 }; // of spending on promises alone
 };
 
 struct ShareRenewalSeen
@@ -57,9 +55,8 @@
 
   // Observations of other members, by this instance's clock.
   std::map<std::string, ShareRenewalSeen> mLastRenewals;
-  std::map<std::string, TimePoint> mSuspectedSince; // seen suspected
-  std::map<std::string, TimePoint> mUnlistedSince;  // missing from the
-                                                    // instance list
+  std::map<std::string, TimePoint> mSuspectedSince;
+  std::map<std::string, TimePoint> mUnlistedSince; // not in the instance list
 };
 
 // Whether this instance holds aSlot and may spend from it at aNow.
--- a/src/decide/ShareTable.h
+++ b/src/decide/ShareTable.h
@@ -55,9 +55,9 @@
 
 // The member that should hold aSlot, "" without members. The same for all that
 // see the same table, and different for a slot and its partner when there are
-// two members. Slots are handed over until each is at its target. A fixed
-// target ends this: handing slots to the member with the fewest could go in
-// circles.
+// two members or more. Slots are handed over until each is at its target. The
+// target is fixed, since handing slots to the member with the fewest could go
+// on in circles.
 std::string
 ShareTableTarget(const ShareTable& aTable, int aSlot);
 // Removes a member. Its slots become free; their next holder starts empty.
--- a/src/decide/WaitQueue.cpp
+++ b/src/decide/WaitQueue.cpp
@@ -10,8 +10,8 @@
 
 constexpr Millis kMinRetry{ 200 };
 constexpr Millis kMaxRetry{ 120000 };
-constexpr Millis kEarlyTolerance{ 200 };     // tolerance for callers' timers
-constexpr double kArrivalWindowSeconds = 10; // seconds
+constexpr Millis kEarlyTolerance{ 200 };     // callers' timers may run fast
+constexpr double kArrivalWindowSeconds = 10; // decay time constant
 constexpr double kUnlimited = std::numeric_limits<double>::max();
 
 Millis
--- a/src/own/EndpointReconciler.h
+++ b/src/own/EndpointReconciler.h
@@ -19,11 +19,9 @@
 {
   Millis mRereadInterval{ 10000 }; // between reads of an unchanged record
   Millis mMaxOrderDelay{ 120000 }; // no order arrives later than this
-  Millis mResendInterval{
-    5000
-  };                           // before an order without effect is sent again
-  Millis mIdleLimit{ 300000 }; // idle replicas are unloaded; shorter for
-                               // one cached near the engine
+  Millis mResendInterval{ 5000 };  // for orders without effect
+  Millis mIdleLimit{ 300000 };     // before an idle replica is unloaded, if a
+                                   // reload would come from the remote store
   LoadPlanParameters mParameters;
 };
 
@@ -73,8 +71,7 @@
   EngineClient& mEngines;
   Loader& mLoader;
   const Clock& mClock;
-  std::map<std::string, EngineState>
-    mEngineStates; // used by Round()'s thread only
+  std::map<std::string, EngineState> mEngineStates; // for Round()'s thread
 };
 
 } // namespace caraway
--- a/src/own/HomeZones.h
+++ b/src/own/HomeZones.h
@@ -15,11 +15,11 @@
 class HomeZones
 {
 public:
-  // aNearZones: zones a few milliseconds away, with the own one.
+  // aNearZones: zones a few milliseconds away, including this one.
   HomeZones(std::vector<std::string> aNearZones, Members& aMembers);
 
   // Chosen among the near zones that have engines and an instance that answers.
-  // The own zone when there is none.
+  // This instance's zone when there is none.
   std::string HomeOf(const std::string& aModel, const ConfigSnapshot& aConfig);
   bool IsOwnZone(const std::string& aZone) const;
   // A request sent to aZone got no answer. It is not chosen again until one of
--- a/src/own/ModelGroup.h
+++ b/src/own/ModelGroup.h
@@ -31,7 +31,7 @@
   std::string mEndpoint;
   RequestClass mClass = RequestClass::Interactive;
   TimePoint mGrantedAt{};
-  TimePoint mReclaimAt{}; // its holder is presumed dead
+  TimePoint mReclaimAt{}; // holder presumed dead from then on
 };
 
 // A request that waits, or whose result hasn't been fetched yet.
--- a/src/own/StoreGate.cpp
+++ b/src/own/StoreGate.cpp
@@ -76,7 +76,7 @@
   }
   // The owner may have stalled briefly, and its permits still count. Admitting
   // all loads that asked it would slow the store down for everyone. A load
-  // takes seconds, so another request, at half a second, is cheap.
+  // takes seconds; retrying delays it by about half a second.
   return mMembers.IsAvailablePeer(owner.mId) ? RetryLater(aRequest)
                                              : QueryZoneGate(aRequest);
 }
--- a/src/own/StoreGate.h
+++ b/src/own/StoreGate.h
@@ -22,7 +22,7 @@
 // owner, whose gate admits loads up to the part of the limit for the zones it
 // reaches; so zones that are cut off from each other keep to the limit
 // together. When the owner fails to answer twice, the instances of each zone
-// ask a gate owner of their zone for the zone's part. While views of the
+// ask the gate owner of their zone for the zone's part. While views of the
 // members differ, two gates may admit more loads, which only slows the store
 // down.
 class StoreGate
@@ -54,7 +54,7 @@
                                          const Json::Value& aRequest);
   LoadGateReply QueryZoneGate(const LoadGateRequest& aRequest);
   void ReleaseAt(const InstanceInfo& aOwner, const std::string& aId);
-  // From the own gate, with the limit for aZones of the fleet's zones.
+  // Uses this instance's gate, with the limit for aZones of the fleet's zones.
   LoadGateReply AdmitLocally(int aZones, const LoadGateRequest& aRequest);
 
   StoreGateSettings mSettings;
@@ -63,8 +63,7 @@
   const Clock& mClock;
   std::mutex mLock;
   LoadGate mGate;
-  std::set<std::string>
-    mZoneRequests; // ids of loads requested from the zone's owner
+  std::set<std::string> mZoneRequests; // loads requested at the zone's owner
   std::mutex mAdapterLock;
   std::condition_variable mAdapterReleased;
   int mAdaptersInFlight = 0; // loads begun by this instance
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -213,14 +213,14 @@
   {
     std::lock_guard<std::mutex> lock(mLock);
     if (!mLease.mTable.mMembers.count(mSelf)) {
-      return false; // joining takes an own write
+      return false; // a new member joins by its own write
     }
     params["member"] = mSelf;
     params["knows"] = Json::Int64(mLease.mTable.mSerial);
   }
   TimePoint begun = mClock.Now();
-  // With a frozen renewer there must be time left for an own write within the
-  // lease.
+  // If the renewer is frozen, enough of the lease must be left to write without
+  // it.
   Millis within = mSettings.mParameters.mLease * 2 / kRenewDivisor;
   auto reply = Outcome([&] {
     return mPeers.Call(aRenewer.mPeerAddress, "share.renew", params, within);
--- a/src/share/ShareManager.h
+++ b/src/share/ShareManager.h
@@ -62,7 +62,7 @@
   // Whether all slots held here are at their target member.
   bool Settled() const;
 
-  // Renews the lease, through the zone's renewer or by an own write.
+  // Renews the lease, through the zone's renewer or by writing itself.
   void Round();
   // Hands over all slots with the tokens left in them, on a graceful shutdown.
   void Leave();
--- a/tests/support/ShareModel.h
+++ b/tests/support/ShareModel.h
@@ -173,7 +173,7 @@
     }
   }
 
-  // aNode renews itself and aOther in one write; either may learn of it or not.
+  // aNode renews itself and aOther in one write; aOther may not get the reply.
   void Renew(ShareModelNode& aNode,
              ShareModelNode& aOther,
              RandomChoices& aChoices,
--- a/tests/unit/ShareManagerTest.cpp
+++ b/tests/unit/ShareManagerTest.cpp
@@ -53,7 +53,7 @@
                      object.mVersion,
                      mClock.Now());
   }
-  // The new member joins or renews by an own write.
+  // The new member writes the table to join or renew.
   void Join()
   {
     ShareTable table = ShareLeasePropose(mNewMember, {}, mClock.Now());
