--- a/src/decide/EngineReport.h
+++ b/src/decide/EngineReport.h
@@ -23,10 +23,10 @@
 struct EngineReport
 {
   int64_t mHighestFencingToken = 0; // highest token of the orders it accepted
-  int mActive = 0;                  // requests in its batch; may be out of date
-  int mWaiting = 0; // requests in its own queue; may be out of date
+  int mActive = 0;                  // requests in its batch; may lag
+  int mWaiting = 0;                 // requests in its own queue; may lag
   std::vector<EngineReplica> mReplicas;
-  std::vector<std::string> mCachedInMemory; // names of checkpoints
+  std::vector<std::string> mCachedInMemory; // checkpoints, nearest source first
   std::vector<std::string> mCachedOnDisk;
 };
 
--- a/src/share/ShareManager.h
+++ b/src/share/ShareManager.h
@@ -93,7 +93,7 @@
   ConfigHolder& mConfig;
   const Clock& mClock;
 
-  mutable std::mutex mLock; // mLease and mBuckets
+  mutable std::mutex mLock; // mLease and mBuckets, which must agree
   ShareLease mLease;
   ShareBuckets mBuckets;
 
--- a/tests/property/HomeZoneProperty.cpp
+++ b/tests/property/HomeZoneProperty.cpp
@@ -130,9 +130,9 @@
 } // namespace
 
 // Guards against a replica in each zone, which costs each zone a cold start and
-// idle memory. First requests arrive in all zones at once, loads fail, idle
-// replicas are unloaded; while the zones reach each other and none is busy,
-// only one of them loads the model.
+// hours of idle accelerators. First requests arrive in all zones at once, loads
+// fail, idle replicas are unloaded; while the zones reach each other and none
+// is busy, only one of them loads the model.
 RC_GTEST_PROP(HomeZone, OneReplicaForZonesThatReachEachOther, ())
 {
   HomeZoneModel model;
