--- a/src/decide/ClaimStep.cpp
+++ b/src/decide/ClaimStep.cpp
@@ -42,8 +42,8 @@
   return action;
 }
 
-// Last look at the clock before bytes go out: an attempt that was paused
-// here comes back after its caller was told the time had passed.
+// Checks the deadline last before bytes are sent: an attempt that was paused
+// here may resume after its caller has been told that the deadline passed.
 ClaimAction
 ForwardOrder(ClaimState& aState, TimePoint aNow)
 {
@@ -67,14 +67,14 @@
 ClaimAction
 OnClaimHeld(ClaimState& aState, int64_t aVersion, TimePoint aNow)
 {
-  aState.mMine = true;
+  aState.mHoldsClaim = true;
   aState.mVersion = aVersion;
   return ForwardOrder(aState, aNow);
 }
 
-// This attempt hands nothing on any more, also when a create of ours takes
-// effect later. But an earlier attempt elsewhere may have run the order, and
-// the platform alone could tell: so this is never "not run".
+// Once refused, this attempt forwards nothing, even if its create takes effect
+// later. An earlier attempt elsewhere may have run the order, though, and only
+// the platform knows: so the refusal never claims "not run".
 ClaimAction
 OnPlatformError(ClaimState& aState, ClaimActionKind aNext, TimePoint aNow)
 {
@@ -108,7 +108,7 @@
   if (aNow >= aState.mDeadline) {
     return Refuse(aState, ErrorKind::OutcomePending);
   }
-  aState.mPhase = ClaimPhase::Asking;
+  aState.mPhase = ClaimPhase::QueryingCreator;
   aState.mVersion = aEvent.mVersion;
   ClaimAction action = Make(ClaimActionKind::QueryCreator);
   action.mPeer = record.mCreator;
@@ -125,8 +125,8 @@
     case ClaimEventKind::Standing:
       return OnCurrentRecord(aState, aEvent, aNow);
     case ClaimEventKind::Absent:
-      // Our create may still be on its way; a second one with the same nonce
-      // can't harm, whichever of the two is taken.
+      // The first create may still be in flight. A second one with the same
+      // nonce is harmless, whichever of the two takes effect.
       return Claim(aState, 0);
     default:
       return OnPlatformError(aState, ClaimActionKind::Read, aNow);
@@ -134,7 +134,7 @@
 }
 
 ClaimAction
-OnAsking(ClaimState& aState, const ClaimEvent& aEvent, TimePoint aNow)
+OnQueryingCreator(ClaimState& aState, const ClaimEvent& aEvent, TimePoint aNow)
 {
   switch (aEvent.mKind) {
     case ClaimEventKind::PeerAnswered:
@@ -154,7 +154,7 @@
 }
 
 ClaimAction
-OnHandingOn(ClaimState& aState, const ClaimEvent& aEvent, TimePoint aNow)
+OnForwarding(ClaimState& aState, const ClaimEvent& aEvent, TimePoint aNow)
 {
   switch (aEvent.mKind) {
     case ClaimEventKind::Answered:
@@ -186,13 +186,13 @@
     case ClaimPhase::Claiming:
     case ClaimPhase::Rereading:
       return OnClaiming(aState, aEvent, aNow);
-    case ClaimPhase::Asking:
-      return OnAsking(aState, aEvent, aNow);
+    case ClaimPhase::QueryingCreator:
+      return OnQueryingCreator(aState, aEvent, aNow);
     case ClaimPhase::Forwarding:
-      return OnHandingOn(aState, aEvent, aNow);
+      return OnForwarding(aState, aEvent, aNow);
     case ClaimPhase::StoringAnswer:
-      // Kept or not, the answer is the caller's. Until it is kept, this
-      // instance vouches for it to whoever asks.
+      // The caller gets the answer whether or not it could be stored. Until
+      // it is stored, this instance reports it to peers that query the nonce.
       return Answer(aState, aState.mAnswer, false);
     case ClaimPhase::Releasing:
       return Refuse(aState, aState.mReleaseError);
--- a/src/decide/PlacementStep.cpp
+++ b/src/decide/PlacementStep.cpp
@@ -31,21 +31,22 @@
   return nullptr;
 }
 
-// Can no load order bring it back? An engine that checks refuses every order
-// below the number it has taken. One that ignores the numbers takes any copy
-// that still arrives; there it is gone for good only if the one copy ever sent
-// was answered, or after the longest time an order can take. Until then it
-// stays charged, and a replica that does come back is one the record has.
+// Whether no load order can bring the replica back. An engine that checks
+// fencing refuses every order below the highest token it has accepted. One that
+// ignores fencing accepts any copy that still arrives; there the replica is
+// gone for good only if the single copy ever sent was answered, or after the
+// longest time an order can take. Until then it stays charged, so that one that
+// does come back is in the record.
 bool
 ProvablyGone(const PlacementRecord& aRecord,
              const PlacedReplica& aReplica,
              const EngineReport& aReport,
-             const std::set<std::string>& aPast)
+             const std::set<std::string>& aExpired)
 {
   if (aRecord.mChecksFencing) {
     return aReport.mHighestFencingToken >= aReplica.mFencingToken;
   }
-  return aReplica.mSettled || aPast.count(aReplica.mDecision) != 0;
+  return aReplica.mAcknowledged || aExpired.count(aReplica.mDecision) != 0;
 }
 
 bool
@@ -62,8 +63,8 @@
     return false;
   }
   if (aReplica.mState == ReplicaState::Ready && !seen) {
-    // The engine lost it (it was restarted, say). Take it off in order, so
-    // that its bytes are given out again only when it can't come back.
+    // The engine lost the replica, for example by a restart. Unload it
+    // regularly, so that its bytes are reused only once it can't come back.
     aReplica.mState = ReplicaState::Unloading;
     aReplica.mFencingToken = ++aRecord.mFencingToken;
     return true;
@@ -74,13 +75,13 @@
 bool
 ObserveGone(PlacementRecord& aRecord,
             const EngineReport& aReport,
-            const std::set<std::string>& aPast)
+            const std::set<std::string>& aExpired)
 {
   size_t before = aRecord.mReplicas.size();
   auto gone = [&](const PlacedReplica& aReplica) {
     return aReplica.mState == ReplicaState::Unloading &&
            !FindReported(aReport, aReplica) &&
-           ProvablyGone(aRecord, aReplica, aReport, aPast);
+           ProvablyGone(aRecord, aReplica, aReport, aExpired);
   };
   aRecord.mReplicas.erase(
     std::remove_if(aRecord.mReplicas.begin(), aRecord.mReplicas.end(), gone),
@@ -88,8 +89,8 @@
   return aRecord.mReplicas.size() != before;
 }
 
-// A replica that nobody decided takes memory all the same. Charge it as soon
-// as it is seen, and have it unloaded.
+// Charges replicas that the engine reports and the record doesn't have, since
+// they use memory all the same, and marks them for unloading.
 bool
 ChargeUnexpected(PlacementRecord& aRecord, const EngineReport& aReport)
 {
@@ -177,7 +178,7 @@
         replica.mState == ReplicaState::Loading) {
       replica.mFencingToken = ++aRecord.mFencingToken;
       ++replica.mLoadOrdersSent;
-      replica.mSettled = false;
+      replica.mAcknowledged = false;
       return true;
     }
   }
@@ -188,9 +189,9 @@
 PlacementAcknowledge(PlacementRecord& aRecord, const std::string& aDecision)
 {
   for (PlacedReplica& replica : aRecord.mReplicas) {
-    if (replica.mDecision == aDecision && !replica.mSettled &&
+    if (replica.mDecision == aDecision && !replica.mAcknowledged &&
         replica.mLoadOrdersSent == 1) {
-      replica.mSettled = true;
+      replica.mAcknowledged = true;
       return true;
     }
   }
@@ -200,13 +201,13 @@
 bool
 PlacementObserve(PlacementRecord& aRecord,
                  const EngineReport& aReport,
-                 const std::set<std::string>& aPast)
+                 const std::set<std::string>& aExpired)
 {
   bool changed = false;
   for (PlacedReplica& replica : aRecord.mReplicas) {
     changed = ObserveReplica(aRecord, replica, aReport) || changed;
   }
-  changed = ObserveGone(aRecord, aReport, aPast) || changed;
+  changed = ObserveGone(aRecord, aReport, aExpired) || changed;
   return ChargeUnexpected(aRecord, aReport) || changed;
 }
 
--- a/src/own/EndpointReconciler.h
+++ b/src/own/EndpointReconciler.h
@@ -1,4 +1,5 @@
-// EndpointReconciler.h: holds engines' reports against their records.
+// EndpointReconciler.h: reconciles engines' reports with their placement
+// records.
 #ifndef caraway_own_EndpointReconciler_h
 #define caraway_own_EndpointReconciler_h
 
@@ -16,18 +17,18 @@
 
 struct EndpointReconcilerSettings
 {
-  Millis mRereadInterval{ 10000 }; // record read again though nothing changed
+  Millis mRereadInterval{ 10000 }; // between reads of an unchanged record
   Millis mMaxOrderDelay{ 120000 }; // no order arrives later than this
-  Millis mResend{ 5000 };          // an order seen without effect
-  Millis mIdleLimit{ 300000 };     // replica idle this long is unloaded, if it
-                                   // would have to come from the remote store
+  Millis mResendInterval{ 5000 };  // for orders without effect
+  Millis mIdleLimit{ 300000 };     // before an idle replica is unloaded, if a
+                                   // reload would come from the remote store
   LoadPlanParameters mParameters;
 };
 
-// Each engine is kept by one instance of its zone. It carries out what a
-// dead decider left behind, charges what nobody decided, and unloads what
-// has idled. Two keepers at once, or a frozen one that thaws, only repeat
-// orders whose numbers the record has given out.
+// Each engine is reconciled by one instance of its zone. It carries out
+// decisions whose decider died, charges replicas that nobody decided, and
+// unloads idle ones. Two reconcilers at once, or one that resumes after a
+// freeze, only repeat orders whose fencing tokens the record has issued.
 class EndpointReconciler
 {
 public:
@@ -39,25 +40,29 @@
                      Loader& aLoader,
                      const Clock& aClock);
 
-  // One look at every engine that is ours to keep.
+  // Reconciles every engine that this instance owns.
   void Round();
 
 private:
-  struct Kept
+  struct EngineState
   {
     StoredPlacement mStored;
-    TimePoint mRead{};
-    std::map<std::string, TimePoint> mSince; // decision and state: first seen
-    std::map<std::string, TimePoint> mSent;
+    TimePoint mReadAt{};
+    std::map<std::string, TimePoint> mFirstSeen; // by OrderStateKey
+    std::map<std::string, TimePoint> mLastSent;
   };
 
-  void Keep(const EndpointSpec& aEndpoint, Kept& aKept);
-  bool Change(const EndpointSpec& aEndpoint,
-              Kept& aKept,
-              const EngineReport& aReport,
+  void Reconcile(const EndpointSpec& aEndpoint, EngineState& aState);
+  bool ApplyReport(const EndpointSpec& aEndpoint,
+                   EngineState& aState,
+                   const EngineReport& aReport,
+                   TimePoint aNow);
+  void Resend(const EndpointSpec& aEndpoint,
+              EngineState& aState,
               TimePoint aNow);
-  void Resend(const EndpointSpec& aEndpoint, Kept& aKept, TimePoint aNow);
-  TimePoint Since(Kept& aKept, const PlacedReplica& aReplica, TimePoint aNow);
+  TimePoint FirstSeen(EngineState& aState,
+                      const PlacedReplica& aReplica,
+                      TimePoint aNow);
 
   EndpointReconcilerSettings mSettings;
   ConfigHolder& mConfig;
@@ -66,7 +71,7 @@
   EngineClient& mEngines;
   Loader& mLoader;
   const Clock& mClock;
-  std::map<std::string, Kept> mKept; // used by the round's thread alone
+  std::map<std::string, EngineState> mEngineStates; // for Round()'s thread
 };
 
 } // namespace caraway
--- a/src/own/Loader.cpp
+++ b/src/own/Loader.cpp
@@ -11,10 +11,12 @@
 
 namespace {
 
-constexpr Millis kNoMemoryRetry{ 100 }; // pause when no engine has room yet
+constexpr Millis kNoMemoryRetry{
+  100
+}; // retry while no engine can take the model
 
 const PlacedReplica*
-ByDecision(const PlacementRecord& aRecord, const std::string& aDecision)
+FindByDecision(const PlacementRecord& aRecord, const std::string& aDecision)
 {
   for (const PlacedReplica& replica : aRecord.mReplicas) {
     if (replica.mDecision == aDecision) {
@@ -91,18 +93,19 @@
     terms.mMinIdle = terms.mOptionalMinIdle;
   }
   std::vector<EndpointSpec> engines = EnginesOf(aConfig, mSettings.mZone);
-  LoadPermit turn(mGate, aUrgency);
+  LoadPermit permit(mGate, aUrgency);
   while (mClock.Now() < aUntil) {
     BOOST_LEAF_AUTO(stored, mStore.ReadZone(engines));
     std::vector<LoadCandidate> candidates = Candidates(engines, stored);
     if (!AnyReachable(candidates)) {
-      return Fail(ErrorKind::NoEndpoint, "no engine answers in this zone");
+      return Fail(ErrorKind::NoEndpoint, "no engine in this zone answers");
     }
     LoadPlan plan = LoadPlanChoose(
       candidates, aModel.mName, aModel.mVersion, aModel.mBytes, terms);
     if (plan.mCandidate < 0 && optional) {
       ++mCounts.mOptionalAbandoned;
-      return Fail(ErrorKind::NoCapacity, "no room for a replica to spare");
+      return Fail(ErrorKind::NoCapacity,
+                  "too little free memory for an optional replica");
     }
     if (plan.mCandidate < 0) {
       std::this_thread::sleep_for(kNoMemoryRetry);
@@ -111,23 +114,23 @@
     bool fromStore =
       !plan.mJoin &&
       LoadPlanFromStore(candidates[plan.mCandidate].mReport, aModel.mName);
-    if (fromStore && !turn.In()) {
-      // Before anything is decided, so that no memory is held for a load that
-      // waits. What we saw is old by then.
-      turn.Await(aUntil);
+    if (fromStore && !permit.HasPermit()) {
+      // Before the decision, so that no memory is charged for a load that
+      // waits. Afterwards the reports are stale and read again.
+      permit.Await(aUntil);
       continue;
     }
     const EndpointSpec& chosen = engines[plan.mCandidate];
     StoredPlacement& record = stored[plan.mCandidate];
-    bool room = true;
+    bool evicted = true;
     for (const PlacedReplica& replica : plan.mEvict) {
-      room = room && Evict(chosen, record, replica, aUntil);
+      evicted = evicted && Evict(chosen, record, replica, aUntil);
     }
-    if (!room) {
+    if (!evicted) {
       continue;
     }
     auto failure =
-      FailureIn([&] { return LoadAt(chosen, record, aModel, turn, aUntil); });
+      FailureIn([&] { return LoadAt(chosen, record, aModel, permit, aUntil); });
     if (!failure) {
       return chosen;
     }
@@ -135,63 +138,70 @@
             { { "model", aModel.mName },
               { "endpoint", chosen.mName },
               { "reason", failure->mDetail } });
-    std::this_thread::sleep_for(mSettings.mPoll);
+    std::this_thread::sleep_for(mSettings.mPollInterval);
   }
-  return Fail(ErrorKind::NoCapacity, "no engine could load it in time");
+  return Fail(ErrorKind::NoCapacity,
+              "no engine loaded the model before the deadline");
 }
 
-// The decision is stored before anything is ordered. When another's decision
-// stands already, it is carried out instead of a second one.
+// The decision is stored before any order is sent. If another instance has
+// decided the same load, that decision is carried out.
 Result<void>
 Loader::LoadAt(const EndpointSpec& aEndpoint,
                StoredPlacement& aStored,
                const ModelSpec& aModel,
-               LoadPermit& aTurn,
+               LoadPermit& aPermit,
                TimePoint aUntil)
 {
-  const PlacedReplica* there =
+  const PlacedReplica* placed =
     PlacementFind(aStored.mRecord, aModel.mName, aModel.mVersion);
-  if (there) {
+  if (placed) {
     ++mCounts.mJoined;
-    return AwaitReady(aEndpoint, aStored, aModel, false, aTurn, aUntil);
+    return AwaitReady(aEndpoint, aStored, aModel, false, aPermit, aUntil);
   }
   PlacementLoad load{
     aModel.mName, aModel.mVersion, aModel.mBase, aModel.mBytes, RandomId()
   };
   PlacementRecord next = aStored.mRecord;
   if (!PlacementDecideLoad(next, load)) {
-    return Fail(ErrorKind::NoCapacity, "it doesn't fit any more");
+    return Fail(ErrorKind::NoCapacity,
+                "the model no longer fits into the engine's memory");
   }
-  WriteOutcome end = mStore.Replace(aEndpoint, aStored, next);
-  if (end == WriteOutcome::Conflict) {
-    return Fail(ErrorKind::NoCapacity, "another decision came first");
+  WriteOutcome outcome = mStore.Replace(aEndpoint, aStored, next);
+  if (outcome == WriteOutcome::Conflict) {
+    return Fail(ErrorKind::NoCapacity,
+                "another placement decision was stored first");
   }
-  if (end != WriteOutcome::Done) {
-    return Fail(ErrorKind::PlatformUnavailable, "the decision isn't stored");
+  if (outcome != WriteOutcome::Done) {
+    return Fail(ErrorKind::PlatformUnavailable,
+                "the placement decision could not be stored");
   }
   ++mCounts.mDecided;
   LogInfo("load_decided",
           { { "model", aModel.mName }, { "endpoint", aEndpoint.mName } });
   OrderOutcome sent = SendLoad(aEndpoint, aStored, load.mDecision);
   if (sent == OrderOutcome::Outdated) {
-    // A later decision's order for this engine overtook ours.
+    // The order of a later decision for this engine arrived first.
     sent = ResendLoad(aEndpoint, aStored, load.mDecision);
   }
-  return AwaitReady(
-    aEndpoint, aStored, aModel, sent == OrderOutcome::Taken, aTurn, aUntil);
+  return AwaitReady(aEndpoint,
+                    aStored,
+                    aModel,
+                    sent == OrderOutcome::Accepted,
+                    aPermit,
+                    aUntil);
 }
 
-// The last look at the clock before an order goes out. Whoever was paused
-// since it saw the record may act on a decision that has been cancelled
-// since, and an engine that ignores fencing would load what nobody decides
-// any more. The horizon for such engines is longer than this and the longest
-// delay on the way together.
+// Checks the age of the record last before an order is sent. After a pause the
+// decision may have been cancelled, and an engine that ignores fencing would
+// load a replica that isn't in the record. For such engines mMaxOrderDelay is
+// longer than mMaxRecordAge and the longest network delay together.
 OrderOutcome
 Loader::SendLoad(const EndpointSpec& aEndpoint,
                  StoredPlacement& aStored,
                  const std::string& aDecision)
 {
-  const PlacedReplica* replica = ByDecision(aStored.mRecord, aDecision);
+  const PlacedReplica* replica = FindByDecision(aStored.mRecord, aDecision);
   if (!replica || replica->mState != ReplicaState::Loading) {
     return OrderOutcome::Outdated;
   }
@@ -220,14 +230,14 @@
                    StoredPlacement& aStored,
                    const ModelSpec& aModel,
                    bool aOrdered,
-                   LoadPermit& aTurn,
+                   LoadPermit& aPermit,
                    TimePoint aUntil)
 {
   constexpr Millis kResend{ 1000 };
   TimePoint lastSent = aOrdered ? mClock.Now() : TimePoint{};
-  bool onlyOne = aOrdered;
+  bool singleOrder = aOrdered;
   while (mClock.Now() < aUntil) {
-    aTurn.Keep();
+    aPermit.Renew();
     auto report = Outcome([&] { return mEngines.Report(aEndpoint.mAddress); });
     bool seen = false;
     if (auto* fresh = std::get_if<EngineReport>(&report)) {
@@ -240,12 +250,12 @@
         if (!replica.mReady) {
           continue;
         }
-        // One try: the report is younger than the record it is held against
-        // only on this first one. If it fails, the keeper notes it.
+        // Stored once only: after a conflict the report is older than the
+        // record. The reconciler then records the replica as ready.
         PlacementRecord next = aStored.mRecord;
         const PlacedReplica* placed =
           PlacementFind(next, aModel.mName, aModel.mVersion);
-        if (placed && onlyOne) {
+        if (placed && singleOrder) {
           PlacementAcknowledge(next, placed->mDecision);
         }
         if (PlacementObserve(next, *fresh)) {
@@ -255,24 +265,26 @@
       }
     }
     if (!seen && mClock.Now() - lastSent > kResend) {
-      // The order, ours or a dead decider's, hasn't arrived. The engine takes
-      // a second copy as the same order.
-      BOOST_LEAF_AUTO(again, mStore.Read(aEndpoint));
-      aStored = again;
+      // The order, sent here or by a decider that died, hasn't arrived. The
+      // engine treats a second copy as the same order.
+      BOOST_LEAF_AUTO(reread, mStore.Read(aEndpoint));
+      aStored = reread;
       const PlacedReplica* placed =
         PlacementFind(aStored.mRecord, aModel.mName, aModel.mVersion);
       if (!placed || placed->mState == ReplicaState::Unloading) {
-        return Fail(ErrorKind::NoCapacity, "the load was cancelled");
+        return Fail(ErrorKind::NoCapacity,
+                    "the load was cancelled by another decision");
       }
       if (placed->mState == ReplicaState::Loading) {
-        onlyOne = false; // a second copy is on its way from here on
+        singleOrder = false; // a second copy may be in flight from here on
         ResendLoad(aEndpoint, aStored, placed->mDecision);
       }
       lastSent = mClock.Now();
     }
-    std::this_thread::sleep_for(mSettings.mPoll);
+    std::this_thread::sleep_for(mSettings.mPollInterval);
   }
-  return Fail(ErrorKind::NoCapacity, "the load takes too long");
+  return Fail(ErrorKind::NoCapacity,
+              "model load did not finish before the deadline");
 }
 
 bool
@@ -285,13 +297,13 @@
     mStore.Change(aEndpoint, aStored, [&](PlacementRecord& aRecord) {
       return PlacementDecideUnload(aRecord, aReplica.mName, aReplica.mVersion);
     });
-  const PlacedReplica* going =
+  const PlacedReplica* evicting =
     PlacementFind(aStored.mRecord, aReplica.mName, aReplica.mVersion);
-  if (!decided || !going) {
+  if (!decided || !evicting) {
     return false;
   }
   ++mCounts.mEvicted;
-  PlacedReplica order = *going;
+  PlacedReplica order = *evicting;
   while (mClock.Now() < aUntil) {
     mEngines.Unload(aEndpoint.mAddress, order);
     auto report = Outcome([&] { return mEngines.Report(aEndpoint.mAddress); });
@@ -304,7 +316,7 @@
         return true;
       }
     }
-    std::this_thread::sleep_for(mSettings.mPoll);
+    std::this_thread::sleep_for(mSettings.mPollInterval);
   }
   return false;
 }
@@ -314,9 +326,10 @@
                       const ModelSpec& aAdapter,
                       TimePoint aUntil)
 {
-  AdapterPermit turn(mGate, aUntil);
-  if (!turn.In()) {
-    return Fail(ErrorKind::NoCapacity, "too many adapters are on their way");
+  AdapterPermit permit(mGate, aUntil);
+  if (!permit.HasPermit()) {
+    return Fail(ErrorKind::NoCapacity,
+                "too many adapter loads in progress until the deadline");
   }
   return LoadAdapter(aEndpoint, aAdapter, aUntil);
 }
@@ -326,17 +339,18 @@
                     const ModelSpec& aAdapter,
                     TimePoint aUntil)
 {
-  LoadPermit noTurn(nullptr, nullptr);
+  LoadPermit noPermit(nullptr, nullptr);
   while (mClock.Now() < aUntil) {
     BOOST_LEAF_AUTO(stored, mStore.Read(aEndpoint));
     auto failure = FailureIn(
-      [&] { return LoadAt(aEndpoint, stored, aAdapter, noTurn, aUntil); });
+      [&] { return LoadAt(aEndpoint, stored, aAdapter, noPermit, aUntil); });
     if (!failure) {
       return {};
     }
-    std::this_thread::sleep_for(mSettings.mPoll);
+    std::this_thread::sleep_for(mSettings.mPollInterval);
   }
-  return Fail(ErrorKind::NoCapacity, "the adapter couldn't be loaded in time");
+  return Fail(ErrorKind::NoCapacity,
+              "adapter load did not finish before the deadline");
 }
 
 } // namespace caraway
--- a/src/own/PlacementCodec.cpp
+++ b/src/own/PlacementCodec.cpp
@@ -4,22 +4,22 @@
 
 namespace {
 
-constexpr const char* kStates[] = { "loading", "ready", "unloading" };
+constexpr const char* kStateNames[] = { "loading", "ready", "unloading" };
 
 ReplicaState
 StateOf(const std::string& aName)
 {
   for (int i = 0; i < 3; ++i) {
-    if (aName == kStates[i]) {
+    if (aName == kStateNames[i]) {
       return static_cast<ReplicaState>(i);
     }
   }
-  // An unknown state is kept charged and never served from.
+  // A replica in an unknown state stays charged and never serves.
   return ReplicaState::Unloading;
 }
 
 std::vector<std::string>
-Texts(const Json::Value& aJson)
+Strings(const Json::Value& aJson)
 {
   std::vector<std::string> texts;
   for (const Json::Value& entry : aJson) {
@@ -48,7 +48,7 @@
     replica.mFencingToken = entry["fence"].asInt64();
     replica.mDecision = entry["decision"].asString();
     replica.mLoadOrdersSent = entry["copies"].asInt();
-    replica.mSettled = entry["settled"].asBool();
+    replica.mAcknowledged = entry["settled"].asBool();
     record.mReplicas.push_back(replica);
   }
   return record;
@@ -69,11 +69,11 @@
     entry["version"] = replica.mVersion;
     entry["base"] = replica.mBase;
     entry["bytes"] = Json::Int64(replica.mBytes);
-    entry["state"] = kStates[static_cast<int>(replica.mState)];
+    entry["state"] = kStateNames[static_cast<int>(replica.mState)];
     entry["fence"] = Json::Int64(replica.mFencingToken);
     entry["decision"] = replica.mDecision;
     entry["copies"] = replica.mLoadOrdersSent;
-    entry["settled"] = replica.mSettled;
+    entry["settled"] = replica.mAcknowledged;
     json["replicas"].append(entry);
   }
   return json;
@@ -96,8 +96,8 @@
     replica.mIdle = Millis(entry["idle_ms"].asInt64());
     report.mReplicas.push_back(replica);
   }
-  report.mCachedInMemory = Texts(aJson["cached_memory"]);
-  report.mCachedOnDisk = Texts(aJson["cached_disk"]);
+  report.mCachedInMemory = Strings(aJson["cached_memory"]);
+  report.mCachedOnDisk = Strings(aJson["cached_disk"]);
   return report;
 }
 
--- a/src/own/StoreGate.cpp
+++ b/src/own/StoreGate.cpp
@@ -7,35 +7,35 @@
 namespace {
 
 constexpr const char* kOwnerKey = "store-gate";
-constexpr const char* kZoneOnly = "zone_only"; // of a question
-constexpr Millis kAskTime{ 300 };
+constexpr const char* kZoneOnly = "zone_only"; // JSON field of a request
+constexpr Millis kRequestTimeout{ 300 };
 constexpr Millis kPollAfterNoReply{ 100 };
 
 Json::Value
-QuestionJson(const LoadGateRequest& aQuestion)
+RequestJson(const LoadGateRequest& aRequest)
 {
   Json::Value json;
-  json["id"] = aQuestion.mId;
-  json["class"] = RequestClassName(aQuestion.mClass);
-  json["inside"] = aQuestion.mInside;
+  json["id"] = aRequest.mId;
+  json["class"] = RequestClassName(aRequest.mClass);
+  json["inside"] = aRequest.mAlreadyAdmitted;
   return json;
 }
 
 LoadGateRequest
-QuestionParse(const Json::Value& aJson)
+RequestParse(const Json::Value& aJson)
 {
-  LoadGateRequest question;
-  question.mId = aJson["id"].asString();
-  RequestClassParse(aJson["class"].asString(), question.mClass);
-  question.mInside = aJson["inside"].asBool();
-  return question;
+  LoadGateRequest request;
+  request.mId = aJson["id"].asString();
+  RequestClassParse(aJson["class"].asString(), request.mClass);
+  request.mAlreadyAdmitted = aJson["inside"].asBool();
+  return request;
 }
 
-// Nobody could be asked: whoever is in stays in.
+// No gate could be reached: an admitted load stays admitted.
 LoadGateReply
-Later(const LoadGateRequest& aQuestion)
+RetryLater(const LoadGateRequest& aRequest)
 {
-  return { aQuestion.mInside, kPollAfterNoReply };
+  return { aRequest.mAlreadyAdmitted, kPollAfterNoReply };
 }
 
 } // namespace
@@ -45,10 +45,11 @@
 {
   int zones = std::max(1, aSettings.mZones);
   double part = static_cast<double>(std::min(aZones, zones)) / zones;
-  LoadGateParameters terms;
-  terms.mAtOnce = std::max(1, static_cast<int>(aSettings.mAtOnce * part));
-  terms.mStartsPerSecond = std::max(1.0, aSettings.mStarts * part);
-  return terms;
+  LoadGateParameters limits;
+  limits.mMaxConcurrent =
+    std::max(1, static_cast<int>(aSettings.mAtOnce * part));
+  limits.mStartsPerSecond = std::max(1.0, aSettings.mStarts * part);
+  return limits;
 }
 
 StoreGate::StoreGate(StoreGateSettings aSettings,
@@ -64,46 +65,47 @@
 }
 
 LoadGateReply
-StoreGate::Ask(const LoadGateRequest& aQuestion)
+StoreGate::Acquire(const LoadGateRequest& aRequest)
 {
   InstanceInfo owner = mMembers.FleetOwner(kOwnerKey);
   if (owner.mId == mMembers.Self().mId) {
-    return AdmitLocally(mMembers.AvailableZoneCount(), aQuestion);
+    return AdmitLocally(mMembers.AvailableZoneCount(), aRequest);
   }
-  if (auto answer = QueryGate(owner, QuestionJson(aQuestion))) {
-    return *answer;
+  if (auto reply = QueryGate(owner, RequestJson(aRequest))) {
+    return *reply;
   }
-  // It may have stalled for a moment, and hold the places it gave. Letting
-  // ourselves in, and everyone else who asked it, would make the store slow
-  // for all. A load takes seconds; a second question costs it half of one.
-  return mMembers.IsAvailablePeer(owner.mId) ? Later(aQuestion)
-                                             : AskZone(aQuestion);
+  // The owner may have stalled briefly, and its permits still count. Admitting
+  // all loads that asked it would slow the store down for everyone. A load
+  // takes seconds; retrying delays it by about half a second.
+  return mMembers.IsAvailablePeer(owner.mId) ? RetryLater(aRequest)
+                                             : QueryZoneGate(aRequest);
 }
 
 LoadGateReply
-StoreGate::AskZone(const LoadGateRequest& aQuestion)
+StoreGate::QueryZoneGate(const LoadGateRequest& aRequest)
 {
   InstanceInfo owner = mMembers.Owner(kOwnerKey);
   if (owner.mId == mMembers.Self().mId) {
-    return AdmitLocally(1, aQuestion);
+    return AdmitLocally(1, aRequest);
   }
   {
     std::lock_guard<std::mutex> lock(mLock);
-    mZoneRequests.insert(aQuestion.mId);
+    mZoneRequests.insert(aRequest.mId);
   }
-  Json::Value question = QuestionJson(aQuestion);
-  question[kZoneOnly] = true;
-  auto answer = QueryGate(owner, question);
-  return answer ? *answer : Later(aQuestion);
+  Json::Value request = RequestJson(aRequest);
+  request[kZoneOnly] = true;
+  auto reply = QueryGate(owner, request);
+  return reply ? *reply : RetryLater(aRequest);
 }
 
 std::optional<LoadGateReply>
-StoreGate::QueryGate(const InstanceInfo& aOwner, const Json::Value& aQuestion)
+StoreGate::QueryGate(const InstanceInfo& aOwner, const Json::Value& aRequest)
 {
-  auto answer = Outcome([&] {
-    return mPeers.Call(aOwner.mPeerAddress, "load.ask", aQuestion, kAskTime);
+  auto reply = Outcome([&] {
+    return mPeers.Call(
+      aOwner.mPeerAddress, "load.ask", aRequest, kRequestTimeout);
   });
-  auto* json = std::get_if<Json::Value>(&answer);
+  auto* json = std::get_if<Json::Value>(&reply);
   if (!json) {
     mMembers.Silent(aOwner.mPeerAddress);
     return std::nullopt;
@@ -113,28 +115,28 @@
 }
 
 LoadGateReply
-StoreGate::AdmitLocally(int aZones, const LoadGateRequest& aQuestion)
+StoreGate::AdmitLocally(int aZones, const LoadGateRequest& aRequest)
 {
   std::lock_guard<std::mutex> lock(mLock);
   TimePoint now = mClock.Now();
   mGate.mParameters = StoreGateParameters(mSettings, aZones);
-  mGate.mStarts.Resize(mGate.mParameters.mStartsPerSecond,
-                       mGate.mParameters.mStartsPerSecond,
-                       now);
-  return LoadGateAcquire(mGate, aQuestion, now);
+  mGate.mStartBucket.Resize(mGate.mParameters.mStartsPerSecond,
+                            mGate.mParameters.mStartsPerSecond,
+                            now);
+  return LoadGateAcquire(mGate, aRequest, now);
 }
 
 void
-StoreGate::Leave(const std::string& aId)
+StoreGate::Release(const std::string& aId)
 {
-  bool askedZone = false;
+  bool askedZoneGate = false;
   {
     std::lock_guard<std::mutex> lock(mLock);
     LoadGateRelease(mGate, aId);
-    askedZone = mZoneRequests.erase(aId) > 0;
+    askedZoneGate = mZoneRequests.erase(aId) > 0;
   }
   ReleaseAt(mMembers.FleetOwner(kOwnerKey), aId);
-  if (askedZone) {
+  if (askedZoneGate) {
     ReleaseAt(mMembers.Owner(kOwnerKey), aId);
   }
 }
@@ -148,7 +150,8 @@
   Json::Value params;
   params["id"] = aId;
   Outcome([&] {
-    return mPeers.Call(aOwner.mPeerAddress, "load.leave", params, kAskTime);
+    return mPeers.Call(
+      aOwner.mPeerAddress, "load.leave", params, kRequestTimeout);
   });
 }
 
@@ -160,10 +163,11 @@
   std::unique_lock<std::mutex> lock(mAdapterLock);
   auto left = std::max(
     Millis(0), std::chrono::duration_cast<Millis>(aUntil - mClock.Now()));
-  if (!mAdapterFree.wait_for(lock, left, [&] { return mAdapters < part; })) {
+  if (!mAdapterReleased.wait_for(
+        lock, left, [&] { return mAdaptersInFlight < part; })) {
     return false;
   }
-  ++mAdapters;
+  ++mAdaptersInFlight;
   return true;
 }
 
@@ -172,9 +176,9 @@
 {
   {
     std::lock_guard<std::mutex> lock(mAdapterLock);
-    --mAdapters;
+    --mAdaptersInFlight;
   }
-  mAdapterFree.notify_one();
+  mAdapterReleased.notify_one();
 }
 
 void
@@ -182,10 +186,10 @@
 {
   aAdd("load.ask", [this](const Json::Value& aParams) {
     int zones = aParams[kZoneOnly].asBool() ? 1 : mMembers.AvailableZoneCount();
-    LoadGateReply answer = AdmitLocally(zones, QuestionParse(aParams));
+    LoadGateReply reply = AdmitLocally(zones, RequestParse(aParams));
     Json::Value json;
-    json["in"] = answer.mHasPermit;
-    json["again"] = Json::Int64(answer.mPollAfter.count());
+    json["in"] = reply.mHasPermit;
+    json["again"] = Json::Int64(reply.mPollAfter.count());
     return json;
   });
   aAdd("load.leave", [this](const Json::Value& aParams) {
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 constexpr const char* kKind = "shares";
-constexpr int kTries = 4;
-constexpr Millis kPromiseTime{ 500 };
-constexpr int kRenewDivisor = 5; // twice this part of a lease
+constexpr int kMaxAttempts = 4;
+constexpr Millis kPromiseTimeout{ 500 };
+constexpr int kRenewDivisor = 5; // a peer gets 2/5 of the lease to reply
 
 int64_t
-Nanos(TimePoint aTime)
+Nanoseconds(TimePoint aTime)
 {
   return std::chrono::nanoseconds(aTime.time_since_epoch()).count();
 }
@@ -46,13 +46,13 @@
   mLease.mAddress = std::move(aAddress);
 }
 
-std::optional<ShareManager::Taken>
+std::optional<ShareManager::TakeResult>
 ShareManager::Take(const std::string& aTenant, int aSlot, double aTokens)
 {
   std::lock_guard<std::mutex> lock(mLock);
   TimePoint now = mClock.Now();
-  // Asked with the time of this very moment: a holder that was frozen finds
-  // here that its right has lapsed.
+  // Checked against the current time, so that a holder that was frozen finds
+  // its lease expired.
   if (!ShareLeaseMaySpend(mLease, aSlot, now)) {
     return std::nullopt;
   }
@@ -61,15 +61,15 @@
   if (!bucket) {
     return std::nullopt;
   }
-  double there = std::max(0.0, std::min(aTokens, bucket->Level(now)));
-  Taken taken;
+  double available = std::max(0.0, std::min(aTokens, bucket->Level(now)));
+  TakeResult taken;
   taken.mRetryAfter = bucket->Until(aTokens, now);
-  if (there > 0 && bucket->Take(there, now)) {
-    taken.mGrant.mTokens = there;
+  if (available > 0 && bucket->Take(available, now)) {
+    taken.mGrant.mTokens = available;
   }
   taken.mGrant.mHolder = mSelf;
   taken.mGrant.mSlot = aSlot;
-  taken.mGrant.mTakenAt = Nanos(now);
+  taken.mGrant.mTakenAt = Nanoseconds(now);
   return taken;
 }
 
@@ -140,7 +140,7 @@
     renewed = RenewBatch();
   }
   if (renewed) {
-    ReleaseExcess(false);
+    HandOverSlots(false);
   } else {
     CollectPromises();
   }
@@ -148,39 +148,39 @@
   SyncBuckets();
 }
 
-// Our own renewal, and with it that of all who asked meanwhile.
+// Renews this instance and all members that requested it meanwhile.
 bool
 ShareManager::RenewBatch()
 {
   std::lock_guard<std::mutex> write(mWriteLock);
-  std::map<std::string, int64_t> also;
+  std::map<std::string, int64_t> others;
   {
     std::lock_guard<std::mutex> lock(mLock);
-    also.swap(mAsked);
+    others.swap(mPendingRenewals);
   }
-  return RenewWith(also);
+  return RenewAndRecord(others);
 }
 
 bool
-ShareManager::RenewWith(const std::map<std::string, int64_t>& aAlso)
+ShareManager::RenewAndRecord(const std::map<std::string, int64_t>& aOthers)
 {
-  bool renewed = RenewByWrite(aAlso);
-  for (const auto& member : aAlso) {
+  bool renewed = RenewByWrite(aOthers);
+  for (const auto& member : aOthers) {
     mBatchRenewed[member.first] = renewed;
   }
   return renewed;
 }
 
 bool
-ShareManager::RenewByWrite(const std::map<std::string, int64_t>& aAlso)
+ShareManager::RenewByWrite(const std::map<std::string, int64_t>& aOthers)
 {
-  for (int i = 0; i < kTries; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     TimePoint begun = mClock.Now();
     ShareTable table;
     int64_t version = 0;
     {
       std::lock_guard<std::mutex> lock(mLock);
-      table = ShareLeasePropose(mLease, aAlso, begun);
+      table = ShareLeasePropose(mLease, aOthers, begun);
       version = mLease.mVersion;
     }
     WriteResult result = mPlatform.Write(
@@ -203,8 +203,9 @@
   return false;
 }
 
-// One instance writes for all that ask it, so that renewals cost the platform
-// one write per zone and round and not one per instance.
+// Renews through the zone's renewer, which writes for all members that request
+// it, so that renewals cost the platform one write per zone and round rather
+// than one per instance.
 bool
 ShareManager::RenewByPeer(const InstanceInfo& aRenewer)
 {
@@ -212,18 +213,19 @@
   {
     std::lock_guard<std::mutex> lock(mLock);
     if (!mLease.mTable.mMembers.count(mSelf)) {
-      return false; // join by ourselves
+      return false; // a new member joins by its own write
     }
     params["member"] = mSelf;
     params["knows"] = Json::Int64(mLease.mTable.mSerial);
   }
   TimePoint begun = mClock.Now();
-  // A frozen renewer must leave time to renew by ourselves within the lease.
+  // If the renewer is frozen, enough of the lease must be left to write without
+  // it.
   Millis within = mSettings.mParameters.mLease * 2 / kRenewDivisor;
-  auto answer = Outcome([&] {
+  auto reply = Outcome([&] {
     return mPeers.Call(aRenewer.mPeerAddress, "share.renew", params, within);
   });
-  auto* json = std::get_if<Json::Value>(&answer);
+  auto* json = std::get_if<Json::Value>(&reply);
   if (!json) {
     mMembers.MarkUnreachable(aRenewer.mPeerAddress);
     return false;
@@ -260,11 +262,11 @@
     Json::Value params;
     params["member"] = mSelf;
     params["of"] = member;
-    auto answer = Outcome([&] {
+    auto reply = Outcome([&] {
       return mPeers.Call(
-        IncarnationAddress(member), "share.promise", params, kPromiseTime);
+        IncarnationAddress(member), "share.promise", params, kPromiseTimeout);
     });
-    auto* json = std::get_if<Json::Value>(&answer);
+    auto* json = std::get_if<Json::Value>(&reply);
     if (!json || !(*json)["promised"].asBool()) {
       LogInfo("share_promise_missing", { { "member", member } });
       return;
@@ -274,43 +276,43 @@
   ShareLeaseOnAllPromised(mLease, begun);
 }
 
-// A renewal of another's may come between: then we try again at once, since
-// the slots we stopped spending are nobody's meanwhile.
+// Retries at once when another member's renewal comes first, since nobody
+// spends the closed slots meanwhile.
 void
-ShareManager::ReleaseExcess(bool aLeaving)
+ShareManager::HandOverSlots(bool aLeaving)
 {
-  std::set<int> handed;
+  std::set<int> handedOver;
   {
     std::lock_guard<std::mutex> write(mWriteLock);
     WriteOutcome end = WriteOutcome::Conflict;
-    for (int i = 0; i < kTries && end == WriteOutcome::Conflict; ++i) {
-      end = ReleaseOnce(aLeaving, handed);
+    for (int i = 0; i < kMaxAttempts && end == WriteOutcome::Conflict; ++i) {
+      end = TryHandOver(aLeaving, handedOver);
     }
     if (end != WriteOutcome::Done) {
       return;
     }
   }
-  NotifySlotHolders(handed);
+  NotifySlotHolders(handedOver);
 }
 
-// Done as well when there is nothing to hand on.
+// Done also when there is nothing to hand over.
 WriteOutcome
-ShareManager::ReleaseOnce(bool aLeaving, std::set<int>& aHanded)
+ShareManager::TryHandOver(bool aLeaving, std::set<int>& aHandedOver)
 {
   ShareTable table;
   int64_t version = 0;
-  std::set<int> opened;
+  std::set<int> newlyClosed;
   {
     std::lock_guard<std::mutex> lock(mLock);
     bool member = mLease.mTable.mMembers.count(mSelf) != 0;
-    aHanded = ShareLeaseSlotsToHandOver(mLease, aLeaving);
-    if (aHanded.empty() && !(aLeaving && member)) {
+    aHandedOver = ShareLeaseSlotsToHandOver(mLease, aLeaving);
+    if (aHandedOver.empty() && !(aLeaving && member)) {
       return WriteOutcome::Done;
     }
-    // Stopped spending first; what is left then can't change any more.
+    // Spending stops first, so that the levels no longer change.
     SyncBuckets();
-    opened = ShareLeaseClose(mLease, aHanded);
-    ShareBuckets::Levels levels = mBuckets.LevelsOf(aHanded, mClock.Now());
+    newlyClosed = ShareLeaseClose(mLease, aHandedOver);
+    ShareBuckets::Levels levels = mBuckets.LevelsOf(aHandedOver, mClock.Now());
     table = ShareLeaseHandOver(mLease, levels, aLeaving);
     version = mLease.mVersion;
   }
@@ -328,12 +330,12 @@
                        mClock.Now());
       break;
     case WriteOutcome::Refused:
-      // Never left, so we hold them still. Closed, they would be nobody's for
-      // as long as the platform is out.
-      ShareLeaseReopen(mLease, opened);
+      // Never sent, so the slots are still held. Closed, they could not be
+      // spent by anyone until the platform is back.
+      ShareLeaseReopen(mLease, newlyClosed);
       break;
     default:
-      break; // closed until a newer table tells
+      break; // outcome unknown: closed until a newer table
   }
   return result.mEnd;
 }
@@ -349,7 +351,7 @@
 }
 
 void
-ShareManager::Learn(const Json::Value& aTable, int64_t aVersion)
+ShareManager::UpdateTable(const Json::Value& aTable, int64_t aVersion)
 {
   std::lock_guard<std::mutex> lock(mLock);
   ShareLeaseUpdate(mLease, ShareTableParse(aTable), aVersion, mClock.Now());
@@ -358,7 +360,7 @@
 void
 ShareManager::Leave()
 {
-  ReleaseExcess(true);
+  HandOverSlots(true);
 }
 
 } // namespace caraway
--- a/src/share/ShareManagerPeers.cpp
+++ b/src/share/ShareManagerPeers.cpp
@@ -1,4 +1,4 @@
-// What other instances ask of the share keeper, and what it tells them.
+// ShareManagerPeers.cpp: the peer methods of the share manager.
 #include "share/ShareManager.h"
 
 #include <thread>
@@ -14,8 +14,8 @@
 
 } // namespace
 
-// Those we handed slots to would find out at their next renewal, seconds
-// later, and until then nobody could spend them.
+// Notifies the new holders of slots, which would otherwise notice only at their
+// next renewal, seconds later; until then nobody could spend the slots.
 void
 ShareManager::NotifySlotHolders(const std::set<int>& aSlots)
 {
@@ -36,42 +36,42 @@
   }
 }
 
-// The first to ask waits a moment for others; those that ask meanwhile find
-// on their turn that the write has taken them along.
+// The first request waits mRenewBatchWait for others; these then find that the
+// same write has renewed them.
 Json::Value
 ShareManager::OnRenew(const Json::Value& aParams)
 {
   std::string member = aParams["member"].asString();
   {
     std::lock_guard<std::mutex> lock(mLock);
-    mAsked[member] = aParams["knows"].asInt64();
+    mPendingRenewals[member] = aParams["knows"].asInt64();
   }
-  Json::Value answer;
+  Json::Value reply;
   {
     std::lock_guard<std::mutex> write(mWriteLock);
-    std::map<std::string, int64_t> also;
+    std::map<std::string, int64_t> others;
     bool waiting = false;
     {
       std::lock_guard<std::mutex> lock(mLock);
-      waiting = mAsked.count(member) != 0;
+      waiting = mPendingRenewals.count(member) != 0;
     }
     if (waiting) {
       std::this_thread::sleep_for(mSettings.mRenewBatchWait);
       std::lock_guard<std::mutex> lock(mLock);
-      also.swap(mAsked);
+      others.swap(mPendingRenewals);
     }
     if (waiting) {
-      RenewWith(also);
+      RenewAndRecord(others);
     }
-    answer["renewed"] = mBatchRenewed[member];
+    reply["renewed"] = mBatchRenewed[member];
   }
   std::lock_guard<std::mutex> lock(mLock);
-  answer["version"] = Json::Int64(mLease.mVersion);
-  answer["serial"] = Json::Int64(mLease.mTable.mSerial);
-  if (aParams["knows"].asInt64() < mLease.mTable.mChanged) {
-    answer["table"] = ShareTableJson(mLease.mTable);
+  reply["version"] = Json::Int64(mLease.mVersion);
+  reply["serial"] = Json::Int64(mLease.mTable.mSerial);
+  if (aParams["knows"].asInt64() < mLease.mTable.mChangedSerial) {
+    reply["table"] = ShareTableJson(mLease.mTable);
   }
-  return answer;
+  return reply;
 }
 
 Json::Value
@@ -79,33 +79,33 @@
 {
   std::lock_guard<std::mutex> lock(mLock);
   bool ours = aParams["of"].asString() == mSelf;
-  Json::Value answer;
-  answer["promised"] =
+  Json::Value reply;
+  reply["promised"] =
     ours && ShareLeaseCanPromise(mLease, aParams["member"].asString());
-  return answer;
+  return reply;
 }
 
 Json::Value
 ShareManager::OnTake(const Json::Value& aParams)
 {
   int slot = aParams["slot"].asInt();
-  std::optional<Taken> taken;
+  std::optional<TakeResult> taken;
   if (slot >= 0 && slot < kShareSlots) {
     taken =
       Take(aParams["tenant"].asString(), slot, aParams["tokens"].asDouble());
   }
-  Json::Value answer;
-  answer["holder"] = taken.has_value();
+  Json::Value reply;
+  reply["holder"] = taken.has_value();
   if (taken) {
-    answer["tokens"] = taken->mGrant.mTokens;
-    answer["at"] = Json::Int64(taken->mGrant.mTakenAt);
-    answer["self"] = mSelf;
-    answer["retry"] = Json::Int64(taken->mRetryAfter.count());
+    reply["tokens"] = taken->mGrant.mTokens;
+    reply["at"] = Json::Int64(taken->mGrant.mTakenAt);
+    reply["self"] = mSelf;
+    reply["retry"] = Json::Int64(taken->mRetryAfter.count());
   } else {
-    // Whoever asks the wrong one is shown the right one.
-    answer["now"] = TableJson();
+    // The table names the right holder.
+    reply["now"] = TableJson();
   }
-  return answer;
+  return reply;
 }
 
 Json::Value
@@ -127,7 +127,7 @@
   aAdd("share.renew", [this](const auto& aParams) { return OnRenew(aParams); });
   aAdd("share.table", [this](const auto&) { return TableJson(); });
   aAdd("share.poke", [this](const auto& aParams) {
-    Learn(aParams["table"], aParams["version"].asInt64());
+    UpdateTable(aParams["table"], aParams["version"].asInt64());
     if (mOnSlotsReceived) {
       mOnSlotsReceived();
     }
--- a/tests/property/HomeZoneProperty.cpp
+++ b/tests/property/HomeZoneProperty.cpp
@@ -12,27 +12,27 @@
                                           "sanjuan-c",
                                           "uspallata-b" };
 
-// One model's owner in one zone.
+// Owner of one model in one zone.
 struct Zone
 {
   std::string mName;
   HomeZoneState mState;
   bool mServing = false;
   bool mLoading = false;
-  bool mWaiting = false; // for that load
-  bool mCut = false;     // from all others
+  bool mWaiting = false; // requests wait for that load
+  bool mCut = false;     // from all other zones
 };
 
-// Three zones, requests in each, cuts, loads that end or fail, replicas that
-// idle out.
-struct World
+// Three zones with requests, network cuts, loads that finish or fail, and idle
+// replicas that are unloaded.
+struct HomeZoneModel
 {
   HomeZoneParameters mParameters;
   TimePoint mNow = TimePoint(Seconds(1000));
   std::vector<Zone> mZones;
   int mBusyLoads = 0;
 
-  World()
+  HomeZoneModel()
   {
     for (const std::string& name : kZones) {
       mZones.push_back({ name, {}, false, false, false, false });
@@ -47,31 +47,33 @@
     }
     return mZones[0];
   }
-  // Whom a zone holds for the home: cuts are noticed by the requests alone.
+  // The home zone as seen by any zone: cuts are noticed only by failed
+  // requests.
   Zone& Home() { return Named(HomeZoneOf(kZones, "m")); }
-  Zone& Away() { return &Home() == &mZones[0] ? mZones[1] : mZones[0]; }
+  Zone& NonHome() { return &Home() == &mZones[0] ? mZones[1] : mZones[0]; }
 
-  HomeZoneAction Ask(Zone& aZone)
+  HomeZoneAction Route(Zone& aZone)
   {
     HomeZoneView view;
-    view.mHome = &aZone == &Home();
+    view.mIsHome = &aZone == &Home();
     view.mServing = aZone.mServing;
     view.mWaiting = aZone.mWaiting;
     return HomeZoneRoute(aZone.mState, view, mParameters, mNow);
   }
-  void ServeHere(Zone& aZone)
+  void ServeIn(Zone& aZone)
   {
     if (!aZone.mServing) {
       aZone.mLoading = true;
       aZone.mWaiting = true;
     }
   }
-  // As a front does it. The home doesn't send on what was sent to it.
+  // As a front instance does. The home zone doesn't redirect what is sent to
+  // it.
   void Request(Zone& aZone)
   {
-    HomeZoneAction action = Ask(aZone);
-    if (action == HomeZoneAction::Here) {
-      ServeHere(aZone);
+    HomeZoneAction action = Route(aZone);
+    if (action == HomeZoneAction::Local) {
+      ServeIn(aZone);
       return;
     }
     RC_ASSERT(&aZone != &Home());
@@ -81,16 +83,16 @@
     }
     if (aZone.mCut || Home().mCut) {
       HomeZoneFailed(aZone.mState, mParameters, mNow);
-      // From now on its requests stay, without trying the home each time.
-      RC_ASSERT(Ask(aZone) == HomeZoneAction::Here);
-      ServeHere(aZone);
+      // Later requests are served locally without trying the home zone again.
+      RC_ASSERT(Route(aZone) == HomeZoneAction::Local);
+      ServeIn(aZone);
       return;
     }
-    ServeHere(Home());
+    ServeIn(Home());
   }
-  void End(Zone& aZone, bool aWell)
+  void FinishLoad(Zone& aZone, bool aSucceeded)
   {
-    aZone.mServing = aZone.mServing || (aZone.mLoading && aWell);
+    aZone.mServing = aZone.mServing || (aZone.mLoading && aSucceeded);
     aZone.mLoading = false;
     aZone.mWaiting = false;
   }
@@ -105,14 +107,14 @@
 };
 
 void
-ApplyEvent(World& aWorld, int aWhat, Zone& aZone, bool aCuts)
+ApplyEvent(HomeZoneModel& aModel, int aEvent, Zone& aZone, bool aCuts)
 {
-  switch (aWhat) {
+  switch (aEvent) {
     case 0:
-      aWorld.End(aZone, true);
+      aModel.FinishLoad(aZone, true);
       return;
     case 1:
-      aWorld.End(aZone, false);
+      aModel.FinishLoad(aZone, false);
       return;
     case 2:
       aZone.mServing = false;
@@ -121,73 +123,76 @@
       aZone.mCut = aCuts && !aZone.mCut;
       return;
     default:
-      aWorld.Request(aZone);
+      aModel.Request(aZone);
   }
 }
 
 } // namespace
 
-// First requests burst at many instances of all zones, loads fail, replicas
-// idle out. As long as the zones reach each other and none is busy, only one
-// of them ever loads: else each zone pays the cold start and the idle hours.
+// Guards against a replica in each zone, which costs each zone a cold start and
+// hours of idle accelerators. First requests arrive in all zones at once, loads
+// fail, idle replicas are unloaded; while the zones reach each other and none
+// is busy, only one of them loads the model.
 RC_GTEST_PROP(HomeZone, OneReplicaForZonesThatReachEachOther, ())
 {
-  World world;
-  world.mParameters.mBusy = 1e9;
-  RandomChoices tape = RandomChoices::OfLength(300);
-  while (!tape.Ended()) {
-    Zone& zone = world.mZones[static_cast<size_t>(tape.Below(3))];
-    ApplyEvent(world, tape.Below(8), zone, false);
-    world.mNow += Millis(tape.Below(250) * 20);
-    RC_ASSERT(world.Replicas() <= 1);
+  HomeZoneModel model;
+  model.mParameters.mBusyThreshold = 1e9;
+  RandomChoices choices = RandomChoices::OfLength(300);
+  while (!choices.Ended()) {
+    Zone& zone = model.mZones[static_cast<size_t>(choices.Below(3))];
+    ApplyEvent(model, choices.Below(8), zone, false);
+    model.mNow += Millis(choices.Below(250) * 20);
+    RC_ASSERT(model.Replicas() <= 1);
   }
 }
 
-// Zones are cut off and come back at any moment. Each request is served: here,
-// or at a home that takes it without sending it on; after a home that failed,
-// those that follow don't wait for it again. A busy zone begins one load a
-// minute at most, however its loads end.
-RC_GTEST_PROP(HomeZone, AlwaysSomewhereAndLoadsAreFew, ())
+// Guards against requests redirected without end or waiting for a failed home
+// zone again and again, and against repeated loads. Zones are cut off and
+// reconnected at any moment. Each request is served locally or by a home zone
+// that doesn't redirect it; a busy zone begins one load a minute at most,
+// however its loads end.
+RC_GTEST_PROP(HomeZone, EveryRequestIsServedAndBusyLoadsAreLimited, ())
 {
-  World world;
-  world.mParameters.mBusy = 5;
-  RandomChoices tape = RandomChoices::OfLength(300);
-  TimePoint began = world.mNow;
-  while (!tape.Ended()) {
-    Zone& zone = world.mZones[static_cast<size_t>(tape.Below(3))];
-    ApplyEvent(world, tape.Below(10), zone, true);
-    world.mNow += Millis(tape.Below(250) * 4);
+  HomeZoneModel model;
+  model.mParameters.mBusyThreshold = 5;
+  RandomChoices choices = RandomChoices::OfLength(300);
+  TimePoint began = model.mNow;
+  while (!choices.Ended()) {
+    Zone& zone = model.mZones[static_cast<size_t>(choices.Below(3))];
+    ApplyEvent(model, choices.Below(10), zone, true);
+    model.mNow += Millis(choices.Below(250) * 4);
   }
-  auto minutes = (world.mNow - began) / std::chrono::minutes(1) + 1;
-  RC_ASSERT(world.mBusyLoads <= 2 * minutes); // two zones aren't the home
+  auto minutes = (model.mNow - began) / std::chrono::minutes(1) + 1;
+  RC_ASSERT(model.mBusyLoads <= 2 * minutes); // two zones aren't the home zone
 }
 
-// The load that took the home's place lasts longer than the home is avoided.
-// Sent away now, a request would have the home load a second replica.
-TEST(HomeZone, WaitsForTheLoadThatIsUnderWay)
+// Guards against a second replica: the local load lasts longer than the home
+// zone is avoided, and a request redirected then would make the home zone load
+// too.
+TEST(HomeZone, ServesLocallyWhileItsLoadIsInProgress)
 {
-  World world;
-  Zone& away = world.Away();
-  world.Home().mCut = true;
-  world.Request(away);
-  world.mNow += 2 * world.mParameters.mFailed;
-  EXPECT_EQ(world.Ask(away), HomeZoneAction::Here);
+  HomeZoneModel model;
+  Zone& zone = model.NonHome();
+  model.Home().mCut = true;
+  model.Request(zone);
+  model.mNow += 2 * model.mParameters.mHomeRetryDelay;
+  EXPECT_EQ(model.Route(zone), HomeZoneAction::Local);
 }
 
-// A zone that reaches the home again goes back to it, once its own replica has
-// idled out.
-TEST(HomeZone, BackAfterTheHomeFailed)
+// A zone that reaches the home zone again returns to it once its own idle
+// replica is unloaded.
+TEST(HomeZone, ReturnsToHomeZoneAfterItsReplicaIsGone)
 {
-  World world;
-  Zone& away = world.Away();
-  world.Home().mCut = true;
-  world.Request(away);
-  world.End(away, true);
-  world.Home().mCut = false;
-  world.mNow += world.mParameters.mFailed;
-  EXPECT_EQ(world.Ask(away), HomeZoneAction::Here); // a warm replica is here
-  away.mServing = false;
-  EXPECT_EQ(world.Ask(away), HomeZoneAction::Away);
+  HomeZoneModel model;
+  Zone& zone = model.NonHome();
+  model.Home().mCut = true;
+  model.Request(zone);
+  model.FinishLoad(zone, true);
+  model.Home().mCut = false;
+  model.mNow += model.mParameters.mHomeRetryDelay;
+  EXPECT_EQ(model.Route(zone), HomeZoneAction::Local); // has a warm replica
+  zone.mServing = false;
+  EXPECT_EQ(model.Route(zone), HomeZoneAction::Remote);
 }
 
 } // namespace caraway
--- a/tests/property/ShareProperty.cpp
+++ b/tests/property/ShareProperty.cpp
@@ -7,105 +7,103 @@
 
 namespace caraway {
 
-// What a tenant's neighbours would see: twice its rate let through, because
-// two instances both believe that they hold its slot. In any order: renewals
-// lost, late or answered late; members frozen (not scheduled) and thawed,
-// killed, restarted at their address, joining in the middle; the platform out
-// while members promise each other; clocks running 2% apart.
+// Guards against a tenant admitted at twice its rate because two instances both
+// consider themselves holder of its slot. In any order: renewals are lost, late
+// or answered late; members freeze (not scheduled) and resume, are killed,
+// restart at their address or join; the platform is out while members promise
+// each other; clocks run 2% apart.
 RC_GTEST_PROP(ShareLease, NoSlotHasTwoSpenders, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(1200);
-  ShareModel world;
+  RandomChoices choices = RandomChoices::OfLength(1200);
+  ShareModel model;
   TimePoint now = TimePoint(Seconds(1000));
-  world.Begin();
-  while (!tape.Ended()) {
-    world.Step(tape, now);
-    world.Check(now);
+  model.AddThreeNodes();
+  while (!choices.Ended()) {
+    model.Step(choices, now);
+    model.CheckOneSpender(now);
   }
 }
 
-// What a tenant's neighbours would see: more than its burst let through,
-// because a slot was handed on, spent there and handed back, and the first
-// holder, who never saw that, goes on with what it had. In the same troubles,
-// requests spend in between; the rate is 0, so all that is ever spent is the
-// burst.
-RC_GTEST_PROP(Share, HandedOnIsNeverSpentTwice, ())
+// Guards against a tenant admitted above its burst: a slot is handed over,
+// spent there and handed back, and the first holder, which never saw that,
+// continues with its old level. Requests spend under the same faults; the rate
+// is 0, so only the burst can ever be spent.
+RC_GTEST_PROP(Share, HandedOverTokensAreNeverSpentTwice, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(1200);
-  ShareModel world;
+  RandomChoices choices = RandomChoices::OfLength(1200);
+  ShareModel model;
   TimePoint now = TimePoint(Seconds(1000));
   const double burst = 40;
   for (const char* name : { "acme", "globex", "initech" }) {
-    world.AddTenant(name, burst);
+    model.AddTenant(name, burst);
   }
-  world.Begin();
-  while (!tape.Ended()) {
-    world.Step(tape, now);
-    world.Spend(tape, now);
-    for (const auto& spent : world.mSpent) {
+  model.AddThreeNodes();
+  while (!choices.Ended()) {
+    model.Step(choices, now);
+    model.Spend(choices, now);
+    for (const auto& spent : model.mSpent) {
       RC_ASSERT(spent.second <= burst + 1e-6);
     }
   }
 }
 
-// What a tenant's neighbours would see: a burst spent twice. A holder hands a
-// slot on and never hears that this came into force; the next one spends, ends
-// and hands it back. The first must go on with what the next one left.
-TEST(Share, HandedBackUnseenIsNotSpentAgain)
+// Guards against a burst spent twice. A holder hands a slot over and never
+// learns that this took effect; the next holder spends, shuts down and hands it
+// back. The first must continue with the level that the next one left.
+TEST(Share, SlotReturnedUnseenKeepsTheLevelLeft)
 {
   TimePoint now = TimePoint(Seconds(1000));
-  ShareModel world;
-  world.AddTenant("acme", 40);
-  world.Add("a0", 1);
-  world.Add("a1", 1);
-  ShareModelNode& first = world.mNodes[0];
-  ShareModelNode& next = world.mNodes[1];
+  ShareModel model;
+  model.AddTenant("acme", 40);
+  model.Add("a0", 1);
+  model.Add("a1", 1);
+  ShareModelNode& first = model.mNodes[0];
+  ShareModelNode& next = model.mNodes[1];
   int slot = ShareSlotsOf("acme")[0];
-  world.RenewNow(first, now);
-  double before = world.LevelOf(first, "acme", slot, now);
+  model.RenewNow(first, now);
+  double before = model.LevelOf(first, "acme", slot, now);
   ASSERT_GT(before, 0);
-  world.RenewNow(next, now);
-  ShareLeaseUpdate(first.mLease, world.mTable, world.mVersion, now);
-  ShareTable handed = world.ReleaseOf(first, false, now);
+  model.RenewNow(next, now);
+  ShareLeaseUpdate(first.mLease, model.mTable, model.mVersion, now);
+  ShareTable handed = model.CloseAndHandOver(first, false, now);
   if (handed.mSlots[slot].mHolder != "n1") {
     slot = ShareSlotsOf("acme")[1];
   }
   ASSERT_EQ(handed.mSlots[slot].mHolder, "n1");
-  world.Apply(handed, world.mVersion);
-  ShareLeaseUpdate(next.mLease, world.mTable, world.mVersion, now);
-  world.RenewNow(next, now);
-  ASSERT_EQ(world.LevelOf(next, "acme", slot, now), before);
+  model.Apply(handed, model.mVersion);
+  ShareLeaseUpdate(next.mLease, model.mTable, model.mVersion, now);
+  model.RenewNow(next, now);
+  ASSERT_EQ(model.LevelOf(next, "acme", slot, now), before);
   next.mBuckets.Find("acme", slot)->Take(15, now);
-  world.Apply(world.ReleaseOf(next, true, now), world.mVersion);
-  world.RenewNow(first, now);
+  model.Apply(model.CloseAndHandOver(next, true, now), model.mVersion);
+  model.RenewNow(first, now);
   EXPECT_TRUE(ShareLeaseMaySpend(first.mLease, slot, now));
-  EXPECT_EQ(world.LevelOf(first, "acme", slot, now), before - 15);
+  EXPECT_EQ(model.LevelOf(first, "acme", slot, now), before - 15);
 }
 
-// What the caller's tenant sees: half of its rate refused for good, or for as
-// long as the platform is out. A holder stops spending a slot before it hands
-// it on; when the handing on fails, or another takes it back, somebody must
-// spend it again. After any trouble, quiet rounds bring all slots back.
-RC_GTEST_PROP(ShareLease, EverySlotIsSpendableAfterTrouble, ())
+// Guards against half of a tenant's rate refused for good or during a platform
+// outage. A holder stops spending a slot before it hands it over; if that
+// fails, or another member takes the slot back, it must become spendable again.
+// After any faults, rounds without faults make all slots spendable.
+RC_GTEST_PROP(ShareLease, EverySlotIsSpendableAfterFaultsEnd, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(600);
-  ShareModel world;
+  RandomChoices choices = RandomChoices::OfLength(600);
+  ShareModel model;
   TimePoint now = TimePoint(Seconds(1000));
-  world.Begin();
-  while (!tape.Ended()) {
-    world.Step(tape, now);
+  model.AddThreeNodes();
+  while (!choices.Ended()) {
+    model.Step(choices, now);
   }
-  bool anybody = world.Settle(now);
-  RC_ASSERT(!anybody || world.Spendable(now) == kShareSlots);
+  bool anyAlive = model.SettleWithoutFaults(now);
+  RC_ASSERT(!anyAlive || model.Spendable(now) == kShareSlots);
 }
 
-// What the caller's tenant sees: requests gathered from several holders, whose
-// answers come late or never, are let in together at no more than its rate and
-// burst over the whole fleet. What the burst is shortened by is what a grant's
-// life can stretch it.
+// Guards against exceeding a tenant's rate and burst over the whole fleet when
+// tokens are gathered from several holders whose replies come late or never.
+// The burst is reduced by as much as the lifetime of grants can stretch it.
 RC_GTEST_PROP(Share, GatheredGrantsStayWithinRateAndBurst, ())
 {
-  RandomChoices tape = RandomChoices::OfLength(500);
+  RandomChoices choices = RandomChoices::OfLength(500);
   const double rate = 100;
   const double burst = 60;
   const Millis life(100);
@@ -118,23 +116,23 @@
     buckets.back().Fill(part, now);
   }
   std::vector<WindowSpend> spends;
-  while (!tape.Ended()) {
-    now += Millis(tape.Below(60));
-    double missing = 1 + tape.Below(40);
+  while (!choices.Ended()) {
+    now += Millis(choices.Below(60));
+    double missing = 1 + choices.Below(40);
     double cost = missing;
     TimePoint begun = now;
     TimePoint at = now;
     std::vector<std::pair<int, double>> taken;
-    int first = tape.Below(holders);
+    int first = choices.Below(holders);
     for (int i = 0; i < holders && missing > 0; ++i) {
       TokenBucket& bucket = buckets[static_cast<size_t>((first + i) % holders)];
-      at += Millis(tape.Below(8));
+      at += Millis(choices.Below(8));
       double there = std::min(missing, bucket.Level(at));
-      if (there > 0 && bucket.Take(there, at) && tape.Below(10) != 0) {
+      if (there > 0 && bucket.Take(there, at) && choices.Below(10) != 0) {
         missing -= there;
         taken.emplace_back((first + i) % holders, there);
       }
-      at += Millis(tape.Below(40));
+      at += Millis(choices.Below(40));
     }
     if (missing <= 1e-9 && at - begun <= life) {
       spends.push_back({ at, cost });
@@ -144,12 +142,12 @@
   RC_ASSERT(WindowExcess(spends, rate, burst) < 1e-6);
 }
 
-// All instances of a zone die at once and others take their place at new
-// addresses. The dead never heard of the new ones, so for all these know they
-// may be cut off and spending. Once the platform's list hasn't had them for a
-// while they are taken over from; without the list it would take the isolation
-// limit, an hour, in which the zone's part of every rate is lost.
-TEST(ShareLease, ZoneReplacedAtOnce)
+// Guards against losing a zone's part of every rate for the isolation limit of
+// an hour. All instances of a zone die at once and others replace them at new
+// addresses. The dead members never knew the new ones, so these must assume
+// that they are cut off and spending, until they have been missing from the
+// platform's instance list for long enough.
+TEST(ShareLease, SlotsOfUnlistedMembersAreTakenOver)
 {
   for (bool listed : { true, false }) {
     TimePoint now = TimePoint(Seconds(1000));
@@ -177,11 +175,11 @@
   }
 }
 
-// Slots were handed from member to member in circles and never came to rest:
-// in the gaps of a hand-over callers were refused. Each slot has one place
-// where it should be, its partner another, and after one round of everybody
-// all are there, however many join.
-TEST(ShareLease, SlotsComeToRest)
+// Guards against slots that are handed from member to member in circles, with
+// callers refused during each hand-over. Each slot has one target, its partner
+// another, and after one round of all members every slot is at its target,
+// however many join.
+TEST(ShareLease, SlotsReachTheirTargets)
 {
   TimePoint now = TimePoint(Seconds(1000));
   ShareTable table;
--- a/tests/support/MemoryPlatform.h
+++ b/tests/support/MemoryPlatform.h
@@ -1,4 +1,4 @@
-// MemoryPlatform.h: the platform's object API within a test, with its faults.
+// MemoryPlatform.h: in-memory platform object API with fault injection.
 #ifndef caraway_tests_MemoryPlatform_h
 #define caraway_tests_MemoryPlatform_h
 
@@ -11,17 +11,17 @@
 
 namespace caraway {
 
-// What befalls a write. The writer hears Refused or Unknown, but for None.
+// Fault of a write. Except for None, the writer gets Refused or Unknown.
 enum class MemoryFault
 {
   None,
-  Refused,    // never left
-  AnswerLost, // in force
-  WriteLost,  // never will be
-  Late,       // may be: when the test applies it
+  Refused,    // never sent
+  AnswerLost, // takes effect
+  WriteLost,  // takes no effect
+  Late,       // takes effect if the test applies it
 };
 
-// By what a test drew: 0 to 3 are faults, all above is none.
+// Maps a random number to a fault: 0 to 3 are faults, higher numbers None.
 inline MemoryFault
 MemoryFaultOf(int aDrawn)
 {
@@ -35,57 +35,60 @@
 class MemoryPlatform : public PlatformApi
 {
 public:
-  // Asked before each write, in which it may also write itself.
+  // Called before each write to choose its fault; may write objects itself.
   std::function<MemoryFault(const PlatformWrite&)> mOnWrite;
-  // Versions back that a read is shown; < 0 = the platform is out.
+  // Number of versions by which a read is stale; < 0 = the platform is out.
   std::function<int()> mOnRead;
-  std::vector<PlatformWrite> mLate;
+  std::vector<PlatformWrite> mLateWrites;
 
   WriteResult Apply(const PlatformWrite& aWrite)
   {
-    std::vector<PlatformObject>& past = Past(aWrite.mKind, aWrite.mName);
-    int64_t standing = past.empty() ? 0 : past.back().mVersion;
-    if (standing != aWrite.mExpected) {
+    std::vector<PlatformObject>& history =
+      HistoryOf(aWrite.mKind, aWrite.mName);
+    int64_t current = history.empty() ? 0 : history.back().mVersion;
+    if (current != aWrite.mExpected) {
       return { WriteOutcome::Conflict,
-               past.empty() ? PlatformObject() : past.back() };
+               history.empty() ? PlatformObject() : history.back() };
     }
-    past.push_back(
+    history.push_back(
       { aWrite.mName, ++mVersion, aWrite.mWriteId, aWrite.mValue });
-    return { WriteOutcome::Done, past.back() };
+    return { WriteOutcome::Done, history.back() };
   }
 
   void ApplyLate(size_t aIndex)
   {
-    PlatformWrite write = mLate[aIndex];
-    mLate.erase(mLate.begin() + static_cast<long>(aIndex));
+    PlatformWrite write = mLateWrites[aIndex];
+    mLateWrites.erase(mLateWrites.begin() + static_cast<long>(aIndex));
     Apply(write);
   }
 
-  // The newest, whatever reads are shown.
-  PlatformObject Standing(const std::string& aKind, const std::string& aName)
+  // The newest version, however stale reads are.
+  PlatformObject CurrentObject(const std::string& aKind,
+                               const std::string& aName)
   {
-    std::vector<PlatformObject>& past = Past(aKind, aName);
-    return past.empty() ? PlatformObject() : past.back();
+    std::vector<PlatformObject>& history = HistoryOf(aKind, aName);
+    return history.empty() ? PlatformObject() : history.back();
   }
 
   Result<PlatformObject> Read(const std::string& aKind,
                               const std::string& aName) override
   {
-    int back = mOnRead ? mOnRead() : 0;
-    std::vector<PlatformObject>& past = Past(aKind, aName);
-    if (back < 0) {
+    int versionsBack = mOnRead ? mOnRead() : 0;
+    std::vector<PlatformObject>& history = HistoryOf(aKind, aName);
+    if (versionsBack < 0) {
       return Fail(ErrorKind::PlatformUnavailable, "out");
     }
-    if (past.size() <= static_cast<size_t>(back)) {
+    if (history.size() <= static_cast<size_t>(versionsBack)) {
       return Fail(ErrorKind::NotFound, aName);
     }
-    return past[past.size() - 1 - static_cast<size_t>(back)];
+    return history[history.size() - 1 - static_cast<size_t>(versionsBack)];
   }
 
   Result<std::vector<PlatformObject>> List(const std::string&,
                                            const std::string&) override
   {
-    return Fail(ErrorKind::PlatformUnavailable, "no test lists yet");
+    return Fail(ErrorKind::PlatformUnavailable,
+                "MemoryPlatform does not support lists");
   }
 
   WriteResult Write(const PlatformWrite& aWrite) override
@@ -97,7 +100,7 @@
         Apply(aWrite);
         return { WriteOutcome::Unknown, {} };
       case MemoryFault::Late:
-        mLate.push_back(aWrite);
+        mLateWrites.push_back(aWrite);
         return { WriteOutcome::Unknown, {} };
       case MemoryFault::WriteLost:
         return { WriteOutcome::Unknown, {} };
@@ -120,17 +123,18 @@
 
   Result<std::vector<InstanceInfo>> Instances() override
   {
-    return Fail(ErrorKind::PlatformUnavailable, "no test lists yet");
+    return Fail(ErrorKind::PlatformUnavailable,
+                "MemoryPlatform does not support lists");
   }
 
 private:
-  std::vector<PlatformObject>& Past(const std::string& aKind,
-                                    const std::string& aName)
+  std::vector<PlatformObject>& HistoryOf(const std::string& aKind,
+                                         const std::string& aName)
   {
-    return mPast[aKind + "/" + aName];
+    return mHistory[aKind + "/" + aName];
   }
 
-  std::map<std::string, std::vector<PlatformObject>> mPast;
+  std::map<std::string, std::vector<PlatformObject>> mHistory;
   int64_t mVersion = 0;
 };
 
--- a/tests/support/ShareModel.h
+++ b/tests/support/ShareModel.h
@@ -1,4 +1,4 @@
-// ShareModel.h: instances that share a zone's slots, and what befalls them.
+// ShareModel.h: model of a zone's slot holders under random faults.
 #ifndef caraway_tests_ShareModel_h
 #define caraway_tests_ShareModel_h
 
@@ -13,28 +13,28 @@
 
 namespace caraway {
 
-// An instance: its lease, its buckets, its clock and its troubles.
+// An instance with its lease, buckets, clock and faults.
 struct ShareModelNode
 {
   ShareLease mLease;
-  double mRate = 1; // of its clock
+  double mClockRate = 1; // clock speed, 1 = exact
   bool mDead = false;
-  int mAsleep = 0;   // steps it is frozen for
-  bool mCut = false; // from the platform
+  int mFrozenSteps = 0; // steps for which it stays frozen
+  bool mCutOff = false; // can't reach the platform
   ShareBuckets mBuckets;
-  std::set<int> mOpened; // by its last hand-over: closed, open before
+  std::set<int> mNewlyClosed; // by its last hand-over
 
   explicit ShareModelNode(const std::string& aSelf)
     : mBuckets({}, aSelf)
   {
     mLease.mSelf = aSelf;
   }
-  bool Awake() const { return !mDead && mAsleep == 0; }
+  bool Awake() const { return !mDead && mFrozenSteps == 0; }
 
   TimePoint Now(TimePoint aTrue) const
   {
     return TimePoint(std::chrono::duration_cast<TimePoint::duration>(
-      aTrue.time_since_epoch() * mRate));
+      aTrue.time_since_epoch() * mClockRate));
   }
 };
 
@@ -44,13 +44,13 @@
   int64_t mExpected;
 };
 
-// The zone's table at a platform that loses and delays writes, and whoever
-// writes it.
+// A zone's table at a platform that loses and delays writes, and the nodes that
+// write it.
 struct ShareModel
 {
   ShareTable mTable;
   int64_t mVersion = 0;
-  std::vector<ShareLateWrite> mLate;
+  std::vector<ShareLateWrite> mLateWrites;
   std::vector<ShareModelNode> mNodes;
   ConfigSnapshot mConfig;
   std::map<std::string, double> mSpent; // by tenant
@@ -58,13 +58,13 @@
   void Add(const std::string& aAddress, double aRate)
   {
     ShareModelNode node("n" + std::to_string(mNodes.size()));
-    node.mRate = aRate;
+    node.mClockRate = aRate;
     node.mLease.mAddress = aAddress;
     node.mLease.mParameters.mIsolationLimit = Seconds(20);
     mNodes.push_back(node);
   }
 
-  // Its rate is 0: all that it can ever spend is its burst.
+  // With a rate of 0 the tenant can never spend more than its burst.
   void AddTenant(const std::string& aName, double aBurst)
   {
     Tenant& tenant = mConfig.mTenants[aName];
@@ -73,7 +73,7 @@
     tenant.mBurst = aBurst;
   }
 
-  void Begin()
+  void AddThreeNodes()
   {
     const double rates[] = { 1.0, 1.02, 0.98 };
     for (int i = 0; i < 3; ++i) {
@@ -81,47 +81,47 @@
     }
   }
 
-  ShareModelNode& Any(RandomChoices& aTape)
+  ShareModelNode& RandomNode(RandomChoices& aChoices)
   {
-    return mNodes[static_cast<size_t>(aTape.Below(255)) % mNodes.size()];
+    return mNodes[static_cast<size_t>(aChoices.Below(255)) % mNodes.size()];
   }
 
-  // One thing that happens: to a node, to the platform, or between two.
-  void Step(RandomChoices& aTape, TimePoint& aNow)
+  // One random event at a node, at the platform or between two nodes.
+  void Step(RandomChoices& aChoices, TimePoint& aNow)
   {
-    if (aTape.Below(2) == 0) {
-      aNow += Millis(aTape.Below(40) * 20);
+    if (aChoices.Below(2) == 0) {
+      aNow += Millis(aChoices.Below(40) * 20);
     }
-    ShareModelNode& node = Any(aTape);
-    ShareModelNode& other = Any(aTape);
+    ShareModelNode& node = RandomNode(aChoices);
+    ShareModelNode& other = RandomNode(aChoices);
     for (ShareModelNode& each : mNodes) {
-      each.mAsleep = std::max(0, each.mAsleep - 1);
+      each.mFrozenSteps = std::max(0, each.mFrozenSteps - 1);
     }
-    if (node.mAsleep > 0) {
+    if (node.mFrozenSteps > 0) {
       return;
     }
-    int what = aTape.Below(26);
-    if (what == 24 && aTape.Below(3) == 0) {
-      node.mAsleep = aTape.Below(120);
+    int what = aChoices.Below(26);
+    if (what == 24 && aChoices.Below(3) == 0) {
+      node.mFrozenSteps = aChoices.Below(120);
     } else if (what == 25) {
-      node.mCut = !node.mCut;
+      node.mCutOff = !node.mCutOff;
     }
     if (what == 0 && mNodes.size() < 6) {
       Add("a" + std::to_string(mNodes.size()), 1.0);
-    } else if (what == 1 && aTape.Below(4) == 0 && mNodes.size() < 8 &&
+    } else if (what == 1 && aChoices.Below(4) == 0 && mNodes.size() < 8 &&
                !node.mDead) {
       std::string address = node.mLease.mAddress;
       node.mDead = true;
       Add(address, 1.0);
-    } else if (what == 2 && aTape.Below(8) == 0) {
+    } else if (what == 2 && aChoices.Below(8) == 0) {
       node.mDead = true;
-    } else if (what == 3 && !mLate.empty()) {
-      Apply(mLate.front().mTable, mLate.front().mExpected);
-      mLate.erase(mLate.begin());
+    } else if (what == 3 && !mLateWrites.empty()) {
+      Apply(mLateWrites.front().mTable, mLateWrites.front().mExpected);
+      mLateWrites.erase(mLateWrites.begin());
     } else if (node.mDead) {
       return;
     } else if (what < 12) {
-      Renew(node, other, aTape, aNow);
+      Renew(node, other, aChoices, aNow);
     } else if (what < 16) {
       Promise(node, aNow);
     } else if (what < 19 && !other.mDead) {
@@ -130,7 +130,7 @@
                        other.mLease.mVersion,
                        node.Now(aNow));
     } else {
-      Release(node, aTape, aNow);
+      HandOver(node, aChoices, aNow);
     }
   }
 
@@ -144,22 +144,23 @@
     return true;
   }
 
-  // aDone: in force and the writer knows; else it may be, or may come later.
+  // True: in force and known to the writer. False: it may or may not take
+  // effect, now or later.
   bool Write(ShareModelNode& aNode,
              const ShareTable& aTable,
-             RandomChoices& aTape,
+             RandomChoices& aChoices,
              TimePoint aNow)
   {
     int64_t expected = aNode.mLease.mVersion;
-    if (aNode.mCut) {
+    if (aNode.mCutOff) {
       return false;
     }
-    switch (aTape.Below(6)) {
+    switch (aChoices.Below(6)) {
       case 0:
         Apply(aTable, expected);
         return false;
       case 1:
-        mLate.push_back({ aTable, expected });
+        mLateWrites.push_back({ aTable, expected });
         return false;
       case 2:
         return false;
@@ -172,33 +173,33 @@
     }
   }
 
-  // One node writes for itself and for another that asked aAgo before.
+  // aNode renews itself and aOther in one write; aOther may not get the reply.
   void Renew(ShareModelNode& aNode,
-             ShareModelNode& aAsker,
-             RandomChoices& aTape,
+             ShareModelNode& aOther,
+             RandomChoices& aChoices,
              TimePoint& aNow)
   {
     TimePoint begun = aNode.Now(aNow);
-    TimePoint asked = aAsker.Now(aNow);
-    std::map<std::string, int64_t> also;
-    bool both = &aNode != &aAsker && aAsker.Awake();
-    if (both) {
-      also[aAsker.mLease.mSelf] = aAsker.mLease.mTable.mSerial;
+    TimePoint requestedAt = aOther.Now(aNow);
+    std::map<std::string, int64_t> others;
+    bool withOther = &aNode != &aOther && aOther.Awake();
+    if (withOther) {
+      others[aOther.mLease.mSelf] = aOther.mLease.mTable.mSerial;
     }
-    aNow += Millis(aTape.Below(8) * 100);
-    ShareTable table = ShareLeasePropose(aNode.mLease, also, begun);
-    aNow += Millis(aTape.Below(8) * 100);
-    if (!Write(aNode, table, aTape, aNow)) {
+    aNow += Millis(aChoices.Below(8) * 100);
+    ShareTable table = ShareLeasePropose(aNode.mLease, others, begun);
+    aNow += Millis(aChoices.Below(8) * 100);
+    if (!Write(aNode, table, aChoices, aNow)) {
       return;
     }
     ShareLeaseRenewed(aNode.mLease, table, mVersion, begun, aNode.Now(aNow));
-    bool told = both && aTape.Below(3) != 0;
-    if (told && also.begin()->second >= table.mChanged) {
+    bool answered = withOther && aChoices.Below(3) != 0;
+    if (answered && others.begin()->second >= table.mChangedSerial) {
       ShareLeaseRenewedUnchanged(
-        aAsker.mLease, table.mSerial, mVersion, asked, aAsker.Now(aNow));
-    } else if (told) {
+        aOther.mLease, table.mSerial, mVersion, requestedAt, aOther.Now(aNow));
+    } else if (answered) {
       ShareLeaseRenewed(
-        aAsker.mLease, table, mVersion, asked, aAsker.Now(aNow));
+        aOther.mLease, table, mVersion, requestedAt, aOther.Now(aNow));
     }
   }
 
@@ -215,32 +216,34 @@
     ShareLeaseOnAllPromised(aNode.mLease, begun);
   }
 
-  // Closes what is to be handed on, and gives the table that hands it on.
-  ShareTable ReleaseOf(ShareModelNode& aNode, bool aLeaving, TimePoint aNow)
+  // Closes the slots to hand over and returns the table that does so.
+  ShareTable CloseAndHandOver(ShareModelNode& aNode,
+                              bool aLeaving,
+                              TimePoint aNow)
   {
     TimePoint now = aNode.Now(aNow);
-    std::set<int> excess = ShareLeaseSlotsToHandOver(aNode.mLease, aLeaving);
+    std::set<int> slots = ShareLeaseSlotsToHandOver(aNode.mLease, aLeaving);
     aNode.mBuckets.Sync(aNode.mLease.mTable, mConfig, now);
-    aNode.mOpened = ShareLeaseClose(aNode.mLease, excess);
-    auto levels = aNode.mBuckets.LevelsOf(excess, now);
+    aNode.mNewlyClosed = ShareLeaseClose(aNode.mLease, slots);
+    auto levels = aNode.mBuckets.LevelsOf(slots, now);
     return ShareLeaseHandOver(aNode.mLease, levels, aLeaving);
   }
 
-  void Release(ShareModelNode& aNode, RandomChoices& aTape, TimePoint aNow)
+  void HandOver(ShareModelNode& aNode, RandomChoices& aChoices, TimePoint aNow)
   {
-    bool leaving = aTape.Below(8) == 0;
+    bool leaving = aChoices.Below(8) == 0;
     if (!leaving && ShareLeaseSlotsToHandOver(aNode.mLease, false).empty()) {
       return;
     }
-    ShareTable table = ReleaseOf(aNode, leaving, aNow);
-    if (aNode.mCut) {
-      ShareLeaseReopen(aNode.mLease, aNode.mOpened);
-    } else if (Write(aNode, table, aTape, aNow)) {
+    ShareTable table = CloseAndHandOver(aNode, leaving, aNow);
+    if (aNode.mCutOff) {
+      ShareLeaseReopen(aNode.mLease, aNode.mNewlyClosed);
+    } else if (Write(aNode, table, aChoices, aNow)) {
       ShareLeaseUpdate(aNode.mLease, table, mVersion, aNode.Now(aNow));
     }
   }
 
-  void Check(TimePoint aNow) const
+  void CheckOneSpender(TimePoint aNow) const
   {
     for (int slot = 0; slot < kShareSlots; ++slot) {
       int spenders = 0;
@@ -253,29 +256,29 @@
     }
   }
 
-  // As a request does, at any moment.
-  void Spend(RandomChoices& aTape, TimePoint aNow)
+  // Spends tokens as requests do, at a random node and slot.
+  void Spend(RandomChoices& aChoices, TimePoint aNow)
   {
-    ShareModelNode& node = Any(aTape);
+    ShareModelNode& node = RandomNode(aChoices);
     if (!node.Awake()) {
       return;
     }
     TimePoint now = node.Now(aNow);
-    int slot = aTape.Below(kShareSlots);
+    int slot = aChoices.Below(kShareSlots);
     if (!ShareLeaseMaySpend(node.mLease, slot, now)) {
       return;
     }
     node.mBuckets.Sync(node.mLease.mTable, mConfig, now);
     for (const auto& tenant : mConfig.mTenants) {
       TokenBucket* bucket = node.mBuckets.Find(tenant.first, slot);
-      double cost = 1 + aTape.Below(4);
+      double cost = 1 + aChoices.Below(4);
       if (bucket && bucket->Take(cost, now)) {
         mSpent[tenant.first] += cost;
       }
     }
   }
 
-  // With nothing lost: knows the newest and is renewed.
+  // A renewal without faults, from the newest table.
   void RenewNow(ShareModelNode& aNode, TimePoint aNow)
   {
     TimePoint now = aNode.Now(aNow);
@@ -296,9 +299,9 @@
     return bucket ? bucket->Level(now) : -1;
   }
 
-  // Nothing fails any more: everybody renews and hands on, for a while.
-  // False when nobody is left.
-  bool Settle(TimePoint& aNow)
+  // Lets all nodes renew and hand over for a while without faults. False when
+  // no node is alive.
+  bool SettleWithoutFaults(TimePoint& aNow)
   {
     for (int round = 0; round < 60; ++round) {
       aNow += Seconds(1);
@@ -306,7 +309,7 @@
       for (ShareModelNode& node : mNodes) {
         if (!node.mDead &&
             !ShareLeaseSlotsToHandOver(node.mLease, false).empty()) {
-          Apply(ReleaseOf(node, false, aNow), node.mLease.mVersion);
+          Apply(CloseAndHandOver(node, false, aNow), node.mLease.mVersion);
           ShareLeaseUpdate(node.mLease, mTable, mVersion, node.Now(aNow));
         }
       }
@@ -316,12 +319,12 @@
     });
   }
 
-  // As an instance does at rest: the first renews for all others, by one
-  // write; who isn't a member yet joins by itself.
+  // As in normal operation: the first member renews all others by one write;
+  // nodes that aren't members yet join by their own writes.
   void RenewAllNow(TimePoint aNow)
   {
     ShareModelNode* renewer = nullptr;
-    std::map<std::string, int64_t> also;
+    std::map<std::string, int64_t> others;
     for (ShareModelNode& node : mNodes) {
       if (node.mDead) {
         continue;
@@ -331,7 +334,7 @@
       } else if (!renewer) {
         renewer = &node;
       } else {
-        also[node.mLease.mSelf] = node.mLease.mTable.mSerial;
+        others[node.mLease.mSelf] = node.mLease.mTable.mSerial;
       }
     }
     if (!renewer) {
@@ -339,16 +342,16 @@
     }
     TimePoint now = renewer->Now(aNow);
     ShareLeaseUpdate(renewer->mLease, mTable, mVersion, now);
-    ShareTable table = ShareLeasePropose(renewer->mLease, also, now);
+    ShareTable table = ShareLeasePropose(renewer->mLease, others, now);
     Apply(table, mVersion);
     ShareLeaseRenewed(renewer->mLease, table, mVersion, now, now);
     for (ShareModelNode& node : mNodes) {
-      auto asked = also.find(node.mLease.mSelf);
-      if (asked == also.end()) {
+      auto requested = others.find(node.mLease.mSelf);
+      if (requested == others.end()) {
         continue;
       }
       TimePoint at = node.Now(aNow);
-      if (asked->second < table.mChanged) {
+      if (requested->second < table.mChangedSerial) {
         ShareLeaseRenewed(node.mLease, table, mVersion, at, at);
       } else {
         ShareLeaseRenewedUnchanged(
--- a/tests/unit/ShareManagerTest.cpp
+++ b/tests/unit/ShareManagerTest.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A keeper that holds all slots, and a member that has just joined, who isn't
-// a process: its port refuses.
+// A manager that holds all slots, and a member that has just joined. The member
+// has no process: its port refuses connections.
 class SlotHandOver : public ::testing::Test
 {
 protected:
@@ -34,34 +34,36 @@
   SlotHandOver()
   {
     mConfig.Adopt(Config());
-    mKeeper.Round();
-    mJoined.mSelf = "i1.0000@127.0.0.1:2";
-    mJoined.mAddress = "127.0.0.1:2";
-    Learn();
+    mManager.Round();
+    mNewMember.mSelf = "i1.0000@127.0.0.1:2";
+    mNewMember.mAddress = "127.0.0.1:2";
+    ReadTable();
     Join();
   }
 
-  ShareTable Standing()
+  ShareTable StoredTable()
   {
-    return ShareTableParse(mPlatform.Standing("shares", "a").mValue);
+    return ShareTableParse(mPlatform.CurrentObject("shares", "a").mValue);
   }
-  void Learn()
+  void ReadTable()
   {
-    PlatformObject object = mPlatform.Standing("shares", "a");
-    ShareLeaseUpdate(
-      mJoined, ShareTableParse(object.mValue), object.mVersion, mClock.Now());
+    PlatformObject object = mPlatform.CurrentObject("shares", "a");
+    ShareLeaseUpdate(mNewMember,
+                     ShareTableParse(object.mValue),
+                     object.mVersion,
+                     mClock.Now());
   }
-  // The member joins or renews, by a write of its own.
+  // The new member writes the table to join or renew.
   void Join()
   {
-    ShareTable table = ShareLeasePropose(mJoined, {}, mClock.Now());
+    ShareTable table = ShareLeasePropose(mNewMember, {}, mClock.Now());
     mPlatform.Apply(
-      { "shares", "a", mJoined.mVersion, "w", ShareTableJson(table) });
-    Learn();
+      { "shares", "a", mNewMember.mVersion, "w", ShareTableJson(table) });
+    ReadTable();
   }
-  // The n-th write from now befalls aFault. A round's first write meets the
-  // joining, its second renews, its third hands on.
-  void AtWrite(int aNumber, const std::function<MemoryFault()>& aFault)
+  // Injects aFault into the n-th write from now. The first write of a round
+  // conflicts with the join, the second renews, the third hands slots over.
+  void FaultAtWrite(int aNumber, const std::function<MemoryFault()>& aFault)
   {
     auto count = std::make_shared<int>(0);
     mPlatform.mOnWrite = [=](const PlatformWrite&) {
@@ -74,55 +76,55 @@
   PeerClient mPeers{ "secret", "a/i0" };
   Members mMembers{ mClock, { "i0", "a", "127.0.0.1:1", false } };
   ConfigHolder mConfig{ mClock };
-  ShareLease mJoined;
-  ShareManager mKeeper{ Settings(),    "i0.0000@127.0.0.1:1",
-                        "127.0.0.1:1", mPlatform,
-                        mPeers,        mMembers,
-                        mConfig,       mClock };
+  ShareLease mNewMember;
+  ShareManager mManager{ Settings(),    "i0.0000@127.0.0.1:1",
+                         "127.0.0.1:1", mPlatform,
+                         mPeers,        mMembers,
+                         mConfig,       mClock };
 };
 
 } // namespace
 
-// A tenant's half is refused for up to a second: its holder stopped spending,
-// to hand it on, and another member's renewal came first. The holder must try
-// again at once.
-TEST_F(SlotHandOver, AnothersRenewalComesFirst)
+// Guards against refusing half of a tenant's rate for up to a second: the
+// holder has stopped spending to hand slots over, and another member's renewal
+// comes first. The holder must retry at once.
+TEST_F(SlotHandOver, RetriesAfterAnotherMembersRenewal)
 {
-  AtWrite(3, [this] {
-    Learn();
+  FaultAtWrite(3, [this] {
+    ReadTable();
     Join();
     return MemoryFault::None;
   });
-  mKeeper.Round();
-  ShareTable table = Standing();
+  mManager.Round();
+  ShareTable table = StoredTable();
   for (int slot = 0; slot < kShareSlots; ++slot) {
     EXPECT_EQ(table.mSlots[slot].mHolder, ShareTableTarget(table, slot));
   }
-  EXPECT_EQ(mKeeper.SlotsHeld(), 8);
+  EXPECT_EQ(mManager.SlotsHeld(), 8);
 }
 
-// The platform goes out just as slots are handed on. They stay spendable where
-// they are for as long as it lasts.
-TEST_F(SlotHandOver, PlatformOutMeanwhile)
+// Guards against slots that nobody can spend during a platform outage that
+// begins in the middle of a hand-over. They stay spendable at their holder.
+TEST_F(SlotHandOver, SlotsStaySpendableDuringPlatformOutage)
 {
-  AtWrite(3, [] { return MemoryFault::Refused; });
-  mKeeper.Round();
-  EXPECT_EQ(mKeeper.SlotsHeld(), kShareSlots);
+  FaultAtWrite(3, [] { return MemoryFault::Refused; });
+  mManager.Round();
+  EXPECT_EQ(mManager.SlotsHeld(), kShareSlots);
 }
 
-// Nobody answers whether the slots were handed on. Until it is known nobody
-// spends them, for both might; the next renewal tells, whichever it was.
-TEST_F(SlotHandOver, NobodyAnswers)
+// Guards against slots spent twice when the outcome of a hand-over is unknown:
+// nobody spends them until the next renewal shows the outcome.
+TEST_F(SlotHandOver, SlotsStayClosedUntilTheOutcomeIsKnown)
 {
-  AtWrite(3, [] { return MemoryFault::WriteLost; });
-  mKeeper.Round();
-  EXPECT_EQ(mKeeper.SlotsHeld(), 8);
-  AtWrite(2, [] { return MemoryFault::AnswerLost; });
-  mKeeper.Round();
-  EXPECT_EQ(mKeeper.SlotsHeld(), 8);
-  mKeeper.Round();
-  EXPECT_TRUE(mKeeper.Settled());
-  EXPECT_EQ(mKeeper.SlotsHeld(), 8);
+  FaultAtWrite(3, [] { return MemoryFault::WriteLost; });
+  mManager.Round();
+  EXPECT_EQ(mManager.SlotsHeld(), 8);
+  FaultAtWrite(2, [] { return MemoryFault::AnswerLost; });
+  mManager.Round();
+  EXPECT_EQ(mManager.SlotsHeld(), 8);
+  mManager.Round();
+  EXPECT_TRUE(mManager.Settled());
+  EXPECT_EQ(mManager.SlotsHeld(), 8);
 }
 
 } // namespace caraway
--- a/tests/unit/StoreGateTest.cpp
+++ b/tests/unit/StoreGateTest.cpp
@@ -13,7 +13,7 @@
 
 const std::string kSecret = "0123456789abcdef";
 
-// An instance as far as the store's gate needs one.
+// The parts of an instance that the store gate needs.
 struct GateNode
 {
   GateNode(const std::string& aId,
@@ -44,8 +44,8 @@
   std::unique_ptr<StoreGate> mGate;
 };
 
-// i2 of the other zone owns the fleet's gate. It takes questions and doesn't
-// answer them.
+// i2 of the other zone owns the fleet's gate. It accepts requests but doesn't
+// reply to them.
 class StalledGate : public ::testing::Test
 {
 protected:
@@ -57,9 +57,9 @@
       return Json::Value(Json::objectValue);
     });
     mOwner.mPort.Serve();
-    for (GateNode* node : { &mNear0, &mNear1 }) {
+    for (GateNode* node : { &mNode0, &mNode1 }) {
       node->Serve();
-      for (GateNode* other : { &mNear0, &mNear1, &mOwner }) {
+      for (GateNode* other : { &mNode0, &mNode1, &mOwner }) {
         node->mMembers->Heard(other->mInfo);
       }
     }
@@ -70,15 +70,18 @@
     mReleased = true;
     mResume.notify_all();
   }
-  bool Ask(GateNode& aNode, const std::string& aId, bool aInside = false)
+  bool Acquire(GateNode& aNode,
+               const std::string& aId,
+               bool aAlreadyAdmitted = false)
   {
-    return aNode.mGate->Ask({ aId, RequestClass::Interactive, aInside })
+    return aNode.mGate
+      ->Acquire({ aId, RequestClass::Interactive, aAlreadyAdmitted })
       .mHasPermit;
   }
 
   PausedClock mClock;
-  GateNode mNear0{ "i0", "mendoza-a", mClock };
-  GateNode mNear1{ "i1", "mendoza-a", mClock };
+  GateNode mNode0{ "i0", "mendoza-a", mClock };
+  GateNode mNode1{ "i1", "mendoza-a", mClock };
   GateNode mOwner{ "i2", "uspallata-b", mClock };
   std::mutex mLock;
   std::condition_variable mResume;
@@ -87,48 +90,52 @@
 
 } // namespace
 
-// The gate's owner stalls for a moment while several loads ask. Were each to
-// take its asker's own gate for the fleet's, all would start beside those that
-// the owner let in. They are told to ask again; one that is in stays in.
-TEST_F(StalledGate, AMomentLetsNobodyElseIn)
+// Guards against an overloaded store when the gate's owner stalls briefly. If
+// each instance used its own gate for the fleet's, all waiting loads would
+// start beside those that the owner admitted. They must poll again; an admitted
+// load stays so.
+TEST_F(StalledGate, BriefStallAdmitsNoOtherLoad)
 {
-  EXPECT_TRUE(Ask(mNear0, "inside", true));
+  EXPECT_TRUE(Acquire(mNode0, "inside", true));
   for (const char* id : { "a", "b", "c" }) {
-    EXPECT_FALSE(Ask(mNear0, id)) << id;
+    EXPECT_FALSE(Acquire(mNode0, id)) << id;
   }
 }
 
-// The owner doesn't come back. Two instances that each went by their own gate
-// would both give out the zone's part; the zone's owner gives it out once.
-TEST_F(StalledGate, ZoneThenGivesItsPartOnce)
+// Guards against admitting a zone's part of the limit twice when the owner
+// stays away and two instances use their own gates: the zone's owner admits it
+// once.
+TEST_F(StalledGate, ZoneGateAdmitsItsPartOnce)
 {
-  int in = 0;
+  int admitted = 0;
   for (int round = 0; round < 4; ++round) {
-    for (GateNode* node : { &mNear0, &mNear1 }) {
-      in += Ask(*node, node->mInfo.mId + std::to_string(round)) ? 1 : 0;
+    for (GateNode* node : { &mNode0, &mNode1 }) {
+      admitted +=
+        Acquire(*node, node->mInfo.mId + std::to_string(round)) ? 1 : 0;
     }
     mClock.Advance(Millis(400));
   }
-  EXPECT_EQ(in, 4 / 2);
+  EXPECT_EQ(admitted, 4 / 2);
 }
 
-// A burst wants more adapters at once than the fleet may have on their way.
-// Each instance keeps to its part, so that they don't all arrive late; a place
-// that comes free is given to the next.
-TEST(AdapterTurns, EachInstanceKeepsToItsPart)
+// Guards against adapters that all load late because a burst starts more of
+// them than the fleet's limit. Each instance keeps to its part; a released
+// permit goes to the next adapter.
+TEST(AdapterPermits, EachInstanceKeepsToItsPart)
 {
   PausedClock clock;
   GateNode node("i0", "mendoza-a", clock);
   node.mMembers->Heard({ "i1", "mendoza-a", "127.0.0.1:1", false });
   node.mMembers->Heard({ "i2", "uspallata-b", "127.0.0.1:2", false });
   constexpr size_t kPart = 30 / 3;
-  std::list<AdapterPermit> turns;
+  std::list<AdapterPermit> permits;
   for (size_t i = 0; i < kPart; ++i) {
-    EXPECT_TRUE(turns.emplace_back(node.mGate.get(), clock.Now()).In());
+    EXPECT_TRUE(
+      permits.emplace_back(node.mGate.get(), clock.Now()).HasPermit());
   }
-  EXPECT_FALSE(AdapterPermit(node.mGate.get(), clock.Now()).In());
-  turns.pop_front();
-  EXPECT_TRUE(AdapterPermit(node.mGate.get(), clock.Now()).In());
+  EXPECT_FALSE(AdapterPermit(node.mGate.get(), clock.Now()).HasPermit());
+  permits.pop_front();
+  EXPECT_TRUE(AdapterPermit(node.mGate.get(), clock.Now()).HasPermit());
 }
 
 } // namespace caraway
