--- a/src/daemon/Instance.cpp
+++ b/src/daemon/Instance.cpp
@@ -383,7 +383,7 @@
   while (Busy() && mClock.Now() < mLeave.End()) {
     std::this_thread::sleep_for(kDrainStep);
   }
-  int cut = mCallers->GiveUp(mClock.Now() + kLastAnswers);
+  int cut = mCallers->AnswerShuttingDown(mClock.Now() + kLastAnswers);
   mCallers->Close(kPortCloseTimeout);
   mTickers.clear();
   mShares->Leave();
--- a/src/serve/Authenticator.cpp
+++ b/src/serve/Authenticator.cpp
@@ -40,7 +40,7 @@
 }
 
 std::optional<ErrorKind>
-Authenticator::Trouble(const Caller& aCaller) const
+Authenticator::Recheck(const Caller& aCaller) const
 {
   ConfigPtr config = mConfig.Current();
   auto key = config->mKeys.find(aCaller.mKeyId);
--- a/src/serve/Authenticator.h
+++ b/src/serve/Authenticator.h
@@ -31,7 +31,7 @@
   Result<Caller> Authenticate(const std::string& aHeader) const;
   // For work that goes on, waiting requests and streams: what has come between
   // (KeyUnknown: withdrawn; KeyStateStale), or nothing.
-  std::optional<ErrorKind> Trouble(const Caller& aCaller) const;
+  std::optional<ErrorKind> Recheck(const Caller& aCaller) const;
 
 private:
   const ConfigHolder& mConfig;
--- a/src/serve/BriefingRunner.cpp
+++ b/src/serve/BriefingRunner.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr Millis kRetryInterval{ 2000 };
-constexpr size_t kAtOnce = 4; // of one instance
+constexpr size_t kMaxConcurrent = 4; // of one instance
 
 std::optional<Briefing>
-Ended(Briefing aBriefing, BriefingState aState, Json::Value aAnswer)
+Finished(Briefing aBriefing, BriefingState aState, Json::Value aAnswer)
 {
   aBriefing.mState = aState;
   aBriefing.mAnswer = std::move(aAnswer);
@@ -54,9 +54,11 @@
     }
     for (const std::string& id : *ids) {
       std::lock_guard<std::mutex> lock(mLock);
-      auto wait = mNotBefore.find(id);
-      bool early = wait != mNotBefore.end() && mClock.Now() < wait->second;
-      if (early || mRunning.size() >= kAtOnce || !mRunning.insert(id).second) {
+      auto notBefore = mNotBefore.find(id);
+      bool notDue =
+        notBefore != mNotBefore.end() && mClock.Now() < notBefore->second;
+      if (notDue || mRunning.size() >= kMaxConcurrent ||
+          !mRunning.insert(id).second) {
         continue;
       }
       mWorkers.Submit([this, id] { Run(id); });
@@ -68,7 +70,7 @@
 BriefingRunner::Run(const std::string& aId)
 {
   bool ended = mTurns.Take(
-    aId, [this](const Briefing& aBriefing) { return Attempt(aBriefing); });
+    aId, [this](const Briefing& aBriefing) { return TryRun(aBriefing); });
   std::lock_guard<std::mutex> lock(mLock);
   mRunning.erase(aId);
   mNotBefore[aId] = mClock.Now() + kRetryInterval;
@@ -78,7 +80,7 @@
 }
 
 std::optional<Briefing>
-BriefingRunner::Attempt(const Briefing& aBriefing)
+BriefingRunner::TryRun(const Briefing& aBriefing)
 {
   ModelCall call;
   call.mContext.mId = aBriefing.mId;
@@ -87,9 +89,9 @@
   call.mContext.mArrived = mClock.Now();
   call.mMessages = aBriefing.mMessages;
   auto refuse = [&](ErrorKind aKind, const char* aWhy) {
-    return Ended(aBriefing,
-                 BriefingState::Refused,
-                 ProblemJson(FailureOf(aKind, aWhy), aBriefing.mId));
+    return Finished(aBriefing,
+                    BriefingState::Refused,
+                    ProblemJson(FailureOf(aKind, aWhy), aBriefing.mId));
   };
   int64_t now =
     std::chrono::duration_cast<Millis>(mClock.WallNow().time_since_epoch())
@@ -123,9 +125,9 @@
     return std::nullopt;
   }
   LogInfo("briefing_done", { { "briefing", aBriefing.mId } });
-  return Ended(aBriefing,
-               BriefingState::Done,
-               ChatCompletionJson(call, std::get<ModelAnswer>(answer)));
+  return Finished(aBriefing,
+                  BriefingState::Done,
+                  ChatCompletionJson(call, std::get<ModelAnswer>(answer)));
 }
 
 } // namespace caraway
--- a/src/serve/BriefingRunner.h
+++ b/src/serve/BriefingRunner.h
@@ -37,7 +37,7 @@
 private:
   void Run(const std::string& aId);
   // Its ending; nothing when it can't run now and stays open.
-  std::optional<Briefing> Attempt(const Briefing& aBriefing);
+  std::optional<Briefing> TryRun(const Briefing& aBriefing);
 
   BriefingStore& mStore;
   BriefingSteps mTurns;
--- a/src/serve/BriefingSteps.cpp
+++ b/src/serve/BriefingSteps.cpp
@@ -38,11 +38,11 @@
   if (aStored.mBriefing.mState != BriefingState::Accepted) {
     return true;
   }
-  std::optional<Briefing> ending = aAttempt(aStored.mBriefing);
-  if (!ending) {
+  std::optional<Briefing> finished = aAttempt(aStored.mBriefing);
+  if (!finished) {
     return false;
   }
-  return !FailureIn([&] { return mStore.End(aStored, *ending); });
+  return !FailureIn([&] { return mStore.End(aStored, *finished); });
 }
 
 bool
--- a/src/serve/BriefingStore.cpp
+++ b/src/serve/BriefingStore.cpp
@@ -8,7 +8,7 @@
 
 constexpr const char* kKind = "briefings";
 constexpr const char* kListKind = "briefings-open";
-constexpr int kTries = 8;
+constexpr int kMaxAttempts = 8;
 
 } // namespace
 
@@ -38,7 +38,7 @@
   } else if (std::get<Failure>(read).mKind != ErrorKind::NotFound) {
     return Fail(std::get<Failure>(read));
   }
-  for (int i = 0; i < kTries; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     Json::Value next(Json::objectValue);
     for (const std::string& id : list.mValue.isObject()
                                    ? list.mValue.getMemberNames()
--- a/src/serve/CallerAnswer.cpp
+++ b/src/serve/CallerAnswer.cpp
@@ -95,11 +95,11 @@
 }
 
 bool
-CallerAnswer::GiveUp(const std::string& aWhy)
+CallerAnswer::AnswerShuttingDown(const std::string& aWhy)
 {
   // Held for longer, the handler is writing to a caller that doesn't read.
-  constexpr Millis kPatience{ 5 };
-  std::unique_lock<std::timed_mutex> lock(mLock, kPatience);
+  constexpr Millis kLockTimeout{ 5 };
+  std::unique_lock<std::timed_mutex> lock(mLock, kLockTimeout);
   if (!lock.owns_lock()) {
     return true;
   }
--- a/src/serve/CallerAnswer.h
+++ b/src/serve/CallerAnswer.h
@@ -35,7 +35,7 @@
 
   // The last answer in the handler's place, where nobody is writing one. True
   // when work had begun and is cut.
-  bool GiveUp(const std::string& aWhy);
+  bool AnswerShuttingDown(const std::string& aWhy);
 
 private:
   bool WriteEvent(const char* aName, const std::string& aData);
--- a/src/serve/CallerPort.cpp
+++ b/src/serve/CallerPort.cpp
@@ -52,15 +52,15 @@
                   "messages: each needs a role and a content");
     }
   }
-  const Json::Value& most = aJson["max_tokens"];
-  if (!most.isNull() && (!most.isInt() || most.asInt() < 1)) {
+  const Json::Value& maxTokens = aJson["max_tokens"];
+  if (!maxTokens.isNull() && (!maxTokens.isInt() || maxTokens.asInt() < 1)) {
     return Fail(ErrorKind::BadRequest, "max_tokens: expected a number >= 1");
   }
   const Json::Value& stream = aJson["stream"];
   if (!stream.isNull() && !stream.isBool()) {
     return Fail(ErrorKind::BadRequest, "stream: expected true or false");
   }
-  call.mMaxTokens = most.isNull() ? 0 : most.asInt();
+  call.mMaxTokens = maxTokens.isNull() ? 0 : maxTokens.asInt();
   return call;
 }
 
@@ -85,17 +85,17 @@
 {
 }
 
-class CallerPort::Owed
+class CallerPort::PendingAnswer
 {
 public:
-  Owed(CallerPort& aPort, CallerAnswer& aAnswer)
+  PendingAnswer(CallerPort& aPort, CallerAnswer& aAnswer)
     : mPort(aPort)
     , mAnswer(aAnswer)
   {
     std::lock_guard<std::mutex> lock(mPort.mLock);
     mPort.mPendingAnswers.insert(&mAnswer);
   }
-  ~Owed()
+  ~PendingAnswer()
   {
     std::lock_guard<std::mutex> lock(mPort.mLock);
     mPort.mPendingAnswers.erase(&mAnswer);
@@ -118,15 +118,17 @@
 }
 
 int
-CallerPort::GiveUp(TimePoint aUntil)
+CallerPort::AnswerShuttingDown(TimePoint aUntil)
 {
   constexpr Millis kSend{ 20 }; // to a caller that doesn't read
   mPort->LimitSendTime(kSend);
   std::lock_guard<std::mutex> lock(mLock);
   int cut = 0;
   for (CallerAnswer* answer : mPendingAnswers) {
-    bool late = mClock.Now() >= aUntil;
-    cut += late || answer->GiveUp("its time to finish is over") ? 1 : 0;
+    bool expired = mClock.Now() >= aUntil;
+    cut += expired || answer->AnswerShuttingDown("its time to finish is over")
+             ? 1
+             : 0;
   }
   return cut;
 }
@@ -143,9 +145,9 @@
                       context.mId,
                       aRequest.has("Idempotency-Key") ? RunState::MayHaveRun
                                                       : RunState::NotRun);
-  Owed owed(*this, answer);
+  PendingAnswer pending(*this, answer);
   if (mDraining) {
-    Refuse(answer, context, Leaving(aRequest));
+    Refuse(answer, context, RefuseWhileDraining(aRequest));
     return;
   }
   auto failure = FailureIn([&] { return Route(aRequest, answer, context); });
@@ -155,7 +157,7 @@
 }
 
 Failure
-CallerPort::Leaving(Request& aRequest) const
+CallerPort::RefuseWhileDraining(Request& aRequest) const
 {
   // Unread, it would have the connection reset before the answer is seen.
   Outcome([&] {
@@ -351,9 +353,9 @@
                     const RequestContext& aContext,
                     const std::string& aId)
 {
-  bool plain = aId.size() == kIdDigits &&
-               aId.find_first_not_of("0123456789abcdef") == std::string::npos;
-  if (!plain) {
+  bool validId = aId.size() == kIdDigits &&
+                 aId.find_first_not_of("0123456789abcdef") == std::string::npos;
+  if (!validId) {
     return Fail(ErrorKind::NotFound, "no such briefing");
   }
   BOOST_LEAF_AUTO(stored, mBriefings.Read(aId));
@@ -408,17 +410,17 @@
     aContext.mProfile.mClass,
     std::chrono::duration_cast<Micros>(mClock.Now() - aContext.mArrived));
   aAnswer.Send([&](Response& aResponse) {
-    const ClaimAnswer& kept = answer.mAnswer;
+    const ClaimAnswer& stored = answer.mAnswer;
     aResponse.setStatusAndReason(
-      static_cast<Poco::Net::HTTPResponse::HTTPStatus>(kept.mStatus));
-    if (!kept.mContentType.empty()) {
-      aResponse.setContentType(kept.mContentType);
+      static_cast<Poco::Net::HTTPResponse::HTTPStatus>(stored.mStatus));
+    if (!stored.mContentType.empty()) {
+      aResponse.setContentType(stored.mContentType);
     }
     aResponse.set("X-Request-Id", aContext.mId);
     if (answer.mReplayed) {
       aResponse.set("Idempotent-Replayed", "true");
     }
-    aResponse.sendBuffer(kept.mBody.data(), kept.mBody.size());
+    aResponse.sendBuffer(stored.mBody.data(), stored.mBody.size());
   });
   return {};
 }
--- a/src/serve/CallerPort.h
+++ b/src/serve/CallerPort.h
@@ -56,18 +56,18 @@
   void Drain() { mDraining = true; }
   // Gives the last answers to what is still under way, until aUntil at most.
   // Returns how many of them had begun work that is cut.
-  int GiveUp(TimePoint aUntil);
+  int AnswerShuttingDown(TimePoint aUntil);
   // Whoever is connected gets the answer to what was sent.
   void Close(Millis aWithin) { mPort->End(aWithin); }
 
 private:
   using Request = Poco::Net::HTTPServerRequest;
   using Response = Poco::Net::HTTPServerResponse;
-  class Owed; // an answer that is owed
+  class PendingAnswer; // an answer that is owed
 
   void Handle(Request& aRequest, Response& aResponse);
   // To whoever comes while we leave.
-  Failure Leaving(Request& aRequest) const;
+  Failure RefuseWhileDraining(Request& aRequest) const;
   Result<void> Route(Request& aRequest,
                      CallerAnswer& aAnswer,
                      RequestContext& aContext);
--- a/src/serve/ClaimDriver.cpp
+++ b/src/serve/ClaimDriver.cpp
@@ -15,12 +15,12 @@
 constexpr const char* kKind = "claims";
 // The platform holds values up to a megabyte; base64 adds a third.
 constexpr size_t kMaxKeptAnswerBytes = 512 * 1024;
-constexpr Millis kAskPeerWait{ 1000 };
-constexpr Millis kAskTime{ 2500 };
-constexpr const char* kStandingNames[] = { "running",
-                                           "gave_up",
-                                           "answered",
-                                           "lost" };
+constexpr Millis kQueryWait{ 1000 };
+constexpr Millis kQueryTimeout{ 2500 };
+constexpr const char* kStatusNames[] = { "running",
+                                         "gave_up",
+                                         "answered",
+                                         "lost" };
 
 // Length first: tenant "a" with key "bc" is not tenant "ab" with key "c".
 std::string
@@ -39,12 +39,12 @@
 }
 
 ClaimEvent
-EventOfStatus(const AttemptStatus& aWord)
+EventOfStatus(const AttemptStatus& aStatus)
 {
-  if (!aWord.mKnownFields) {
+  if (!aStatus.mKnown) {
     return EventOf(ClaimEventKind::PeerUnknown);
   }
-  switch (aWord.mStanding) {
+  switch (aStatus.mStatus) {
     case ClaimAttemptStatus::Running:
       return EventOf(ClaimEventKind::PeerRunning);
     case ClaimAttemptStatus::GaveUp:
@@ -55,7 +55,7 @@
       break;
   }
   ClaimEvent event = EventOf(ClaimEventKind::PeerAnswered);
-  event.mRecord.mAnswer = aWord.mAnswer;
+  event.mRecord.mAnswer = aStatus.mAnswer;
   return event;
 }
 
@@ -64,13 +64,13 @@
 ClaimDriver::ClaimDriver(std::string aSelf,
                          PlatformApi& aPlatform,
                          PeerClient& aPeers,
-                         ClaimRegistry& aBook,
+                         ClaimRegistry& aRegistry,
                          WorkerPool& aWorkers,
                          const Clock& aClock)
   : mSelf(std::move(aSelf))
   , mPlatform(aPlatform)
   , mPeers(aPeers)
-  , mBook(aBook)
+  , mRegistry(aRegistry)
   , mWorkers(aWorkers)
   , mClock(aClock)
 {
@@ -86,29 +86,29 @@
   attempt.mState.mNonce = RandomId();
   attempt.mState.mBodyDigest = DigestHex(aOrder.mContent);
   attempt.mState.mDeadline = aOrder.mDeadline;
-  mBook.Begin(attempt.mState.mNonce);
+  mRegistry.Begin(attempt.mState.mNonce);
   bool offered = false;
   ClaimEvent event;
   for (;;) {
     ClaimAction action = ClaimStep(attempt.mState, event, mClock.Now());
     if (action.mKind == ClaimActionKind::FinishAnswer) {
-      AttemptStatus word;
-      word.mStanding =
+      AttemptStatus status;
+      status.mStatus =
         offered ? ClaimAttemptStatus::Answered : ClaimAttemptStatus::GaveUp;
-      word.mAnswer = offered ? action.mAnswer : ClaimAnswer();
-      mBook.End(attempt.mState.mNonce, word);
+      status.mAnswer = offered ? action.mAnswer : ClaimAnswer();
+      mRegistry.End(attempt.mState.mNonce, status);
       return OrderAnswer{ action.mAnswer, action.mReplayed };
     }
     if (action.mKind == ClaimActionKind::FinishRefuse) {
-      AttemptStatus word;
-      word.mStanding =
+      AttemptStatus status;
+      status.mStatus =
         offered ? ClaimAttemptStatus::Lost : ClaimAttemptStatus::GaveUp;
-      mBook.End(attempt.mState.mNonce, word);
+      mRegistry.End(attempt.mState.mNonce, status);
       Failure failure = FailureOf(action.mError, "order " + aOrder.mKey);
       failure.mRun = action.mRun;
       return Fail(failure);
     }
-    event = Do(attempt, action, aSendOrder);
+    event = Perform(attempt, action, aSendOrder);
     // From here on nobody is told that this attempt gave up.
     offered = offered || event.mKind == ClaimEventKind::Answered ||
               event.mKind == ClaimEventKind::AnswerLost;
@@ -116,19 +116,19 @@
 }
 
 ClaimEvent
-ClaimDriver::Do(Attempt& aAttempt,
-                const ClaimAction& aAction,
-                const std::function<ClaimEvent()>& aSendOrder)
+ClaimDriver::Perform(Attempt& aAttempt,
+                     const ClaimAction& aAction,
+                     const std::function<ClaimEvent()>& aSendOrder)
 {
-  ClaimRecord mine;
-  mine.mBodyDigest = aAttempt.mState.mBodyDigest;
-  mine.mCreator = mSelf;
-  mine.mNonce = aAttempt.mState.mNonce;
+  ClaimRecord claim;
+  claim.mBodyDigest = aAttempt.mState.mBodyDigest;
+  claim.mCreator = mSelf;
+  claim.mNonce = aAttempt.mState.mNonce;
   switch (aAction.mKind) {
     case ClaimActionKind::Create:
-      return Write(aAttempt, mine, 0);
+      return Write(aAttempt, claim, 0);
     case ClaimActionKind::TakeOver:
-      return Write(aAttempt, mine, aAction.mVersion);
+      return Write(aAttempt, claim, aAction.mVersion);
     case ClaimActionKind::Read:
       return Read(aAttempt);
     case ClaimActionKind::QueryCreator:
@@ -136,11 +136,13 @@
     case ClaimActionKind::ForwardOrder:
       return aSendOrder();
     case ClaimActionKind::StoreAnswer:
-      return Keep(aAttempt, ClaimRecordState::Answered, aAction.mVersion);
+      return StoreRecord(
+        aAttempt, ClaimRecordState::Answered, aAction.mVersion);
     case ClaimActionKind::StoreLost:
-      return Keep(aAttempt, ClaimRecordState::Lost, aAction.mVersion);
+      return StoreRecord(aAttempt, ClaimRecordState::Lost, aAction.mVersion);
     case ClaimActionKind::Release:
-      return Keep(aAttempt, ClaimRecordState::Released, aAction.mVersion);
+      return StoreRecord(
+        aAttempt, ClaimRecordState::Released, aAction.mVersion);
     default:
       return EventOf(ClaimEventKind::NoPlatform);
   }
@@ -188,7 +190,7 @@
 }
 
 ClaimLookup
-ClaimDriver::Look(const Order& aOrder)
+ClaimDriver::LookUp(const Order& aOrder)
 {
   Attempt attempt;
   attempt.mName = NameOf(aOrder);
@@ -196,62 +198,63 @@
   if (event.mKind == ClaimEventKind::NoPlatform) {
     return ClaimLookup::Unknown;
   }
-  bool free = event.mKind == ClaimEventKind::Absent ||
-              event.mRecord.mState == ClaimRecordState::Released;
-  return free ? ClaimLookup::Free : ClaimLookup::Held;
+  bool unclaimed = event.mKind == ClaimEventKind::Absent ||
+                   event.mRecord.mState == ClaimRecordState::Released;
+  return unclaimed ? ClaimLookup::Free : ClaimLookup::Held;
 }
 
 ClaimEvent
 ClaimDriver::QueryCreator(const ClaimAction& aAction)
 {
   if (aAction.mPeer == mSelf) {
-    return EventOfStatus(mBook.Ask(aAction.mNonce, kAskPeerWait));
+    return EventOfStatus(mRegistry.Await(aAction.mNonce, kQueryWait));
   }
   Json::Value params;
   params["of"] = aAction.mPeer;
   params["nonce"] = aAction.mNonce;
   auto answer = Outcome([&] {
     return mPeers.Call(
-      IncarnationAddress(aAction.mPeer), "claim.ask", params, kAskTime);
+      IncarnationAddress(aAction.mPeer), "claim.ask", params, kQueryTimeout);
   });
   auto* json = std::get_if<Json::Value>(&answer);
   if (!json) {
     return EventOf(ClaimEventKind::PeerUnknown);
   }
-  AttemptStatus word;
-  word.mKnownFields = (*json)["known"].asBool();
-  std::string standing = (*json)["standing"].asString();
-  word.mStanding = ClaimAttemptStatus::Lost;
+  AttemptStatus status;
+  status.mKnown = (*json)["known"].asBool();
+  std::string statusName = (*json)["standing"].asString();
+  status.mStatus = ClaimAttemptStatus::Lost;
   for (int i = 0; i < 4; ++i) {
-    if (standing == kStandingNames[i]) {
-      word.mStanding = static_cast<ClaimAttemptStatus>(i);
+    if (statusName == kStatusNames[i]) {
+      status.mStatus = static_cast<ClaimAttemptStatus>(i);
     }
   }
-  word.mAnswer = ClaimAnswerParse((*json)["answer"]);
-  return EventOfStatus(word);
+  status.mAnswer = ClaimAnswerParse((*json)["answer"]);
+  return EventOfStatus(status);
 }
 
 // A former life of this process knew attempts that this one doesn't: only
 // questions to this incarnation are answered.
 Json::Value
-ClaimDriver::OnAsk(const Json::Value& aParams)
+ClaimDriver::OnQuery(const Json::Value& aParams)
 {
   Json::Value answer;
   if (aParams["of"].asString() != mSelf) {
     answer["known"] = false;
     return answer;
   }
-  AttemptStatus word = mBook.Ask(aParams["nonce"].asString(), kAskPeerWait);
-  answer["known"] = word.mKnownFields;
-  answer["standing"] = kStandingNames[static_cast<int>(word.mStanding)];
-  answer["answer"] = ClaimAnswerJson(word.mAnswer);
+  AttemptStatus status =
+    mRegistry.Await(aParams["nonce"].asString(), kQueryWait);
+  answer["known"] = status.mKnown;
+  answer["standing"] = kStatusNames[static_cast<int>(status.mStatus)];
+  answer["answer"] = ClaimAnswerJson(status.mAnswer);
   return answer;
 }
 
 ClaimEvent
-ClaimDriver::Keep(const Attempt& aAttempt,
-                  ClaimRecordState aState,
-                  int64_t aVersion)
+ClaimDriver::StoreRecord(const Attempt& aAttempt,
+                         ClaimRecordState aState,
+                         int64_t aVersion)
 {
   ClaimRecord record;
   record.mState = aState;
@@ -279,13 +282,13 @@
 {
   LogInfo("claim_kept_later", { { "claim", aAttempt.mName } });
   mWorkers.Submit([this, aAttempt, aRecord, aVersion] {
-    constexpr int kRounds = 40;
-    constexpr Millis kFirst{ 200 };
-    constexpr Millis kMost{ 15000 };
-    Millis pause = kFirst;
-    for (int i = 0; i < kRounds; ++i) {
+    constexpr int kMaxAttempts = 40;
+    constexpr Millis kFirstPause{ 200 };
+    constexpr Millis kMaxPause{ 15000 };
+    Millis pause = kFirstPause;
+    for (int i = 0; i < kMaxAttempts; ++i) {
       std::this_thread::sleep_for(pause);
-      pause = std::min(pause * 2, kMost);
+      pause = std::min(pause * 2, kMaxPause);
       if (Write(aAttempt, aRecord, aVersion).mKind !=
           ClaimEventKind::NoPlatform) {
         return;
@@ -299,7 +302,7 @@
 ClaimDriver::AddMethods(
   const std::function<void(const char*, PeerMethod)>& aAdd)
 {
-  aAdd("claim.ask", [this](const auto& aParams) { return OnAsk(aParams); });
+  aAdd("claim.ask", [this](const auto& aParams) { return OnQuery(aParams); });
 }
 
 } // namespace caraway
--- a/src/serve/ClaimDriver.h
+++ b/src/serve/ClaimDriver.h
@@ -44,7 +44,7 @@
   ClaimDriver(std::string aSelf,
               PlatformApi& aPlatform,
               PeerClient& aPeers,
-              ClaimRegistry& aBook,
+              ClaimRegistry& aRegistry,
               WorkerPool& aWorkers,
               const Clock& aClock);
 
@@ -56,7 +56,7 @@
 
   // For an order that is about to be refused for another reason: an earlier
   // try of it may have run all the same.
-  ClaimLookup Look(const Order& aOrder);
+  ClaimLookup LookUp(const Order& aOrder);
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
 
@@ -67,26 +67,26 @@
     ClaimState mState;
   };
 
-  ClaimEvent Do(Attempt& aAttempt,
-                const ClaimAction& aAction,
-                const std::function<ClaimEvent()>& aSendOrder);
+  ClaimEvent Perform(Attempt& aAttempt,
+                     const ClaimAction& aAction,
+                     const std::function<ClaimEvent()>& aSendOrder);
   ClaimEvent Write(const Attempt& aAttempt,
                    const ClaimRecord& aRecord,
                    int64_t aExpected);
   ClaimEvent Read(const Attempt& aAttempt);
   ClaimEvent QueryCreator(const ClaimAction& aAction);
-  ClaimEvent Keep(const Attempt& aAttempt,
-                  ClaimRecordState aState,
-                  int64_t aVersion);
+  ClaimEvent StoreRecord(const Attempt& aAttempt,
+                         ClaimRecordState aState,
+                         int64_t aVersion);
   void StoreInBackground(const Attempt& aAttempt,
                          const ClaimRecord& aRecord,
                          int64_t aVersion);
-  Json::Value OnAsk(const Json::Value& aParams);
+  Json::Value OnQuery(const Json::Value& aParams);
 
   std::string mSelf; // incarnation
   PlatformApi& mPlatform;
   PeerClient& mPeers;
-  ClaimRegistry& mBook;
+  ClaimRegistry& mRegistry;
   WorkerPool& mWorkers;
   const Clock& mClock;
 };
--- a/src/serve/ClaimRegistry.cpp
+++ b/src/serve/ClaimRegistry.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr Seconds kRemember{ 900 };
+constexpr Seconds kRetention{ 900 };
 // A shard's answers; words without a body cost little and stay.
-constexpr size_t kMostBytes = 2 * 1024 * 1024;
+constexpr size_t kMaxShardBytes = 2 * 1024 * 1024;
 constexpr size_t kMaxShardEntries = 20000;
 
 } // namespace
@@ -30,38 +30,38 @@
   Shard& shard = ShardFor(aNonce);
   std::lock_guard<std::mutex> lock(shard.mLock);
   Entry& entry = shard.mEntries[aNonce];
-  entry.mWord.mKnownFields = true;
+  entry.mAttempt.mKnown = true;
 }
 
 void
-ClaimRegistry::End(const std::string& aNonce, const AttemptStatus& aWord)
+ClaimRegistry::End(const std::string& aNonce, const AttemptStatus& aStatus)
 {
   Shard& shard = ShardFor(aNonce);
   std::lock_guard<std::mutex> lock(shard.mLock);
   TimePoint now = mClock.Now();
   Entry& entry = shard.mEntries[aNonce];
-  entry.mWord = aWord;
-  entry.mWord.mKnownFields = true;
+  entry.mAttempt = aStatus;
+  entry.mAttempt.mKnown = true;
   entry.mEnded = now;
-  shard.mBytes += aWord.mAnswer.mBody.size();
+  shard.mBytes += aStatus.mAnswer.mBody.size();
   shard.mEnded.emplace_back(now, aNonce);
-  Forget(shard, now);
+  DropExpired(shard, now);
   shard.mChanged.notify_all();
 }
 
 void
-ClaimRegistry::Forget(Shard& aShard, TimePoint aNow)
+ClaimRegistry::DropExpired(Shard& aShard, TimePoint aNow)
 {
   while (!aShard.mEnded.empty()) {
-    bool old = aNow - aShard.mEnded.front().first > kRemember;
+    bool old = aNow - aShard.mEnded.front().first > kRetention;
     bool full =
-      aShard.mBytes > kMostBytes || aShard.mEnded.size() > kMaxShardEntries;
+      aShard.mBytes > kMaxShardBytes || aShard.mEnded.size() > kMaxShardEntries;
     if (!old && !full) {
       return;
     }
     auto entry = aShard.mEntries.find(aShard.mEnded.front().second);
     if (entry != aShard.mEntries.end()) {
-      aShard.mBytes -= entry->second.mWord.mAnswer.mBody.size();
+      aShard.mBytes -= entry->second.mAttempt.mAnswer.mBody.size();
       aShard.mEntries.erase(entry);
     }
     aShard.mEnded.pop_front();
@@ -69,18 +69,19 @@
 }
 
 AttemptStatus
-ClaimRegistry::Ask(const std::string& aNonce, Millis aWithin)
+ClaimRegistry::Await(const std::string& aNonce, Millis aWithin)
 {
   Shard& shard = ShardFor(aNonce);
   std::unique_lock<std::mutex> lock(shard.mLock);
   auto ended = [&] {
     auto entry = shard.mEntries.find(aNonce);
     return entry == shard.mEntries.end() ||
-           entry->second.mWord.mStanding != ClaimAttemptStatus::Running;
+           entry->second.mAttempt.mStatus != ClaimAttemptStatus::Running;
   };
   shard.mChanged.wait_for(lock, aWithin, ended);
   auto entry = shard.mEntries.find(aNonce);
-  return entry == shard.mEntries.end() ? AttemptStatus() : entry->second.mWord;
+  return entry == shard.mEntries.end() ? AttemptStatus()
+                                       : entry->second.mAttempt;
 }
 
 } // namespace caraway
--- a/src/serve/ClaimRegistry.h
+++ b/src/serve/ClaimRegistry.h
@@ -16,8 +16,8 @@
 
 struct AttemptStatus
 {
-  bool mKnownFields = false; // an attempt of ours
-  ClaimAttemptStatus mStanding = ClaimAttemptStatus::Running;
+  bool mKnown = false; // an attempt of ours
+  ClaimAttemptStatus mStatus = ClaimAttemptStatus::Running;
   ClaimAnswer mAnswer; // when Answered
 };
 
@@ -31,14 +31,14 @@
 
   void Begin(const std::string& aNonce);
   // Final: a word once given doesn't change.
-  void End(const std::string& aNonce, const AttemptStatus& aWord);
+  void End(const std::string& aNonce, const AttemptStatus& aStatus);
   // Waits up to aWithin while the attempt is running.
-  AttemptStatus Ask(const std::string& aNonce, Millis aWithin);
+  AttemptStatus Await(const std::string& aNonce, Millis aWithin);
 
 private:
   struct Entry
   {
-    AttemptStatus mWord;
+    AttemptStatus mAttempt;
     TimePoint mEnded{};
   };
   struct Shard
@@ -52,7 +52,7 @@
   static constexpr size_t kShards = 8;
 
   Shard& ShardFor(const std::string& aNonce);
-  void Forget(Shard& aShard, TimePoint aNow);
+  void DropExpired(Shard& aShard, TimePoint aNow);
 
   const Clock& mClock;
   std::array<Shard, kShards> mShards;
--- a/src/serve/EngineSlotFinder.cpp
+++ b/src/serve/EngineSlotFinder.cpp
@@ -7,7 +7,7 @@
 // An owner answers within ModelOwner::kMaxPollWait, or loads an adapter first.
 constexpr Millis kOwnerTimeout{ 2700 };
 constexpr Millis kReleaseTimeout{ 500 };
-constexpr int kOwners = 2; // asked in turn, of a zone
+constexpr int kMaxOwners = 2; // asked in turn, of a zone
 
 std::string
 OwnerKey(const EngineSlotRequest& aRequest)
@@ -27,9 +27,9 @@
 }
 
 Json::Value
-GrantJson(const std::function<Result<EngineSlotGrant>()>& aAsk)
+GrantJson(const std::function<Result<EngineSlotGrant>()>& aAcquire)
 {
-  auto answer = Outcome(aAsk);
+  auto answer = Outcome(aAcquire);
   if (auto* failure = std::get_if<Failure>(&answer)) {
     Json::Value json;
     json["kind"] = ErrorAnswerOf(failure->mKind).mName;
@@ -87,7 +87,7 @@
                           const Caller& aCaller,
                           InstanceInfo& aOwner)
 {
-  for (int i = 0; i < kOwners; ++i) {
+  for (int i = 0; i < kMaxOwners; ++i) {
     auto owner = mMembers.OwnerIn(aZone, OwnerKey(aRequest));
     if (!owner || owner->mId == mMembers.Self().mId) {
       break;
@@ -130,9 +130,9 @@
     return Result<EngineSlotGrant>(std::move(*grant));
   }
   const Failure& failure = std::get<Failure>(answer);
-  bool elsewhere = failure.mKind == ErrorKind::NoEndpoint ||
-                   failure.mKind == ErrorKind::NoCapacity;
-  if (elsewhere) {
+  bool noReplicaThere = failure.mKind == ErrorKind::NoEndpoint ||
+                        failure.mKind == ErrorKind::NoCapacity;
+  if (noReplicaThere) {
     return std::nullopt;
   }
   return Result<EngineSlotGrant>(Fail(failure));
@@ -163,8 +163,8 @@
 Result<void>
 EngineSlotFinder::CheckKey(const Caller& aCaller) const
 {
-  if (auto trouble = mKeys.Trouble(aCaller)) {
-    return Fail(*trouble, "the key, while the request waited");
+  if (auto keyError = mKeys.Recheck(aCaller)) {
+    return Fail(*keyError, "the key, while the request waited");
   }
   return {};
 }
--- a/src/serve/EngineStream.cpp
+++ b/src/serve/EngineStream.cpp
@@ -12,18 +12,18 @@
 
 namespace {
 
-constexpr Millis kConnect{ 500 };
-constexpr int kGone = 404;
+constexpr Millis kConnectTimeout{ 500 };
+constexpr int kModelNotLoaded = 404;
 constexpr size_t kLineLimit = 64 * 1024;
 
 Poco::Timespan
-Span(Millis aTime)
+TimespanOf(Millis aTime)
 {
   return Poco::Timespan(Micros(aTime).count());
 }
 
 std::string
-Body(const GenerateCall& aCall)
+BodyOf(const GenerateCall& aCall)
 {
   Json::Value body;
   body["request_id"] = aCall.mRequestId;
@@ -59,11 +59,11 @@
       return { GenerateOutcome::Broken, "an answer to another request" };
     }
     if (json["end"].asBool()) {
-      bool whole = json["n"].asInt64() == next;
-      return whole ? GenerateResult{ GenerateOutcome::Complete,
-                                     json["reason"].asString() }
-                   : GenerateResult{ GenerateOutcome::Broken,
-                                     "tokens are missing" };
+      bool complete = json["n"].asInt64() == next;
+      return complete ? GenerateResult{ GenerateOutcome::Complete,
+                                        json["reason"].asString() }
+                      : GenerateResult{ GenerateOutcome::Broken,
+                                        "tokens are missing" };
     }
     if (!json["t"].isString() || json["i"].asInt64() != next) {
       return { GenerateOutcome::Broken, "a token out of order" };
@@ -72,7 +72,7 @@
     if (!aOnToken(json["t"].asString())) {
       return { GenerateOutcome::Stopped, "" };
     }
-    aSession.socket().setReceiveTimeout(Span(aCall.mStall));
+    aSession.socket().setReceiveTimeout(TimespanOf(aCall.mStall));
   }
   return { GenerateOutcome::Broken, "the stream ended without its end marker" };
 }
@@ -85,7 +85,7 @@
 {
   HttpCall call;
   call.mAddress = aCall.mAddress;
-  call.mConnectTimeout = kConnect;
+  call.mConnectTimeout = kConnectTimeout;
   call.mTimeout = aCall.mFirstToken;
   std::string error;
   Poco::Net::StreamSocket socket = HttpConnect(call, error);
@@ -95,17 +95,17 @@
   try {
     Poco::Net::HTTPClientSession session(socket);
     // On the socket: a session given a connected one ignores its own timeout.
-    socket.setReceiveTimeout(Span(aCall.mFirstToken));
-    socket.setSendTimeout(Span(aCall.mFirstToken));
+    socket.setReceiveTimeout(TimespanOf(aCall.mFirstToken));
+    socket.setSendTimeout(TimespanOf(aCall.mFirstToken));
     Poco::Net::HTTPRequest request(
       "POST", "/generate", Poco::Net::HTTPMessage::HTTP_1_1);
-    std::string body = Body(aCall);
+    std::string body = BodyOf(aCall);
     request.setHost(aCall.mAddress);
     request.setContentLength(static_cast<std::streamsize>(body.size()));
     session.sendRequest(request) << body << std::flush;
     Poco::Net::HTTPResponse response;
     std::istream& in = session.receiveResponse(response);
-    if (response.getStatus() == kGone) {
+    if (response.getStatus() == kModelNotLoaded) {
       return { GenerateOutcome::Gone, "the engine hasn't the model" };
     }
     if (response.getStatus() != Poco::Net::HTTPResponse::HTTP_OK) {
--- a/src/serve/LeaveGate.cpp
+++ b/src/serve/LeaveGate.cpp
@@ -44,8 +44,8 @@
 LeaveGate::MayStart(TimePoint aAnswerBy, RunState aRun) const
 {
   std::lock_guard<std::mutex> lock(mLock);
-  constexpr Millis kUsual{ 0 }; // nothing is known of its like
-  if (!mPlan.MayStart(mClock.Now(), aAnswerBy, kUsual)) {
+  constexpr Millis kUnknownDuration{ 0 }; // nothing is known of its like
+  if (!mPlan.MayStart(mClock.Now(), aAnswerBy, kUnknownDuration)) {
     return Refuse(aRun);
   }
   return {};
--- a/src/serve/ModelCalls.cpp
+++ b/src/serve/ModelCalls.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double kBytesPerToken = 4;
-constexpr int kTries = 3;
+constexpr int kMaxAttempts = 3;
 
 Micros
 ElapsedMicros(TimePoint aFrom, TimePoint aTo)
@@ -41,10 +41,10 @@
 }
 
 EngineSlotRequest
-PlaceFor(const ModelCall& aCall, TimePoint aNow)
+SlotRequestFor(const ModelCall& aCall, TimePoint aNow)
 {
   const Profile& profile = aCall.mContext.mProfile;
-  Millis passed =
+  Millis elapsed =
     std::chrono::duration_cast<Millis>(aNow - aCall.mContext.mArrived);
   EngineSlotRequest request;
   request.mModel = profile.mModel;
@@ -53,8 +53,8 @@
   request.mClass = profile.mClass;
   request.mTokens = ModelCallCost(aCall);
   request.mRequestDigest = RequestDigest(aCall);
-  request.mStartWithin = profile.mFirstToken - passed;
-  request.mColdWithin = profile.mColdStart - passed;
+  request.mStartWithin = profile.mFirstToken - elapsed;
+  request.mColdWithin = profile.mColdStart - elapsed;
   request.mMaxHold = profile.mAnswer + profile.mColdStart;
   return request;
 }
@@ -82,17 +82,17 @@
 }
 
 EngineSlotRelease
-ReturnOf(const EngineSlotGrant& aGrant,
-         const GenerateResult& aResult,
-         const ModelAnswer& aSoFar)
+ReleaseOf(const EngineSlotGrant& aGrant,
+          const GenerateResult& aResult,
+          const ModelAnswer& aSoFar)
 {
-  EngineSlotRelease back;
-  back.mEngineSlotId = aGrant.mEngineSlotId;
-  back.mTokens = static_cast<double>(aSoFar.mTokens.size());
-  back.mGone = aResult.mEnd == GenerateOutcome::Gone;
-  back.mFailed = aResult.mEnd == GenerateOutcome::NotOffered ||
-                 aResult.mEnd == GenerateOutcome::Broken;
-  return back;
+  EngineSlotRelease release;
+  release.mEngineSlotId = aGrant.mEngineSlotId;
+  release.mTokens = static_cast<double>(aSoFar.mTokens.size());
+  release.mGone = aResult.mEnd == GenerateOutcome::Gone;
+  release.mFailed = aResult.mEnd == GenerateOutcome::NotOffered ||
+                    aResult.mEnd == GenerateOutcome::Broken;
+  return release;
 }
 
 } // namespace
@@ -103,13 +103,13 @@
   return PromptTokens(aCall) + aCall.mMaxTokens;
 }
 
-ModelCalls::ModelCalls(EngineSlotFinder& aPlaces,
+ModelCalls::ModelCalls(EngineSlotFinder& aSlotFinder,
                        ShareClient& aShares,
                        Authenticator& aKeys,
                        LeaveGate& aLeave,
                        Metrics& aMetrics,
                        const Clock& aClock)
-  : mPlaces(aPlaces)
+  : mSlotFinder(aSlotFinder)
   , mShares(aShares)
   , mKeys(aKeys)
   , mLeave(aLeave)
@@ -136,7 +136,7 @@
   if (auto* failure = std::get_if<Failure>(&answer)) {
     return Fail(*failure);
   }
-  mRetries.Succeeded();
+  mRetries.RecordSuccess();
   return std::get<ModelAnswer>(std::move(answer));
 }
 
@@ -153,7 +153,7 @@
                          aOffered ? RunState::MayHaveRun : RunState::NotRun);
 }
 
-ModelCalls::Try
+ModelCalls::Attempt
 ModelCalls::GenerateAttempt(
   const ModelCall& aCall,
   const EngineSlotGrant& aGrant,
@@ -165,8 +165,8 @@
   TimePoint deadline = context.mArrived + profile.mAnswer;
   Millis left = std::chrono::duration_cast<Millis>(deadline - mClock.Now());
   GenerateCall call = EngineCallOf(aCall, aGrant, aSoFar, left);
-  Try once;
-  once.mResult = EngineGenerate(call, [&](const std::string& aToken) {
+  Attempt attempt;
+  attempt.mResult = EngineGenerate(call, [&](const std::string& aToken) {
     TimePoint now = mClock.Now();
     if (aSoFar.mTokens.empty()) {
       mMetrics.Observe("first_token",
@@ -174,14 +174,14 @@
                        profile.mClass,
                        ElapsedMicros(context.mArrived, now));
     }
-    once.mKeyError = mKeys.Trouble(context.mCaller);
-    if (once.mKeyError || now > deadline) {
+    attempt.mKeyError = mKeys.Recheck(context.mCaller);
+    if (attempt.mKeyError || now > deadline) {
       return false;
     }
     aSoFar.mTokens.push_back(aToken);
     return aOnToken(aToken);
   });
-  return once;
+  return attempt;
 }
 
 // Takes up after the tokens that were passed on, elsewhere or at the same
@@ -196,21 +196,21 @@
   TimePoint deadline = context.mArrived + profile.mAnswer;
   bool offered = false;
   Failure last = FailureOf(ErrorKind::NoEndpoint, "no engine took it");
-  for (int i = 0; i < kTries && mClock.Now() < deadline; ++i) {
-    if (i > 0 && !mRetries.Spend()) {
+  for (int i = 0; i < kMaxAttempts && mClock.Now() < deadline; ++i) {
+    if (i > 0 && !mRetries.TryTake()) {
       break;
     }
     BOOST_LEAF_CHECK(MayStartAttempt(aCall, aSoFar, offered));
     InstanceInfo owner;
     // The last try is here: what broke the others may lie between the zones.
-    bool here = i + 1 == kTries;
+    bool lastAttempt = i + 1 == kMaxAttempts;
     auto request = [&] {
-      EngineSlotRequest place = PlaceFor(aCall, mClock.Now());
-      place.mNoRedirect = here;
-      return place;
+      EngineSlotRequest slotRequest = SlotRequestFor(aCall, mClock.Now());
+      slotRequest.mNoRedirect = lastAttempt;
+      return slotRequest;
     };
-    auto acquired =
-      Outcome([&] { return mPlaces.Acquire(request, context.mCaller, owner); });
+    auto acquired = Outcome(
+      [&] { return mSlotFinder.Acquire(request, context.mCaller, owner); });
     if (auto* failure = std::get_if<Failure>(&acquired)) {
       if (!offered) {
         return Fail(*failure);
@@ -219,16 +219,16 @@
       break;
     }
     const EngineSlotGrant& grant = std::get<EngineSlotGrant>(acquired);
-    auto late =
+    auto refused =
       FailureIn([&] { return MayStartAttempt(aCall, aSoFar, offered); });
-    if (late) {
-      mPlaces.ReleaseSlot(owner, { grant.mEngineSlotId, 0, false, false });
-      return Fail(*late);
+    if (refused) {
+      mSlotFinder.ReleaseSlot(owner, { grant.mEngineSlotId, 0, false, false });
+      return Fail(*refused);
     }
-    if (auto trouble = mKeys.Trouble(context.mCaller)) {
-      mPlaces.ReleaseSlot(owner, { grant.mEngineSlotId, 0, false, false });
+    if (auto keyError = mKeys.Recheck(context.mCaller)) {
+      mSlotFinder.ReleaseSlot(owner, { grant.mEngineSlotId, 0, false, false });
       Failure failure =
-        FailureOf(*trouble, "the key, while the request waited");
+        FailureOf(*keyError, "the key, while the request waited");
       failure.mRun = offered ? RunState::MayHaveRun : failure.mRun;
       return Fail(failure);
     }
@@ -237,31 +237,31 @@
                      context.mCaller.mTenant,
                      profile.mClass,
                      Micros(grant.mWaited));
-    Try once = GenerateAttempt(aCall, grant, aOnToken, aSoFar);
-    mPlaces.ReleaseSlot(owner, ReturnOf(grant, once.mResult, aSoFar));
-    if (once.mResult.mEnd == GenerateOutcome::Complete) {
-      aSoFar.mFinish = once.mResult.mReason;
+    Attempt attempt = GenerateAttempt(aCall, grant, aOnToken, aSoFar);
+    mSlotFinder.ReleaseSlot(owner, ReleaseOf(grant, attempt.mResult, aSoFar));
+    if (attempt.mResult.mEnd == GenerateOutcome::Complete) {
+      aSoFar.mFinish = attempt.mResult.mReason;
       mMetrics.Observe("whole",
                        context.mCaller.mTenant,
                        profile.mClass,
                        ElapsedMicros(context.mArrived, mClock.Now()));
       return aSoFar;
     }
-    if (once.mKeyError) {
-      Failure failure = FailureOf(*once.mKeyError, "the key, meanwhile");
+    if (attempt.mKeyError) {
+      Failure failure = FailureOf(*attempt.mKeyError, "the key, meanwhile");
       failure.mRun = RunState::MayHaveRun;
       return Fail(failure);
     }
     LogInfo("generation_broken",
             { { "request", context.mId },
               { "endpoint", grant.mEndpoint },
-              { "reason", once.mResult.mReason } });
-    if (once.mResult.mEnd == GenerateOutcome::Stopped) {
+              { "reason", attempt.mResult.mReason } });
+    if (attempt.mResult.mEnd == GenerateOutcome::Stopped) {
       return Fail(ErrorKind::EndpointFailed, "stopped");
     }
-    if (once.mResult.mEnd == GenerateOutcome::Broken) {
+    if (attempt.mResult.mEnd == GenerateOutcome::Broken) {
       offered = true;
-      last = FailureOf(ErrorKind::EndpointFailed, once.mResult.mReason);
+      last = FailureOf(ErrorKind::EndpointFailed, attempt.mResult.mReason);
     }
   }
   return Fail(last);
--- a/src/serve/ModelCalls.h
+++ b/src/serve/ModelCalls.h
@@ -37,7 +37,7 @@
 class ModelCalls
 {
 public:
-  ModelCalls(EngineSlotFinder& aPlaces,
+  ModelCalls(EngineSlotFinder& aSlotFinder,
              ShareClient& aShares,
              Authenticator& aKeys,
              LeaveGate& aLeave,
@@ -54,7 +54,7 @@
 
 private:
   // One generation at one engine, and what the key had against it.
-  struct Try
+  struct Attempt
   {
     GenerateResult mResult;
     std::optional<ErrorKind> mKeyError;
@@ -64,15 +64,16 @@
   Result<void> MayStartAttempt(const ModelCall& aCall,
                                const ModelAnswer& aSoFar,
                                bool aOffered) const;
-  Try GenerateAttempt(const ModelCall& aCall,
-                      const EngineSlotGrant& aGrant,
-                      const std::function<bool(const std::string&)>& aOnToken,
-                      ModelAnswer& aSoFar);
+  Attempt GenerateAttempt(
+    const ModelCall& aCall,
+    const EngineSlotGrant& aGrant,
+    const std::function<bool(const std::string&)>& aOnToken,
+    ModelAnswer& aSoFar);
   Result<ModelAnswer> Generate(
     const ModelCall& aCall,
     const std::function<bool(const std::string&)>& aOnToken,
     ModelAnswer& aSoFar);
-  EngineSlotFinder& mPlaces;
+  EngineSlotFinder& mSlotFinder;
   ShareClient& mShares;
   Authenticator& mKeys;
   LeaveGate& mLeave;
--- a/src/serve/RetryBudget.h
+++ b/src/serve/RetryBudget.h
@@ -12,26 +12,26 @@
 class RetryBudget
 {
 public:
-  void Succeeded()
+  void RecordSuccess()
   {
     std::lock_guard<std::mutex> lock(mLock);
-    mSaved = std::min(kMost, mSaved + kPerSuccess);
+    mAvailable = std::min(kMaxRetries, mAvailable + kRetriesPerSuccess);
   }
-  bool Spend()
+  bool TryTake()
   {
     std::lock_guard<std::mutex> lock(mLock);
-    if (mSaved < 1) {
+    if (mAvailable < 1) {
       return false;
     }
-    mSaved -= 1;
+    mAvailable -= 1;
     return true;
   }
 
 private:
-  static constexpr double kMost = 10;
-  static constexpr double kPerSuccess = 0.1;
+  static constexpr double kMaxRetries = 10;
+  static constexpr double kRetriesPerSuccess = 0.1;
   std::mutex mLock;
-  double mSaved = kMost;
+  double mAvailable = kMaxRetries;
 };
 
 } // namespace caraway
--- a/src/serve/ServiceCalls.cpp
+++ b/src/serve/ServiceCalls.cpp
@@ -10,8 +10,8 @@
 
 constexpr double kTokensPerServiceCall = 1;
 constexpr Millis kSuspectPeriod{ 2000 };
-constexpr Millis kConnect{ 500 };
-constexpr Millis kLeast{ 1 };
+constexpr Millis kConnectTimeout{ 500 };
+constexpr Millis kMinTimeout{ 1 };
 
 OrderAnswer
 AnswerOf(const HttpReply& aReply)
@@ -50,8 +50,8 @@
   }
   std::lock_guard<std::mutex> lock(mLock);
   if (!endpoints.empty()) {
-    size_t turn = mTurn++ % endpoints.size();
-    std::rotate(endpoints.begin(), endpoints.begin() + turn, endpoints.end());
+    size_t offset = mNextEndpoint++ % endpoints.size();
+    std::rotate(endpoints.begin(), endpoints.begin() + offset, endpoints.end());
   }
   TimePoint now = mClock.Now();
   // Suspects go last and not away: when all are suspect, one is still tried.
@@ -81,9 +81,9 @@
   call.mMethod = aCall.mMethod;
   call.mPath = aCall.mPath;
   call.mBody = aCall.mBody;
-  call.mConnectTimeout = kConnect;
+  call.mConnectTimeout = kConnectTimeout;
   call.mTimeout = std::max(
-    kLeast, std::chrono::duration_cast<Millis>(aDeadline - mClock.Now()));
+    kMinTimeout, std::chrono::duration_cast<Millis>(aDeadline - mClock.Now()));
   call.mHeaders = { { "X-Request-Id", aCall.mContext.mId } };
   if (!aCall.mContentType.empty()) {
     call.mHeaders.emplace_back("Content-Type", aCall.mContentType);
@@ -123,7 +123,7 @@
                           const Failure& aFailure)
 {
   Order order = OrderOf(aCall, aDeadline);
-  switch (mClaims.Look(order)) {
+  switch (mClaims.LookUp(order)) {
     case ClaimLookup::Free:
       return Fail(aFailure);
     case ClaimLookup::Unknown:
@@ -172,14 +172,14 @@
   Failure last = FailureOf(ErrorKind::NoEndpoint, "no endpoint in its group");
   bool first = true;
   for (const EndpointSpec& endpoint : Endpoints(aCall.mContext)) {
-    if (mClock.Now() >= aDeadline || (!first && !mRetries.Spend())) {
+    if (mClock.Now() >= aDeadline || (!first && !mRetries.TryTake())) {
       break;
     }
     BOOST_LEAF_CHECK(mLeave.MayStart(aDeadline, last.mRun));
     first = false;
     HttpReply reply = Send(aCall, endpoint, aDeadline);
     if (reply.mStage == HttpStage::Answered) {
-      mRetries.Succeeded();
+      mRetries.RecordSuccess();
       return AnswerOf(reply);
     }
     bool lost = reply.mStage == HttpStage::Lost;
--- a/src/serve/ServiceCalls.h
+++ b/src/serve/ServiceCalls.h
@@ -60,7 +60,7 @@
   const Clock& mClock;
   RetryBudget mRetries;
   std::mutex mLock;
-  size_t mTurn = 0;
+  size_t mNextEndpoint = 0;
   std::map<std::string, TimePoint> mSuspectUntil; // endpoint: until
 };
 
