--- a/src/serve/Authenticator.cpp
+++ b/src/serve/Authenticator.cpp
@@ -21,19 +21,21 @@
 {
   ConfigPtr config = mConfig.Current();
   if (config->mRevision == 0) {
-    return Fail(ErrorKind::NotReady, "no configuration has been read yet");
+    return Fail(ErrorKind::NotReady, "no configuration has been loaded yet");
   }
   if (aHeader.compare(0, kBearer.size(), kBearer) != 0) {
     return Fail(ErrorKind::KeyMissing, "send Authorization: Bearer KEY");
   }
   if (mConfig.Age() > mMaxAge) {
     return Fail(ErrorKind::KeyStateStale,
-                "cut off from the platform and all peers");
+                "the configuration was not confirmed by the platform or a peer "
+                "within the allowed age");
   }
   std::string digest = DigestHex(aHeader.substr(kBearer.size()));
   auto id = config->mKeyIdByDigest.find(digest);
   if (id == config->mKeyIdByDigest.end()) {
-    return Fail(ErrorKind::KeyUnknown, "not granted, or withdrawn");
+    return Fail(ErrorKind::KeyUnknown,
+                "the key was never granted or has been withdrawn");
   }
   const TenantKey& key = config->mKeys.at(id->second);
   return Caller{ key.mId, key.mDigest, key.mTenant };
--- a/src/serve/Authenticator.h
+++ b/src/serve/Authenticator.h
@@ -1,4 +1,4 @@
-// Authenticator.h: whose key is it, and is it still good?
+// Authenticator.h: checks tenant keys against the configuration in force.
 #ifndef caraway_serve_Authenticator_h
 #define caraway_serve_Authenticator_h
 
@@ -17,20 +17,21 @@
   std::string mTenant;
 };
 
-// Keys are looked up by their digest in the configuration in force. An
-// instance that can't confirm its configuration goes on with what was valid
-// for aMaxAge, and then refuses: a key withdrawn elsewhere meanwhile works no
-// longer than that.
+// Looks keys up by their digest in the configuration in force. An instance that
+// can't confirm its configuration accepts the last known keys for aMaxAge and
+// refuses all requests after that, so a key withdrawn elsewhere in the meantime
+// stays valid no longer than aMaxAge.
 class Authenticator
 {
 public:
   Authenticator(const ConfigHolder& aConfig, Millis aMaxAge);
 
-  // aHeader is the Authorization header. KeyMissing, KeyUnknown,
+  // aHeader: value of the Authorization header. Errors: KeyMissing, KeyUnknown,
   // KeyStateStale, NotReady.
   Result<Caller> Authenticate(const std::string& aHeader) const;
-  // For work that goes on, waiting requests and streams: what has come between
-  // (KeyUnknown: withdrawn; KeyStateStale), or nothing.
+  // Rechecks the key of a waiting request or a running stream. Returns
+  // KeyUnknown if it was withdrawn, KeyStateStale, or nothing while it is
+  // valid.
   std::optional<ErrorKind> Recheck(const Caller& aCaller) const;
 
 private:
--- a/src/serve/Briefing.h
+++ b/src/serve/Briefing.h
@@ -1,4 +1,5 @@
-// Briefing.h: a request that may wait, kept at the platform until collected.
+// Briefing.h: a request that may wait, stored at the platform until its result
+// is fetched.
 #ifndef caraway_serve_Briefing_h
 #define caraway_serve_Briefing_h
 
@@ -11,20 +12,20 @@
 
 enum class BriefingState
 {
-  Accepted, // kept; not ended yet
-  Done,     // mAnswer is its result
-  Refused,  // mAnswer is the problem document; final
+  Accepted, // stored, not finished yet
+  Done,     // mAnswer holds the result
+  Refused,  // final; mAnswer holds the problem document
 };
 
 struct Briefing
 {
   std::string mId;
   BriefingState mState = BriefingState::Accepted;
-  Caller mCaller; // whose key it came with; its digest, never the key
+  Caller mCaller; // who submitted it; holds the key's digest, never the key
   std::string mProfile;
   Json::Value mMessages;
-  int mMaxTokens = 0;   // 0 = the profile's
-  int64_t mExpires = 0; // calendar ms; refused for good after it
+  int mMaxTokens = 0;   // 0 = limit of the profile
+  int64_t mExpires = 0; // Unix time in ms; refused for good after it
   Json::Value mAnswer;
 };
 
--- a/src/serve/BriefingRunner.cpp
+++ b/src/serve/BriefingRunner.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr Millis kRetryInterval{ 2000 };
-constexpr size_t kMaxConcurrent = 4; // of one instance
+constexpr size_t kMaxConcurrent = 4; // per instance
 
 std::optional<Briefing>
 Finished(Briefing aBriefing, BriefingState aState, Json::Value aAnswer)
 {
   aBriefing.mState = aState;
   aBriefing.mAnswer = std::move(aAnswer);
-  aBriefing.mMessages = Json::Value(); // not needed any more
+  aBriefing.mMessages = Json::Value(); // no longer needed
   return aBriefing;
 }
 
@@ -97,17 +97,19 @@
     std::chrono::duration_cast<Millis>(mClock.WallNow().time_since_epoch())
       .count();
   if (now > aBriefing.mExpires) {
-    return refuse(ErrorKind::DeadlinePassed, "it couldn't be run in its time");
+    return refuse(ErrorKind::DeadlinePassed,
+                  "the briefing expired before it could run");
   }
   const auto& keys = call.mContext.mConfig->mKeys;
   auto key = keys.find(aBriefing.mCaller.mKeyId);
   if (key == keys.end() || key->second.mDigest != aBriefing.mCaller.mDigest) {
-    return refuse(ErrorKind::KeyUnknown, "its key was withdrawn");
+    return refuse(ErrorKind::KeyUnknown, "the briefing's key was withdrawn");
   }
   const auto& profiles = call.mContext.mConfig->mProfiles;
   auto profile = profiles.find(aBriefing.mProfile);
   if (profile == profiles.end() || profile->second.mModel.empty()) {
-    return refuse(ErrorKind::ProfileUnknown, "its profile was removed");
+    return refuse(ErrorKind::ProfileUnknown,
+                  "the briefing's profile was removed");
   }
   call.mContext.mProfile = profile->second;
   call.mMaxTokens =
@@ -118,7 +120,8 @@
     [&] { return mModels.Run(call, [](const auto&) { return true; }); });
   if (auto* failure = std::get_if<Failure>(&answer)) {
     if (failure->mKind == ErrorKind::CostAboveBurst) {
-      return refuse(failure->mKind, "it costs more than the tenant's burst");
+      return refuse(failure->mKind,
+                    "the briefing costs more tokens than the tenant's burst");
     }
     LogInfo("briefing_later",
             { { "briefing", aBriefing.mId }, { "reason", failure->mDetail } });
--- a/src/serve/BriefingRunner.h
+++ b/src/serve/BriefingRunner.h
@@ -1,4 +1,4 @@
-// BriefingRunner.h: runs the briefings that are owed.
+// BriefingRunner.h: runs the open briefings.
 #ifndef caraway_serve_BriefingRunner_h
 #define caraway_serve_BriefingRunner_h
 
@@ -17,10 +17,11 @@
 
 namespace caraway {
 
-// Each list of open briefings is looked after by one instance of the whole
-// fleet, any of them. Two at once, after a cut, run a briefing twice; the
-// first ending stays. A refusal for the moment (rate, capacity) is tried
-// again later; only its time, its key's withdrawal or a lost profile end it.
+// Each list of open briefings is owned by one instance of the whole fleet. If a
+// partition gives a list two owners, a briefing may run twice; the first result
+// that is stored stays. A temporary refusal (rate, capacity) is retried later;
+// only expiry, a withdrawn key, a removed profile or a cost above the tenant's
+// burst ends a briefing.
 class BriefingRunner
 {
 public:
@@ -31,12 +32,14 @@
                  WorkerPool& aWorkers,
                  const Clock& aClock);
 
-  // Looks at the lists that are ours; starts what isn't running yet.
+  // Reads the lists that this instance owns and starts briefings that aren't
+  // running yet.
   void Round();
 
 private:
   void Run(const std::string& aId);
-  // Its ending; nothing when it can't run now and stays open.
+  // Returns the finished briefing, or nothing if it can't run now and stays
+  // open.
   std::optional<Briefing> TryRun(const Briefing& aBriefing);
 
   BriefingStore& mStore;
--- a/src/serve/BriefingSteps.cpp
+++ b/src/serve/BriefingSteps.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Longer than any write is on its way, and than any read is behind.
+// Longer than any write can be in flight and any read can be stale.
 constexpr Seconds kMissingGrace{ 600 };
 
 } // namespace
@@ -26,7 +26,7 @@
     ended = MissingForTooLong(aId);
   }
   if (ended) {
-    // Where this fails the next turn finds it ended and tries again.
+    // If this fails, the next round finds the briefing finished and retries.
     FailureIn([&] { return mStore.Close(aId); });
   }
   return ended;
--- a/src/serve/BriefingSteps.h
+++ b/src/serve/BriefingSteps.h
@@ -1,4 +1,4 @@
-// BriefingSteps.h: what becomes of one listed briefing at a time.
+// BriefingSteps.h: processes one listed briefing at a time.
 #ifndef caraway_serve_BriefingSteps_h
 #define caraway_serve_BriefingSteps_h
 
@@ -13,31 +13,32 @@
 
 namespace caraway {
 
-// The order of things: an ending is in force before the list forgets the
-// briefing. In the other order an instance that died in between would have
-// lost it, accepted and without an answer.
+// Stores the result before it removes the briefing from the list. In the other
+// order, an instance that died in between would lose an accepted briefing
+// without an answer.
 class BriefingSteps
 {
 public:
-  // Its ending, or nothing for now.
+  // Returns the finished briefing, or nothing if it can't run now.
   using Attempt = std::function<std::optional<Briefing>(const Briefing&)>;
 
   BriefingSteps(BriefingStore& aStore, const Clock& aClock);
 
-  // True: it has ended, here or elsewhere, and is off the list or soon will
-  // be. False: still owed.
+  // True if the briefing has finished, here or elsewhere; it is off the list,
+  // or will be after a retry. False if it is still open.
   bool Take(const std::string& aId, const Attempt& aAttempt);
 
 private:
   bool RunIfOpen(StoredBriefing& aStored, const Attempt& aAttempt);
-  // Listed, not kept: its caller was never told that it was accepted. But the
-  // keeping may still be on its way, so not at once.
+  // True if a listed briefing has had no stored object for kMissingGrace. Its
+  // caller was never told that it was accepted, but the write may still be in
+  // flight, so it isn't dropped at once.
   bool MissingForTooLong(const std::string& aId);
 
   BriefingStore& mStore;
   const Clock& mClock;
   std::mutex mLock;
-  std::map<std::string, TimePoint> mMissing; // since
+  std::map<std::string, TimePoint> mMissing; // first seen missing, by id
 };
 
 } // namespace caraway
--- a/src/serve/BriefingStore.cpp
+++ b/src/serve/BriefingStore.cpp
@@ -64,7 +64,8 @@
     }
     list = result.mObject;
   }
-  return Fail(ErrorKind::PlatformUnavailable, "the list of open briefings");
+  return Fail(ErrorKind::PlatformUnavailable,
+              "the list of open briefings could not be updated");
 }
 
 Result<void>
@@ -73,15 +74,15 @@
   BOOST_LEAF_CHECK(ChangeList(aBriefing.mId, true));
   WriteResult result = mPlatform.Write(
     { kKind, aBriefing.mId, 0, RandomId(), BriefingJson(aBriefing) });
-  // Its id is drawn: whatever stands under it came from this write, whose
-  // answer was lost, and another instance has taken it up since.
+  // The id is random, so an object found under it came from this write: its
+  // answer was lost, and another instance may have updated the object since.
   bool kept =
     result.mEnd == WriteOutcome::Done ||
     (result.mEnd == WriteOutcome::Conflict && result.mObject.mVersion > 0);
   if (!kept) {
-    Failure failure =
-      FailureOf(ErrorKind::PlatformUnavailable, "the briefing isn't kept");
-    failure.mRun = RunState::MayHaveRun; // it may be kept after all, and run
+    Failure failure = FailureOf(ErrorKind::PlatformUnavailable,
+                                "the briefing could not be stored");
+    failure.mRun = RunState::MayHaveRun; // the write may still take effect
     return Fail(failure);
   }
   return {};
@@ -102,7 +103,8 @@
   bool known =
     result.mEnd == WriteOutcome::Done || result.mEnd == WriteOutcome::Conflict;
   if (!known) {
-    return Fail(ErrorKind::PlatformUnavailable, "the ending isn't kept yet");
+    return Fail(ErrorKind::PlatformUnavailable,
+                "the briefing's result could not be stored");
   }
   return {};
 }
--- a/src/serve/BriefingStore.h
+++ b/src/serve/BriefingStore.h
@@ -1,4 +1,5 @@
-// BriefingStore.h: briefings at the platform, and the lists of open ones.
+// BriefingStore.h: stores briefings at the platform, with lists of the open
+// ones.
 #ifndef caraway_serve_BriefingStore_h
 #define caraway_serve_BriefingStore_h
 
@@ -16,8 +17,8 @@
   int64_t mVersion = 0;
 };
 
-// One object per briefing, and a few objects that list the open ones, so that
-// whoever comes after all instances have died finds what is still owed.
+// Holds one object per briefing and a few objects that list the open ones, so
+// that open briefings are found again after all instances have died.
 class BriefingStore
 {
 public:
@@ -26,13 +27,15 @@
 
   explicit BriefingStore(PlatformApi& aPlatform);
 
-  // Listed first and then kept: a listed one that isn't kept is dropped from
-  // the list by its runner, a kept one that isn't listed would be lost.
-  // PlatformUnavailable when it can't be told that both are in force; the
-  // caller must not be told that it was accepted then.
+  // Adds the briefing to its list first and stores it second: a listed briefing
+  // that isn't stored is dropped from the list by its runner, while a stored
+  // one that isn't listed would be lost. PlatformUnavailable if it is uncertain
+  // whether both writes took effect; the caller must not be told then that the
+  // briefing was accepted.
   Result<void> Keep(const Briefing& aBriefing);
   Result<StoredBriefing> Read(const std::string& aId);
-  // Only an accepted one is replaced: the first ending stays.
+  // Replaces a briefing only while it is in state Accepted: the first result
+  // stays.
   Result<void> End(StoredBriefing& aStored, const Briefing& aEnded);
   Result<std::set<std::string>> Open(int aList);
   Result<void> Close(const std::string& aId);
--- a/src/serve/CallerAnswer.cpp
+++ b/src/serve/CallerAnswer.cpp
@@ -90,14 +90,15 @@
       chunks->rdbuf()->close();
     }
   } catch (const Poco::Exception&) {
-    // Its caller has gone.
+    // The caller has disconnected.
   }
 }
 
 bool
 CallerAnswer::AnswerShuttingDown(const std::string& aWhy)
 {
-  // Held for longer, the handler is writing to a caller that doesn't read.
+  // If the lock is held for longer, the handler is writing to a caller that
+  // doesn't read.
   constexpr Millis kLockTimeout{ 5 };
   std::unique_lock<std::timed_mutex> lock(mLock, kLockTimeout);
   if (!lock.owns_lock()) {
@@ -122,7 +123,7 @@
   try {
     ProblemSendNow(mResponse, failure, mRequestId);
   } catch (const Poco::Exception&) {
-    // Its caller has gone.
+    // The caller has disconnected.
   }
   return mBegun;
 }
--- a/src/serve/CallerAnswer.h
+++ b/src/serve/CallerAnswer.h
@@ -1,4 +1,4 @@
-// CallerAnswer.h: the one answer to one request.
+// CallerAnswer.h: the single response to one request.
 #ifndef caraway_serve_CallerAnswer_h
 #define caraway_serve_CallerAnswer_h
 
@@ -12,29 +12,30 @@
 
 namespace caraway {
 
-// Written by the request's handler, or at the instance's end by the port while
-// the handler still waits for somebody: whoever comes second writes nothing.
+// Written by the request's handler or, at shutdown, by the port while the
+// handler still waits. Whichever comes second writes nothing.
 class CallerAnswer
 {
 public:
   using Response = Poco::Net::HTTPServerResponse;
 
-  // aBefore: what is known of the work before this request begins it.
+  // aBefore: run state reported if the port answers before Begin().
   CallerAnswer(Response& aResponse, std::string aRequestId, RunState aBefore);
 
-  // Work may begin whose answer this will be. False: it was given up.
+  // Marks the start of work for this request. False if the port has already
+  // answered.
   bool Begin();
-  // aWrite sends a whole answer. False: there is one already.
+  // Calls aWrite to send a complete response. False if one was sent already.
   bool Send(const std::function<void(Response&)>& aWrite);
-  // One event of a stream; the first sends the head. False: the caller has
-  // gone, or it was given up.
+  // Sends one event of a stream; the first one sends the response head. False
+  // if the caller has disconnected or the port has ended the stream.
   bool Event(const char* aName, const std::string& aData);
-  // No event follows.
+  // Called after the last event of a stream.
   void EndEvents();
   bool Streaming() const;
 
-  // The last answer in the handler's place, where nobody is writing one. True
-  // when work had begun and is cut.
+  // Answers ShuttingDown in place of the handler, unless a response was sent or
+  // is being written. True if work had begun and is cut off.
   bool AnswerShuttingDown(const std::string& aWhy);
 
 private:
@@ -45,7 +46,7 @@
   std::string mRequestId;
   RunState mRun;
   mutable std::timed_mutex mLock;
-  std::ostream* mOut = nullptr; // of a stream
+  std::ostream* mOut = nullptr; // set once a stream has begun
   bool mBegun = false;
   bool mDone = false;
 };
--- a/src/serve/CallerPort.cpp
+++ b/src/serve/CallerPort.cpp
@@ -15,7 +15,7 @@
 const std::string kServices = "/v1/services/";
 const std::string kBriefings = "/v1/briefings/";
 constexpr size_t kIdDigits = 32;
-// A briefing that couldn't be run for so long is refused for good.
+// A briefing that could not be run within this time is refused for good.
 constexpr std::chrono::hours kBriefingLifetime{ 24 };
 constexpr size_t kIdempotencyKeyLimit = 256;
 
@@ -29,7 +29,9 @@
 Begin(CallerAnswer& aAnswer)
 {
   if (!aAnswer.Begin()) {
-    return Fail(ErrorKind::ShuttingDown, "ask another instance");
+    return Fail(
+      ErrorKind::ShuttingDown,
+      "this instance is shutting down; send the request to another one");
   }
   return {};
 }
@@ -39,7 +41,7 @@
 {
   ModelCall call;
   if (!aJson.isObject() || !aJson["model"].isString()) {
-    return Fail(ErrorKind::BadRequest, "model: name a profile");
+    return Fail(ErrorKind::BadRequest, "model: expected the name of a profile");
   }
   call.mMessages = aJson["messages"];
   if (!call.mMessages.isArray() || call.mMessages.empty()) {
@@ -110,7 +112,7 @@
 CallerPort::Open()
 {
   mSettings.mLimits.mOverloadBody = JsonWrite(ProblemJson(
-    FailureOf(ErrorKind::QueueFull, "all connections are taken"), RandomId()));
+    FailureOf(ErrorKind::QueueFull, "all connections are in use"), RandomId()));
   mPort = std::make_unique<HttpPort>(
     mSettings.mListen, mSettings.mLimits, [this](auto& aIn, auto& aOut) {
       Handle(aIn, aOut);
@@ -120,13 +122,14 @@
 int
 CallerPort::AnswerShuttingDown(TimePoint aUntil)
 {
-  constexpr Millis kSend{ 20 }; // to a caller that doesn't read
+  constexpr Millis kSend{ 20 }; // per caller that doesn't read
   mPort->LimitSendTime(kSend);
   std::lock_guard<std::mutex> lock(mLock);
   int cut = 0;
   for (CallerAnswer* answer : mPendingAnswers) {
     bool expired = mClock.Now() >= aUntil;
-    cut += expired || answer->AnswerShuttingDown("its time to finish is over")
+    cut += expired ||
+               answer->AnswerShuttingDown("the shutdown time limit was reached")
              ? 1
              : 0;
   }
@@ -140,7 +143,7 @@
   context.mId = RandomId();
   context.mArrived = mClock.Now();
   context.mConfig = mConfig.Current();
-  // An order may have run when it was sent before, elsewhere.
+  // An order may have run in an earlier attempt at another instance.
   CallerAnswer answer(aResponse,
                       context.mId,
                       aRequest.has("Idempotency-Key") ? RunState::MayHaveRun
@@ -159,13 +162,16 @@
 Failure
 CallerPort::RefuseWhileDraining(Request& aRequest) const
 {
-  // Unread, it would have the connection reset before the answer is seen.
+  // With the body unread, the connection would be reset before the caller sees
+  // the response.
   Outcome([&] {
     return HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTime);
   });
-  Failure failure = FailureOf(ErrorKind::ShuttingDown, "ask another instance");
+  Failure failure = FailureOf(
+    ErrorKind::ShuttingDown,
+    "this instance is shutting down; send the request to another one");
   if (aRequest.has("Idempotency-Key")) {
-    // Not here; but the order may have run when it was sent before.
+    // It doesn't run here, but may have run in an earlier attempt.
     failure.mRun = RunState::MayHaveRun;
   }
   return failure;
@@ -188,7 +194,7 @@
             { "run", RunStateName(aFailure.mRun) },
             { "reason", aFailure.mDetail } });
   aAnswer.Send([&](Response& aResponse) {
-    // What is left of the body unread would be taken for the next request.
+    // An unread rest of the body would be parsed as the next request.
     aResponse.setKeepAlive(false);
     ProblemSend(aResponse, aFailure, aContext.mId);
   });
@@ -206,7 +212,7 @@
   try {
     path = Poco::URI(aRequest.getURI()).getPathEtc();
   } catch (const Poco::Exception&) {
-    return Fail(ErrorKind::BadRequest, "the path can't be read");
+    return Fail(ErrorKind::BadRequest, "the path can't be parsed");
   }
   if (path == "/v1/chat/completions" && aRequest.getMethod() == "POST") {
     return Chat(aRequest, aAnswer, aContext);
@@ -225,7 +231,8 @@
   if (path.compare(0, kServices.size(), kServices) == 0) {
     return Service(aRequest, aAnswer, aContext, path.substr(kServices.size()));
   }
-  return Fail(ErrorKind::NotFound, "see the README for the paths");
+  return Fail(ErrorKind::NotFound,
+              "unknown path; the README lists the valid ones");
 }
 
 void
@@ -246,7 +253,8 @@
   aAnswer.Send([&](Response& aResponse) { JsonSend(aResponse, 200, json); });
 }
 
-// A profile of another tenant is answered like one that doesn't exist.
+// A profile of another tenant is reported as unknown, so that its existence
+// isn't disclosed.
 Result<void>
 CallerPort::FindProfile(RequestContext& aContext,
                         const std::string& aName) const
@@ -316,14 +324,14 @@
   return {};
 }
 
-// "Accepted" is said only when it is kept at the platform: from then on it
-// outlives every instance.
+// Reports "accepted" only after the briefing is stored at the platform, where
+// it survives the loss of every instance.
 Result<void>
 CallerPort::Accept(Request& aRequest,
                    CallerAnswer& aAnswer,
                    RequestContext& aContext)
 {
-  bool wantsStream = false; // a briefing is collected, never streamed
+  bool wantsStream = false; // ignored: briefings are fetched, never streamed
   BOOST_LEAF_AUTO(call, ReadChat(aRequest, aContext, wantsStream));
 
   Briefing briefing;
--- a/src/serve/CallerPort.h
+++ b/src/serve/CallerPort.h
@@ -1,4 +1,4 @@
-// CallerPort.h: the HTTP conventions that callers know.
+// CallerPort.h: the HTTP API for callers.
 #ifndef caraway_serve_CallerPort_h
 #define caraway_serve_CallerPort_h
 
@@ -24,12 +24,12 @@
   std::string mListen;
   HttpPortLimits mLimits;
   size_t mBodyLimit = 1024 * 1024; // bytes
-  Millis mBodyTime{ 10000 };       // for the whole body
+  Millis mBodyTime{ 10000 };       // to receive the complete body
 };
 
 // POST /v1/chat/completions   a model profile; "stream": true for events
 // GET  /v1/models             the profiles that the key may use
-// POST /v1/briefings          a model profile that may wait: 202 once kept
+// POST /v1/briefings          a model profile that may wait: 202 once stored
 // GET  /v1/briefings/ID       its state, and its result or final refusal
 // *    /v1/services/PROFILE/… a plain service, body and method passed through
 class CallerPort
@@ -46,32 +46,34 @@
 
   void Open();
   std::string Address() const { return mPort->Address(); }
-  // Requests between their first byte and their last.
+  // Requests whose first byte has arrived and whose response isn't complete.
   int InFlight() const { return mPort->Busy(); }
-  // Serves on; each answer ends its connection, so that callers go elsewhere.
+  // Keeps serving, but closes each connection after its response so that
+  // callers reconnect to another instance.
   void Leave() { mPort->Leave(); }
-  // What is under way goes on. New requests are refused at once: whoever still
-  // connects after the balancer's lag would otherwise wait in the listener for
-  // our end, and be reset with its request sent.
+  // Lets requests in flight finish and refuses new ones at once. Without a
+  // refusal, callers that still connect after the balancer's lag would wait in
+  // the listen backlog until shutdown and then be reset with their request
+  // sent.
   void Drain() { mDraining = true; }
-  // Gives the last answers to what is still under way, until aUntil at most.
-  // Returns how many of them had begun work that is cut.
+  // Answers ShuttingDown to all requests still in flight, until aUntil at most.
+  // Returns how many of them had begun work that is cut off.
   int AnswerShuttingDown(TimePoint aUntil);
-  // Whoever is connected gets the answer to what was sent.
+  // Closes the port, allowing aWithin to send pending responses.
   void Close(Millis aWithin) { mPort->End(aWithin); }
 
 private:
   using Request = Poco::Net::HTTPServerRequest;
   using Response = Poco::Net::HTTPServerResponse;
-  class PendingAnswer; // an answer that is owed
+  class PendingAnswer; // registers a response for the time it is pending
 
   void Handle(Request& aRequest, Response& aResponse);
-  // To whoever comes while we leave.
+  // The refusal sent while the port drains.
   Failure RefuseWhileDraining(Request& aRequest) const;
   Result<void> Route(Request& aRequest,
                      CallerAnswer& aAnswer,
                      RequestContext& aContext);
-  // Body, profile and tokens of a chat or briefing.
+  // Reads body, profile and token limit of a chat or briefing request.
   Result<ModelCall> ReadChat(Request& aRequest,
                              RequestContext& aContext,
                              bool& aStream) const;
--- a/src/serve/ChatReply.h
+++ b/src/serve/ChatReply.h
@@ -1,4 +1,4 @@
-// ChatReply.h: a chat answer as JSON or as server-sent events.
+// ChatReply.h: encodes a chat answer as JSON or as server-sent events.
 #ifndef caraway_serve_ChatReply_h
 #define caraway_serve_ChatReply_h
 
@@ -12,18 +12,18 @@
 Json::Value
 ChatCompletionJson(const ModelCall& aCall, const ModelAnswer& aAnswer);
 
-// Headers go out with the first token, so that a refusal before it still has
-// a status of its own.
+// Sends the response head with the first token, so that an earlier refusal can
+// still set its own status.
 class ChatStream
 {
 public:
   ChatStream(CallerAnswer& aAnswer, const ModelCall& aCall);
 
   bool Begun() const { return mAnswer.Streaming(); }
-  bool Token(const std::string& aText); // false: the caller has gone
+  bool Token(const std::string& aText); // false: the caller has disconnected
   void Finish(const std::string& aReason);
-  // An error event in place of the end marker: a stream that ends without
-  // either was cut, and no short answer looks complete.
+  // Sends an error event instead of the end marker. A stream with neither was
+  // cut off, so a short answer never looks complete.
   void Break(const Failure& aFailure);
 
 private:
--- a/src/serve/ClaimCodec.cpp
+++ b/src/serve/ClaimCodec.cpp
@@ -18,11 +18,11 @@
       return static_cast<ClaimRecordState>(i);
     }
   }
-  // A state we don't know must never lead to a second run.
+  // An unknown state must never lead to a second run.
   return ClaimRecordState::Lost;
 }
 
-// Bodies are bytes; JSON text is not.
+// Bodies may hold any bytes, which JSON text can't.
 std::string
 Encode(const std::string& aBytes)
 {
--- a/src/serve/ClaimCodec.h
+++ b/src/serve/ClaimCodec.h
@@ -1,4 +1,4 @@
-// ClaimCodec.h: claims as JSON.
+// ClaimCodec.h: JSON encoding of claims.
 #ifndef caraway_serve_ClaimCodec_h
 #define caraway_serve_ClaimCodec_h
 
--- a/src/serve/ClaimDriver.cpp
+++ b/src/serve/ClaimDriver.cpp
@@ -22,7 +22,8 @@
                                          "answered",
                                          "lost" };
 
-// Length first: tenant "a" with key "bc" is not tenant "ab" with key "c".
+// Prefixed by the tenant's length, so that tenant "a" with key "bc" and tenant
+// "ab" with key "c" get different names.
 std::string
 NameOf(const Order& aOrder)
 {
@@ -109,7 +110,7 @@
       return Fail(failure);
     }
     event = Perform(attempt, action, aSendOrder);
-    // From here on nobody is told that this attempt gave up.
+    // From here on no peer is told that this attempt gave up.
     offered = offered || event.mKind == ClaimEventKind::Answered ||
               event.mKind == ClaimEventKind::AnswerLost;
   }
@@ -233,8 +234,8 @@
   return EventOfStatus(status);
 }
 
-// A former life of this process knew attempts that this one doesn't: only
-// questions to this incarnation are answered.
+// An earlier incarnation of this process may have made the attempt. Only
+// queries addressed to this incarnation are answered.
 Json::Value
 ClaimDriver::OnQuery(const Json::Value& aParams)
 {
@@ -272,9 +273,9 @@
   return event;
 }
 
-// The caller doesn't wait for a platform that is down. Until this succeeds
-// the book vouches; if this process dies first, a duplicate is told that the
-// order may have run.
+// Retries in the background, so that the caller doesn't wait while the platform
+// is down. Until the write succeeds the registry answers for the attempt; if
+// this process dies first, a duplicate gets "may have run".
 void
 ClaimDriver::StoreInBackground(const Attempt& aAttempt,
                                const ClaimRecord& aRecord,
--- a/src/serve/ClaimDriver.h
+++ b/src/serve/ClaimDriver.h
@@ -20,8 +20,8 @@
 {
   std::string mTenant;
   std::string mKey;      // the caller's Idempotency-Key
-  std::string mContent;  // profile, method, path and body: what must be equal
-  TimePoint mDeadline{}; // no handing on after it
+  std::string mContent;  // profile, method, path and body; equal in a retry
+  TimePoint mDeadline{}; // no endpoint is tried after it
 };
 
 struct OrderAnswer
@@ -30,11 +30,11 @@
   bool mReplayed = false;
 };
 
-// What is stored about an order, without claiming it.
+// Result of looking up an order's claim without creating one.
 enum class ClaimLookup
 {
-  Free,    // nobody holds it, and it hasn't run
-  Held,    // somebody holds it, or has run it
+  Free,    // not claimed, or released without running
+  Held,    // claimed, or already run
   Unknown, // the platform doesn't answer
 };
 
@@ -48,14 +48,14 @@
               WorkerPool& aWorkers,
               const Clock& aClock);
 
-  // aSendOrder offers the order to an endpoint once and tells how that ended:
+  // aSendOrder sends the order to one endpoint and reports the outcome:
   // NotOffered, Answered or AnswerLost. It is called again only after
   // NotOffered with mEndpointsLeft.
   Result<OrderAnswer> Run(const Order& aOrder,
                           const std::function<ClaimEvent()>& aSendOrder);
 
-  // For an order that is about to be refused for another reason: an earlier
-  // try of it may have run all the same.
+  // Looks up the claim of an order that is about to be refused for another
+  // reason: an earlier attempt of it may have run.
   ClaimLookup LookUp(const Order& aOrder);
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
--- a/src/serve/ClaimRegistry.cpp
+++ b/src/serve/ClaimRegistry.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr Seconds kRetention{ 900 };
-// A shard's answers; words without a body cost little and stay.
+// Limit for a shard's answer bodies. Entries without a body are small and are
+// limited by count only.
 constexpr size_t kMaxShardBytes = 2 * 1024 * 1024;
 constexpr size_t kMaxShardEntries = 20000;
 
--- a/src/serve/ClaimRegistry.h
+++ b/src/serve/ClaimRegistry.h
@@ -1,4 +1,4 @@
-// ClaimRegistry.h: what this instance says about its own attempts.
+// ClaimRegistry.h: outcomes of this instance's own order attempts.
 #ifndef caraway_serve_ClaimRegistry_h
 #define caraway_serve_ClaimRegistry_h
 
@@ -16,21 +16,22 @@
 
 struct AttemptStatus
 {
-  bool mKnown = false; // an attempt of ours
+  bool mKnown = false; // of this instance
   ClaimAttemptStatus mStatus = ClaimAttemptStatus::Running;
-  ClaimAnswer mAnswer; // when Answered
+  ClaimAnswer mAnswer; // if Answered
 };
 
-// Kept in memory for a while after an attempt ended, so that a duplicate
-// that reaches another instance can be told how it went even where the
-// platform couldn't be. What has been forgotten is "unknown", which refuses.
+// Keeps the outcome of an attempt in memory for a while after it ended, so that
+// a duplicate that reaches another instance can learn it even if the platform
+// could not be told. An attempt that was dropped is "unknown", and its
+// duplicate is refused.
 class ClaimRegistry
 {
 public:
   explicit ClaimRegistry(const Clock& aClock);
 
   void Begin(const std::string& aNonce);
-  // Final: a word once given doesn't change.
+  // Final: a status that was reported doesn't change.
   void End(const std::string& aNonce, const AttemptStatus& aStatus);
   // Waits up to aWithin while the attempt is running.
   AttemptStatus Await(const std::string& aNonce, Millis aWithin);
@@ -47,7 +48,7 @@
     std::condition_variable mChanged;
     std::map<std::string, Entry> mEntries;
     std::deque<std::pair<TimePoint, std::string>> mEnded; // oldest first
-    size_t mBytes = 0;                                    // of kept answers
+    size_t mBytes = 0;                                    // of answer bodies
   };
   static constexpr size_t kShards = 8;
 
--- a/src/serve/EngineSlotFinder.cpp
+++ b/src/serve/EngineSlotFinder.cpp
@@ -4,10 +4,11 @@
 
 namespace {
 
-// An owner answers within ModelOwner::kMaxPollWait, or loads an adapter first.
+// An owner answers within ModelOwner::kMaxPollWait unless it loads an adapter
+// first.
 constexpr Millis kOwnerTimeout{ 2700 };
 constexpr Millis kReleaseTimeout{ 500 };
-constexpr int kMaxOwners = 2; // asked in turn, of a zone
+constexpr int kMaxOwners = 2; // tried in turn, per zone
 
 std::string
 OwnerKey(const EngineSlotRequest& aRequest)
@@ -15,7 +16,7 @@
   return "model/" + aRequest.mModel;
 }
 
-// A refusal by an owner elsewhere, back as the failure it was.
+// Restores the failure that a remote owner reported.
 leaf::error_id
 FailureOfPeer(const Json::Value& aJson)
 {
@@ -55,9 +56,9 @@
 {
 }
 
-// Our zone's owner first: it knows whether there is a replica here, and
-// otherwise sends us to the model's home zone. Where that fails, back to our
-// zone, which then loads the model itself.
+// Asks the owner in this zone first: it knows whether the zone has a replica,
+// and otherwise redirects to the model's home zone. If that fails, asks in this
+// zone again, which then loads the model itself.
 Result<EngineSlotGrant>
 EngineSlotFinder::Acquire(const std::function<EngineSlotRequest()>& aRequest,
                           const Caller& aCaller,
@@ -79,8 +80,9 @@
   return AcquireInZone(request, aCaller, aOwner);
 }
 
-// Two owners: one may have died. Both silent, it is the zone. In our own zone
-// it ends where we are the owner.
+// Tries two owners, as one may have died; if neither answers, the zone counts
+// as unreachable. In this instance's own zone it stops when this instance is
+// the owner.
 std::optional<Result<EngineSlotGrant>>
 EngineSlotFinder::AskZone(const EngineSlotRequest& aRequest,
                           const std::string& aZone,
@@ -108,16 +110,18 @@
                                     InstanceInfo& aOwner,
                                     bool& aSilent)
 {
-  // Found by another request, and not known to our zone's owner.
+  // Another request may have found the zone unreachable before this zone's
+  // owner knows.
   aSilent = mMembers.RespondingZones().count(aZone) == 0;
   if (aSilent) {
     return std::nullopt;
   }
-  aRequest.mNoRedirect = true; // else two zones could send it to and fro
+  aRequest.mNoRedirect = true; // avoids a redirect loop
   auto answer = Outcome([&]() -> Result<EngineSlotGrant> {
     auto answered = AskZone(aRequest, aZone, aCaller, aOwner);
     aSilent = !answered;
-    return aSilent ? Fail(ErrorKind::NoEndpoint, "the home is silent")
+    return aSilent ? Fail(ErrorKind::NoEndpoint,
+                          "no owner in the model's home zone answers")
                    : std::move(*answered);
   });
   if (aSilent) {
@@ -138,8 +142,9 @@
   return Result<EngineSlotGrant>(Fail(failure));
 }
 
-// The zone's owner of the model; if it doesn't answer, the next; at last
-// ourselves. A second owner decides by the same conditional updates.
+// Asks the zone's owner of the model, then the next owner, and serves as the
+// owner itself if neither answers. Two owners at once are safe, since both
+// decide by the same conditional updates.
 Result<EngineSlotGrant>
 EngineSlotFinder::AcquireInZone(const EngineSlotRequest& aRequest,
                                 const Caller& aCaller,
@@ -158,19 +163,20 @@
   return grant;
 }
 
-// Asked between the rounds of waiting. A withdrawn key would otherwise hold its
-// place in the queue until the load's end, and its caller in the dark.
+// Called between polls. Without it, the request of a withdrawn key would keep
+// its place in the queue until the load ends, and its caller would wait that
+// long for the refusal.
 Result<void>
 EngineSlotFinder::CheckKey(const Caller& aCaller) const
 {
   if (auto keyError = mKeys.Recheck(aCaller)) {
-    return Fail(*keyError, "the key, while the request waited");
+    return Fail(*keyError, "the key became invalid while the request waited");
   }
   return {};
 }
 
-// Short calls, again and again: an owner that is frozen or dies while we wait
-// is noticed within one of them.
+// Polls with short calls, so that an owner that freezes or dies during the wait
+// is noticed within one call.
 std::optional<Result<EngineSlotGrant>>
 EngineSlotFinder::AcquireFrom(const EngineSlotRequest& aRequest,
                               const Caller& aCaller,
--- a/src/serve/EngineSlotFinder.h
+++ b/src/serve/EngineSlotFinder.h
@@ -1,4 +1,5 @@
-// EngineSlotFinder.h: a place at an engine, from whichever instance gives it.
+// EngineSlotFinder.h: acquires an engine slot from the instance that owns the
+// model.
 #ifndef caraway_serve_EngineSlotFinder_h
 #define caraway_serve_EngineSlotFinder_h
 
@@ -24,8 +25,9 @@
                    Authenticator& aKeys,
                    Metrics& aMetrics);
 
-  // Blocks until there is a place or a refusal. aRequest is asked again where a
-  // try has taken time; aOwner: to whom the place is to be returned.
+  // Blocks until a slot is granted or refused. aRequest is called again if an
+  // earlier attempt took time; aOwner receives the instance to which the slot
+  // must be released.
   Result<EngineSlotGrant> Acquire(
     const std::function<EngineSlotRequest()>& aRequest,
     const Caller& aCaller,
@@ -39,21 +41,21 @@
   Result<EngineSlotGrant> AcquireInZone(const EngineSlotRequest& aRequest,
                                         const Caller& aCaller,
                                         InstanceInfo& aOwner);
-  // nullopt: the zone doesn't answer (aSilent) or can't serve it.
+  // nullopt if the zone doesn't answer (aSilent) or can't serve the request.
   std::optional<Result<EngineSlotGrant>> AcquireInHomeZone(
     EngineSlotRequest aRequest,
     const std::string& aZone,
     const Caller& aCaller,
     InstanceInfo& aOwner,
     bool& aSilent);
-  // nullopt: nobody there answers.
+  // nullopt if no owner in the zone answers.
   std::optional<Result<EngineSlotGrant>> AskZone(
     const EngineSlotRequest& aRequest,
     const std::string& aZone,
     const Caller& aCaller,
     InstanceInfo& aOwner);
   Result<void> CheckKey(const Caller& aCaller) const;
-  // nullopt: that owner doesn't answer.
+  // nullopt if the owner doesn't answer.
   std::optional<Result<EngineSlotGrant>> AcquireFrom(
     const EngineSlotRequest& aRequest,
     const Caller& aCaller,
--- a/src/serve/EngineStream.cpp
+++ b/src/serve/EngineStream.cpp
@@ -40,8 +40,8 @@
   return JsonWrite(body);
 }
 
-// Lines until the end marker. Anything that isn't the next token of our own
-// request means that the rest can't be trusted either.
+// Reads lines until the end marker. After anything other than the next token of
+// this request the rest of the stream can't be trusted either.
 GenerateResult
 ReadTokens(const GenerateCall& aCall,
            Poco::Net::HTTPClientSession& aSession,
@@ -52,21 +52,25 @@
   std::string line;
   while (std::getline(aIn, line)) {
     if (line.size() > kLineLimit) {
-      return { GenerateOutcome::Broken, "a line is too long" };
+      return { GenerateOutcome::Broken,
+               "engine stream: a line exceeds 64 KiB" };
     }
     Json::Value json = JsonParseOrEmpty(line);
     if (json["id"].asString() != aCall.mRequestId) {
-      return { GenerateOutcome::Broken, "an answer to another request" };
+      return { GenerateOutcome::Broken,
+               "engine stream: token of another request" };
     }
     if (json["end"].asBool()) {
       bool complete = json["n"].asInt64() == next;
       return complete ? GenerateResult{ GenerateOutcome::Complete,
                                         json["reason"].asString() }
-                      : GenerateResult{ GenerateOutcome::Broken,
-                                        "tokens are missing" };
+                      : GenerateResult{
+                          GenerateOutcome::Broken,
+                          "engine stream: tokens missing before the end marker"
+                        };
     }
     if (!json["t"].isString() || json["i"].asInt64() != next) {
-      return { GenerateOutcome::Broken, "a token out of order" };
+      return { GenerateOutcome::Broken, "engine stream: token out of order" };
     }
     ++next;
     if (!aOnToken(json["t"].asString())) {
@@ -74,7 +78,8 @@
     }
     aSession.socket().setReceiveTimeout(TimespanOf(aCall.mStall));
   }
-  return { GenerateOutcome::Broken, "the stream ended without its end marker" };
+  return { GenerateOutcome::Broken,
+           "engine stream ended without its end marker" };
 }
 
 } // namespace
@@ -94,7 +99,8 @@
   }
   try {
     Poco::Net::HTTPClientSession session(socket);
-    // On the socket: a session given a connected one ignores its own timeout.
+    // Set on the socket, since a session made from a connected socket ignores
+    // its own timeout.
     socket.setReceiveTimeout(TimespanOf(aCall.mFirstToken));
     socket.setSendTimeout(TimespanOf(aCall.mFirstToken));
     Poco::Net::HTTPRequest request(
@@ -106,11 +112,12 @@
     Poco::Net::HTTPResponse response;
     std::istream& in = session.receiveResponse(response);
     if (response.getStatus() == kModelNotLoaded) {
-      return { GenerateOutcome::Gone, "the engine hasn't the model" };
+      return { GenerateOutcome::Gone, "the engine has not loaded the model" };
     }
     if (response.getStatus() != Poco::Net::HTTPResponse::HTTP_OK) {
       return { GenerateOutcome::Broken,
-               "status " + std::to_string(response.getStatus()) };
+               "engine answered with status " +
+                 std::to_string(response.getStatus()) };
     }
     return ReadTokens(aCall, session, in, aOnToken);
   } catch (const Poco::Exception& failure) {
--- a/src/serve/EngineStream.h
+++ b/src/serve/EngineStream.h
@@ -1,4 +1,4 @@
-// EngineStream.h: one generation at an engine, checked token by token.
+// EngineStream.h: runs one generation at an engine and checks every token.
 #ifndef caraway_serve_EngineStream_h
 #define caraway_serve_EngineStream_h
 
@@ -21,30 +21,31 @@
   std::string mAdapter;
   Json::Value mMessages;
   int mMaxTokens = 1;
-  RequestClass mClass = RequestClass::Interactive; // the engine's priority
-  std::vector<std::string> mSoFar;                 // tokens to go on after
-  Millis mFirstToken{ 1400 }; // silence before the first token
-  Millis mStall{ 10000 };     // silence between tokens
+  RequestClass mClass = RequestClass::Interactive; // sent to the engine
+  std::vector<std::string> mSoFar;                 // resume after these
+  Millis mFirstToken{ 1400 }; // timeout for the first token
+  Millis mStall{ 10000 };     // timeout between tokens
 };
 
 enum class GenerateOutcome
 {
-  NotOffered, // no connection came about
-  Gone,       // refused before running: it hasn't the model
-  Complete,   // end marker seen and all tokens before it
+  NotOffered, // the connection failed; nothing was sent
+  Gone,       // refused before running: model not loaded
+  Complete,   // end marker received after all tokens
   Stopped,    // aOnToken returned false
-  Broken,     // cut, stalled, of another request, or out of order
+  Broken,     // cut off, stalled, out of order or of another request
 };
 
 struct GenerateResult
 {
   GenerateOutcome mEnd = GenerateOutcome::NotOffered;
-  std::string mReason; // finish reason, or what broke
+  std::string mReason; // finish reason, or description of the failure
 };
 
-// aOnToken gets each token once and in order; false stops the engine, by
-// closing the connection. A token is passed on only if it carries our request
-// id and the next index: an answer that came late or crossed is cut off there.
+// Calls aOnToken for each token once and in order; if it returns false the
+// connection is closed, which stops the engine. A token is passed on only if it
+// carries this request's id and the next index, so a late or crossed answer is
+// cut off there.
 GenerateResult
 EngineGenerate(const GenerateCall& aCall,
                const std::function<bool(const std::string&)>& aOnToken);
--- a/src/serve/LeaveGate.cpp
+++ b/src/serve/LeaveGate.cpp
@@ -7,7 +7,9 @@
 leaf::error_id
 Refuse(RunState aRun)
 {
-  Failure failure = FailureOf(ErrorKind::ShuttingDown, "ask another instance");
+  Failure failure = FailureOf(
+    ErrorKind::ShuttingDown,
+    "this instance is shutting down; send the request to another one");
   failure.mRun = aRun;
   return Fail(failure);
 }
@@ -44,7 +46,7 @@
 LeaveGate::MayStart(TimePoint aAnswerBy, RunState aRun) const
 {
   std::lock_guard<std::mutex> lock(mLock);
-  constexpr Millis kUnknownDuration{ 0 }; // nothing is known of its like
+  constexpr Millis kUnknownDuration{ 0 }; // no estimate of its run time
   if (!mPlan.MayStart(mClock.Now(), aAnswerBy, kUnknownDuration)) {
     return Refuse(aRun);
   }
--- a/src/serve/LeaveGate.h
+++ b/src/serve/LeaveGate.h
@@ -1,4 +1,4 @@
-// LeaveGate.h: asked before anything is begun for a caller.
+// LeaveGate.h: decides during shutdown whether work may still begin.
 #ifndef caraway_serve_LeaveGate_h
 #define caraway_serve_LeaveGate_h
 
@@ -10,7 +10,7 @@
 
 namespace caraway {
 
-// The instance's one LeavePlan, for the threads of all requests.
+// Guards the instance's LeavePlan for use by the threads of all requests.
 class LeaveGate
 {
 public:
@@ -18,14 +18,14 @@
 
   void Begin(const LeaveTimes& aTimes);
   bool Leaving() const;
-  // All that is under way gets its last answer then.
+  // When requests still in flight get their last answer.
   TimePoint End() const;
 
-  // ShuttingDown when the end would cut what has its answer by aAnswerBy at the
-  // latest. aRun: what is known of earlier tries.
+  // ShuttingDown if shutdown would cut off work that is answered by aAnswerBy
+  // at the latest. aRun: run state of earlier attempts.
   Result<void> MayStart(TimePoint aAnswerBy,
                         RunState aRun = RunState::NotRun) const;
-  // The same for a stream that its caller has begun to read.
+  // The same for a stream whose first tokens were sent.
   Result<void> MayContinue() const;
 
 private:
--- a/src/serve/ModelCalls.cpp
+++ b/src/serve/ModelCalls.cpp
@@ -29,7 +29,7 @@
   return std::ceil(static_cast<double>(bytes) / kBytesPerToken);
 }
 
-// The same for the same request sent again, at whichever instance.
+// Equal for equal requests at every instance, so that a retry is recognised.
 uint64_t
 RequestDigest(const ModelCall& aCall)
 {
@@ -184,8 +184,9 @@
   return attempt;
 }
 
-// Takes up after the tokens that were passed on, elsewhere or at the same
-// engine, while the time, the tries and the retry budget last.
+// Generates, and after a failure resumes behind the tokens already passed on,
+// on another engine or the same one, while time, attempts and retry budget
+// last.
 Result<ModelAnswer>
 ModelCalls::Generate(const ModelCall& aCall,
                      const std::function<bool(const std::string&)>& aOnToken,
@@ -195,14 +196,16 @@
   const Profile& profile = context.mProfile;
   TimePoint deadline = context.mArrived + profile.mAnswer;
   bool offered = false;
-  Failure last = FailureOf(ErrorKind::NoEndpoint, "no engine took it");
+  Failure last =
+    FailureOf(ErrorKind::NoEndpoint, "no engine accepted the request");
   for (int i = 0; i < kMaxAttempts && mClock.Now() < deadline; ++i) {
     if (i > 0 && !mRetries.TryTake()) {
       break;
     }
     BOOST_LEAF_CHECK(MayStartAttempt(aCall, aSoFar, offered));
     InstanceInfo owner;
-    // The last try is here: what broke the others may lie between the zones.
+    // The last attempt stays in this zone, since the link between zones may
+    // have broken the others.
     bool lastAttempt = i + 1 == kMaxAttempts;
     auto request = [&] {
       EngineSlotRequest slotRequest = SlotRequestFor(aCall, mClock.Now());
@@ -215,7 +218,7 @@
       if (!offered) {
         return Fail(*failure);
       }
-      last.mDetail += "; then: " + failure->mDetail;
+      last.mDetail += "; on retry: " + failure->mDetail;
       break;
     }
     const EngineSlotGrant& grant = std::get<EngineSlotGrant>(acquired);
@@ -228,7 +231,7 @@
     if (auto keyError = mKeys.Recheck(context.mCaller)) {
       mSlotFinder.ReleaseSlot(owner, { grant.mEngineSlotId, 0, false, false });
       Failure failure =
-        FailureOf(*keyError, "the key, while the request waited");
+        FailureOf(*keyError, "the key became invalid while the request waited");
       failure.mRun = offered ? RunState::MayHaveRun : failure.mRun;
       return Fail(failure);
     }
@@ -248,7 +251,8 @@
       return aSoFar;
     }
     if (attempt.mKeyError) {
-      Failure failure = FailureOf(*attempt.mKeyError, "the key, meanwhile");
+      Failure failure = FailureOf(
+        *attempt.mKeyError, "the key became invalid during the generation");
       failure.mRun = RunState::MayHaveRun;
       return Fail(failure);
     }
--- a/src/serve/ModelCalls.h
+++ b/src/serve/ModelCalls.h
@@ -1,4 +1,4 @@
-// ModelCalls.h: from a profile to tokens.
+// ModelCalls.h: runs requests for model profiles on engines.
 #ifndef caraway_serve_ModelCalls_h
 #define caraway_serve_ModelCalls_h
 
@@ -44,23 +44,24 @@
              Metrics& aMetrics,
              const Clock& aClock);
 
-  // Blocks. aOnToken gets each token once and in order; false: the caller
-  // has gone. A stream that breaks is taken up elsewhere, after the tokens
-  // that were passed on; when that can't be, the failure says so and the
-  // answer is never passed off as whole.
+  // Blocks. Calls aOnToken for each token once and in order; it returns false
+  // if the caller has disconnected. A broken stream is resumed on another
+  // engine after the tokens already passed on; if that isn't possible the call
+  // fails, and a partial answer is never reported as complete.
   Result<ModelAnswer> Run(
     const ModelCall& aCall,
     const std::function<bool(const std::string&)>& aOnToken);
 
 private:
-  // One generation at one engine, and what the key had against it.
+  // One generation at one engine, and the key's error if it became invalid
+  // meanwhile.
   struct Attempt
   {
     GenerateResult mResult;
     std::optional<ErrorKind> mKeyError;
   };
 
-  // Before each try, and again when it has waited for its place.
+  // Checked before each attempt and again once it has an engine slot.
   Result<void> MayStartAttempt(const ModelCall& aCall,
                                const ModelAnswer& aSoFar,
                                bool aOffered) const;
@@ -82,8 +83,8 @@
   RetryBudget mRetries;
 };
 
-// What a request may cost at most: its prompt, by its bytes, and all the
-// tokens it may have generated.
+// Upper bound of a request's cost in tokens: its prompt, estimated from its
+// bytes, and all tokens it may generate.
 double
 ModelCallCost(const ModelCall& aCall);
 
--- a/src/serve/Problem.cpp
+++ b/src/serve/Problem.cpp
@@ -26,7 +26,8 @@
                   const std::string& aRequestId)
 {
   if (aFailure.mRetryAfter > Millis(0)) {
-    // The header knows whole seconds only; never less than asked for.
+    // The header has a resolution of one second; rounded up, so that callers
+    // never retry early.
     int64_t seconds = (aFailure.mRetryAfter.count() + 999) / 1000;
     aResponse.set("Retry-After", std::to_string(seconds));
   }
--- a/src/serve/Problem.h
+++ b/src/serve/Problem.h
@@ -1,4 +1,4 @@
-// Problem.h: refusals as RFC 9457 problem documents.
+// Problem.h: errors as RFC 9457 problem documents.
 #ifndef caraway_serve_Problem_h
 #define caraway_serve_Problem_h
 
@@ -13,14 +13,15 @@
 Json::Value
 ProblemJson(const Failure& aFailure, const std::string& aRequestId);
 
-// Status, Retry-After and document, from the one table of error kinds.
+// Sends status, Retry-After and document as the table of error kinds defines
+// them.
 void
 ProblemSend(Poco::Net::HTTPServerResponse& aResponse,
             const Failure& aFailure,
             const std::string& aRequestId);
 
-// The same at once. The above goes out when its handler returns, and that may
-// be later than the caller can wait for.
+// The same, but flushes immediately. ProblemSend's response goes out when the
+// handler returns, which may be too late during shutdown.
 void
 ProblemSendNow(Poco::Net::HTTPServerResponse& aResponse,
                const Failure& aFailure,
--- a/src/serve/RequestContext.h
+++ b/src/serve/RequestContext.h
@@ -1,4 +1,4 @@
-// RequestContext.h: one request on its way through this instance.
+// RequestContext.h: state of one request inside this instance.
 #ifndef caraway_serve_RequestContext_h
 #define caraway_serve_RequestContext_h
 
@@ -13,7 +13,7 @@
 {
   std::string mId;
   Caller mCaller;
-  ConfigPtr mConfig; // the one it was let in under
+  ConfigPtr mConfig; // in force when the request was admitted
   Profile mProfile;
   TimePoint mArrived{};
 };
--- a/src/serve/RetryBudget.h
+++ b/src/serve/RetryBudget.h
@@ -1,4 +1,4 @@
-// RetryBudget.h: retries as a share of successes.
+// RetryBudget.h: limits retries to a share of successful calls.
 #ifndef caraway_serve_RetryBudget_h
 #define caraway_serve_RetryBudget_h
 
@@ -7,8 +7,9 @@
 
 namespace caraway {
 
-// When everything fails, retries multiply the load on what is left. Each
-// success pays for a tenth of a retry; with nothing saved there is none.
+// If every call fails, unlimited retries would multiply the load on the
+// remaining endpoints. Each success earns a tenth of a retry; without any saved
+// no retry is made.
 class RetryBudget
 {
 public:
--- a/src/serve/ServiceCalls.cpp
+++ b/src/serve/ServiceCalls.cpp
@@ -54,7 +54,8 @@
     std::rotate(endpoints.begin(), endpoints.begin() + offset, endpoints.end());
   }
   TimePoint now = mClock.Now();
-  // Suspects go last and not away: when all are suspect, one is still tried.
+  // Suspected endpoints are tried last instead of being left out, so that one
+  // is still tried if all are suspected.
   std::stable_sort(endpoints.begin(),
                    endpoints.end(),
                    [&](const EndpointSpec& aLeft, const EndpointSpec& aRight) {
@@ -93,11 +94,12 @@
     std::lock_guard<std::mutex> lock(mLock);
     mSuspectUntil[aEndpoint.mName] = mClock.Now() + kSuspectPeriod;
   }
-  // An echo that names another request is another request's answer.
+  // An echoed id of another request shows that the answer belongs to that
+  // request.
   std::string echoed = reply.Header("x-request-id");
   if (!echoed.empty() && echoed != aCall.mContext.mId) {
     reply.mStage = HttpStage::Lost;
-    reply.mError = "an answer to another request";
+    reply.mError = "endpoint answered another request";
   }
   return reply;
 }
@@ -114,9 +116,9 @@
   return order;
 }
 
-// Refused for its rate, say. "Not run" must be true of the order and not only
-// of this try of it: an earlier try may have run, and then its answer is what
-// the caller gets, for no tokens.
+// For an order refused for its rate, for example. "Not run" must hold for the
+// order and not only for this attempt: if an earlier attempt ran, the caller
+// gets its answer, which costs no tokens.
 Result<OrderAnswer>
 ServiceCalls::RefuseOrder(const ServiceCall& aCall,
                           TimePoint aDeadline,
@@ -169,7 +171,8 @@
 Result<OrderAnswer>
 ServiceCalls::RunIdempotent(const ServiceCall& aCall, TimePoint aDeadline)
 {
-  Failure last = FailureOf(ErrorKind::NoEndpoint, "no endpoint in its group");
+  Failure last =
+    FailureOf(ErrorKind::NoEndpoint, "the service's group has no endpoint");
   bool first = true;
   for (const EndpointSpec& endpoint : Endpoints(aCall.mContext)) {
     if (mClock.Now() >= aDeadline || (!first && !mRetries.TryTake())) {
@@ -183,7 +186,8 @@
       return AnswerOf(reply);
     }
     bool lost = reply.mStage == HttpStage::Lost;
-    // Once offered, it stays "may have run" whatever the next try does.
+    // Once an endpoint was offered the call, it stays "may have run" whatever
+    // the next attempt does.
     if (lost || last.mRun == RunState::NotRun) {
       last = FailureOf(lost ? ErrorKind::EndpointFailed : ErrorKind::NoEndpoint,
                        reply.mError);
--- a/src/serve/ServiceCalls.h
+++ b/src/serve/ServiceCalls.h
@@ -1,4 +1,4 @@
-// ServiceCalls.h: calls to plain services, at most once where it matters.
+// ServiceCalls.h: calls plain services; non-repeatable ones at most once.
 #ifndef caraway_serve_ServiceCalls_h
 #define caraway_serve_ServiceCalls_h
 
@@ -21,10 +21,10 @@
 {
   RequestContext mContext;
   std::string mMethod;
-  std::string mPath; // at the service
+  std::string mPath; // path at the service
   std::string mContentType;
   std::string mBody;
-  std::string mIdempotencyKey; // needed when the profile isn't repeatable
+  std::string mIdempotencyKey; // required if the profile isn't repeatable
 };
 
 class ServiceCalls
@@ -46,8 +46,8 @@
   Result<OrderAnswer> RunOnce(const ServiceCall& aCall, TimePoint aDeadline);
   Result<OrderAnswer> RunIdempotent(const ServiceCall& aCall,
                                     TimePoint aDeadline);
-  // The group's endpoints: those of our zone first, and those that lately
-  // failed to answer last.
+  // The group's endpoints in the order to try them: those of this zone first,
+  // those that failed recently last.
   std::vector<EndpointSpec> Endpoints(const RequestContext& aContext);
   HttpReply Send(const ServiceCall& aCall,
                  const EndpointSpec& aEndpoint,
@@ -61,7 +61,7 @@
   RetryBudget mRetries;
   std::mutex mLock;
   size_t mNextEndpoint = 0;
-  std::map<std::string, TimePoint> mSuspectUntil; // endpoint: until
+  std::map<std::string, TimePoint> mSuspectUntil; // by endpoint
 };
 
 } // namespace caraway
