--- a/src/admin/AdminPort.cpp
+++ b/src/admin/AdminPort.cpp
@@ -41,10 +41,10 @@
 
 AdminPort::AdminPort(std::string aListen,
                      std::vector<AdminUser> aUsers,
-                     Parts aParts)
+                     Dependencies aDependencies)
   : mListen(std::move(aListen))
   , mUsers(std::move(aUsers))
-  , mParts(std::move(aParts))
+  , mDependencies(std::move(aDependencies))
 {
 }
 
@@ -67,7 +67,7 @@
     return false;
   }
   Json::Value json;
-  json["ok"] = !ready || mParts.mReady();
+  json["ok"] = !ready || mDependencies.mReady();
   JsonSend(aResponse, json["ok"].asBool() ? 200 : 503, json);
   return true;
 }
@@ -103,7 +103,8 @@
   auto answer = Outcome([&]() -> Result<Json::Value> {
     BOOST_LEAF_AUTO(user, User(aRequest));
     if (path == "/metrics") {
-      std::string text = mParts.mMetrics->Text() + mParts.mExtraMetrics();
+      std::string text =
+        mDependencies.mMetrics->Text() + mDependencies.mExtraMetrics();
       aResponse.setContentType("text/plain; version=0.0.4");
       aResponse.sendBuffer(text.data(), text.size());
       return Json::Value();
@@ -143,13 +144,13 @@
 Result<Json::Value>
 AdminPort::Status(Request&, const std::string&)
 {
-  return mParts.mStatus();
+  return mDependencies.mStatus();
 }
 
 Result<Json::Value>
 AdminPort::Fleet(Request&, const std::string&)
 {
-  return mParts.mFleet();
+  return mDependencies.mFleet();
 }
 
 // From the platform, not from this instance's memory: what an operator
@@ -158,7 +159,7 @@
 AdminPort::Read(Request&, const std::string&)
 {
   Json::Value json;
-  auto index = Outcome([&] { return mParts.mStore->Index(); });
+  auto index = Outcome([&] { return mDependencies.mStore->Index(); });
   if (auto* failure = std::get_if<Failure>(&index)) {
     if (failure->mKind != ErrorKind::NotFound) {
       return Fail(*failure);
@@ -168,7 +169,7 @@
     return json;
   }
   const ConfigRevision& now = std::get<ConfigIndex>(index).mNow;
-  BOOST_LEAF_AUTO(config, mParts.mStore->Load(now));
+  BOOST_LEAF_AUTO(config, mDependencies.mStore->Load(now));
   json = ConfigRevisionJson(now);
   json["config"] = ConfigJson(config);
   return json;
@@ -195,43 +196,44 @@
     return Fail(ErrorKind::BadRequest, "note: expected a text");
   }
   BOOST_LEAF_AUTO(config, ConfigParse(body["config"]));
-  BOOST_LEAF_AUTO(revision,
-                  mParts.mStore->Commit(body["expected"].asInt64(),
-                                        config,
-                                        aUser,
-                                        body["note"].asString(),
-                                        Text(mParts.mClock->WallNow())));
+  BOOST_LEAF_AUTO(
+    revision,
+    mDependencies.mStore->Commit(body["expected"].asInt64(),
+                                 config,
+                                 aUser,
+                                 body["note"].asString(),
+                                 Text(mDependencies.mClock->WallNow())));
   LogInfo("config_accepted",
           { { "revision", std::to_string(revision.mRevision) },
             { "author", aUser },
             { "note", revision.mNote } });
-  mParts.mChanged();
+  mDependencies.mChanged();
   return ConfigRevisionJson(revision);
 }
 
 Result<Json::Value>
 AdminPort::History(Request&, const std::string&)
 {
-  BOOST_LEAF_AUTO(index, mParts.mStore->Index());
+  BOOST_LEAF_AUTO(index, mDependencies.mStore->Index());
   return ConfigIndexJson(index);
 }
 
 Result<Json::Value>
 AdminPort::Revision(Request& aRequest, const std::string&)
 {
-  std::string wanted = aRequest.getURI().substr(kRevisions.size());
-  BOOST_LEAF_AUTO(index, mParts.mStore->Index());
+  std::string requested = aRequest.getURI().substr(kRevisions.size());
+  BOOST_LEAF_AUTO(index, mDependencies.mStore->Index());
   std::vector<ConfigRevision> all = index.mHistory;
   all.push_back(index.mNow);
   for (const ConfigRevision& revision : all) {
-    if (std::to_string(revision.mRevision) == wanted) {
-      BOOST_LEAF_AUTO(config, mParts.mStore->Load(revision));
+    if (std::to_string(revision.mRevision) == requested) {
+      BOOST_LEAF_AUTO(config, mDependencies.mStore->Load(revision));
       Json::Value json = ConfigRevisionJson(revision);
       json["config"] = ConfigJson(config);
       return json;
     }
   }
-  return Fail(ErrorKind::NotFound, "revision " + wanted + " isn't kept");
+  return Fail(ErrorKind::NotFound, "revision " + requested + " isn't kept");
 }
 
 } // namespace caraway
--- a/src/admin/AdminPort.h
+++ b/src/admin/AdminPort.h
@@ -33,7 +33,7 @@
 class AdminPort
 {
 public:
-  struct Parts
+  struct Dependencies
   {
     ConfigHolder* mConfig = nullptr;
     ConfigStore* mStore = nullptr;
@@ -46,7 +46,9 @@
     std::function<void()> mChanged; // a change was accepted here
   };
 
-  AdminPort(std::string aListen, std::vector<AdminUser> aUsers, Parts aParts);
+  AdminPort(std::string aListen,
+            std::vector<AdminUser> aUsers,
+            Dependencies aDependencies);
 
   void Open();
   std::string Address() const { return mPort->Address(); }
@@ -81,7 +83,7 @@
 
   std::string mListen;
   std::vector<AdminUser> mUsers;
-  Parts mParts;
+  Dependencies mDependencies;
   std::unique_ptr<HttpPort> mPort;
 };
 
--- a/src/daemon/ConfigWatcher.cpp
+++ b/src/daemon/ConfigWatcher.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Millis kStep{ 100 };
+constexpr Millis kSleepStep{ 100 };
 constexpr Millis kFirstPause{ 200 };
 constexpr Millis kMaxPause{ 2000 };
 constexpr Millis kFetchTime{ 3000 };
@@ -64,13 +64,13 @@
       pause = kFirstPause;
       continue;
     }
-    auto took = std::chrono::duration_cast<Millis>(mClock.Now() - asked);
+    auto duration = std::chrono::duration_cast<Millis>(mClock.Now() - asked);
     LogWarn("config_watch_lost",
             { { "reason", failure->mDetail },
-              { "took_ms", std::to_string(took.count()) },
+              { "took_ms", std::to_string(duration.count()) },
               { "age_ms", std::to_string(mHolder.Age().count()) } });
-    for (Millis slept(0); slept < pause && !mStopping; slept += kStep) {
-      std::this_thread::sleep_for(kStep);
+    for (Millis slept(0); slept < pause && !mStopping; slept += kSleepStep) {
+      std::this_thread::sleep_for(kSleepStep);
     }
     pause = std::min(pause * 2, kMaxPause);
   }
--- a/src/daemon/Heartbeat.cpp
+++ b/src/daemon/Heartbeat.cpp
@@ -8,7 +8,7 @@
 
 constexpr Millis kHeartbeatTimeout{ 700 };
 constexpr Millis kListInterval{ 3000 };
-constexpr int kOtherZoneEveryRounds = 4; // rounds
+constexpr int kOtherZoneInterval = 4; // rounds
 // All of a small fleet. In a large one the rest learn of us from the list.
 constexpr size_t kMaxGreetings = 16;
 
@@ -60,7 +60,7 @@
 }
 
 bool
-Heartbeat::Beat(const std::string& aAddress)
+Heartbeat::SendHeartbeat(const std::string& aAddress)
 {
   TimePoint asked = mClock.Now();
   auto answer = Outcome(
@@ -93,13 +93,13 @@
 }
 
 void
-Heartbeat::GreetNewPeers()
+Heartbeat::ContactNewPeers()
 {
-  std::vector<std::string> strangers = mMembers.UncontactedPeers();
-  std::shuffle(strangers.begin(), strangers.end(), mRandom);
-  for (const std::string& stranger : strangers) {
+  std::vector<std::string> addresses = mMembers.UncontactedPeers();
+  std::shuffle(addresses.begin(), addresses.end(), mRandom);
+  for (const std::string& address : addresses) {
     // One that is silent costs the round its time; the next round goes on.
-    if (mGreeted == kMaxGreetings || !Beat(stranger)) {
+    if (mGreeted == kMaxGreetings || !SendHeartbeat(address)) {
       return;
     }
     ++mGreeted;
@@ -110,23 +110,23 @@
 Heartbeat::Round()
 {
   ReadList();
-  GreetNewPeers();
-  std::vector<std::string> near;
-  std::vector<std::string> far;
+  ContactNewPeers();
+  std::vector<std::string> sameZonePeers;
+  std::vector<std::string> otherZonePeers;
   for (const InstanceInfo& peer : mMembers.Others()) {
-    bool ours = peer.mZone == mMembers.Self().mZone;
-    (ours ? near : far).push_back(peer.mPeerAddress);
+    bool sameZone = peer.mZone == mMembers.Self().mZone;
+    (sameZone ? sameZonePeers : otherZonePeers).push_back(peer.mPeerAddress);
   }
-  if (near.empty() && far.empty()) {
-    far = mSeeds;
+  if (sameZonePeers.empty() && otherZonePeers.empty()) {
+    otherZonePeers = mSeeds;
   }
   ++mRounds;
-  for (auto* peers : { &near, &far }) {
-    bool due =
-      peers == &near || mRounds % kOtherZoneEveryRounds == 0 || near.empty();
+  for (auto* peers : { &sameZonePeers, &otherZonePeers }) {
+    bool due = peers == &sameZonePeers || mRounds % kOtherZoneInterval == 0 ||
+               sameZonePeers.empty();
     if (!peers->empty() && due) {
-      std::uniform_int_distribution<size_t> any(0, peers->size() - 1);
-      Beat((*peers)[any(mRandom)]);
+      std::uniform_int_distribution<size_t> index(0, peers->size() - 1);
+      SendHeartbeat((*peers)[index(mRandom)]);
     }
   }
 }
--- a/src/daemon/Heartbeat.h
+++ b/src/daemon/Heartbeat.h
@@ -38,8 +38,8 @@
 
 private:
   void ReadList();
-  void GreetNewPeers();
-  bool Beat(const std::string& aAddress);
+  void ContactNewPeers();
+  bool SendHeartbeat(const std::string& aAddress);
   Json::Value Self() const;
   void Heard(const Json::Value& aJson);
 
--- a/src/daemon/Instance.cpp
+++ b/src/daemon/Instance.cpp
@@ -15,8 +15,8 @@
 constexpr Millis kReconcileInterval{ 1000 };
 constexpr Millis kFleetStatusTimeout{ 700 };
 constexpr Millis kDrainStep{ 20 };
-constexpr Millis kLastAnswers{ 200 };      // all of them
-constexpr Millis kPortCloseTimeout{ 200 }; // of a port
+constexpr Millis kLastAnswersTimeout{ 200 }; // all of them
+constexpr Millis kPortCloseTimeout{ 200 };   // of a port
 // Loads mostly wait: for the engine, or for their turn at the store. An
 // urgent one must not wait for a thread behind those.
 constexpr int kLoadThreads = 32;
@@ -132,16 +132,21 @@
                                            *mWatcher,
                                            mSettings.mPeerSeeds,
                                            mClock);
-  mGate =
+  mStoreGate =
     std::make_unique<StoreGate>(StoreOf(mSettings), *mMembers, mPeers, mClock);
-  mLoader.SetStoreGate(*mGate);
-  mHomes = std::make_unique<HomeZones>(mSettings.mNear, *mMembers);
-  mOwner.SetHomeZones(*mHomes);
-  EndpointReconcilerSettings keeping;
-  keeping.mIdleLimit = Millis(mSettings.mModelIdleLimit);
-  keeping.mMaxOrderDelay = Millis(mSettings.mModelOrderHorizon);
-  mKeeper = std::make_unique<EndpointReconciler>(
-    keeping, mConfig, *mMembers, mPlacements, mEngines, mLoader, mClock);
+  mLoader.SetStoreGate(*mStoreGate);
+  mHomeZones = std::make_unique<HomeZones>(mSettings.mNear, *mMembers);
+  mOwner.SetHomeZones(*mHomeZones);
+  EndpointReconcilerSettings reconcilerSettings;
+  reconcilerSettings.mIdleLimit = Millis(mSettings.mModelIdleLimit);
+  reconcilerSettings.mMaxOrderDelay = Millis(mSettings.mModelOrderHorizon);
+  mReconciler = std::make_unique<EndpointReconciler>(reconcilerSettings,
+                                                     mConfig,
+                                                     *mMembers,
+                                                     mPlacements,
+                                                     mEngines,
+                                                     mLoader,
+                                                     mClock);
   mShares = std::make_unique<ShareManager>(SharesOf(mSettings),
                                            mIncarnation,
                                            address,
@@ -154,10 +159,10 @@
     SharesOf(mSettings), mSettings.mZones, *mShares, mPeers, *mMembers, mClock);
   mClaims = std::make_unique<ClaimDriver>(
     mIncarnation, mPlatform, mPeers, mClaimBook, mClaimWorkers, mClock);
-  mPlaces = std::make_unique<EngineSlotFinder>(
+  mSlotFinder = std::make_unique<EngineSlotFinder>(
     mOwner, *mMembers, mPeers, mKeys, mMetrics);
   mModels = std::make_unique<ModelCalls>(
-    *mPlaces, *mShareClient, mKeys, mLeave, mMetrics, mClock);
+    *mSlotFinder, *mShareClient, mKeys, mLeave, mMetrics, mClock);
   mServices = std::make_unique<ServiceCalls>(
     *mClaims, *mShareClient, mLeave, mSettings.mZone, mClock);
   AddPeerMethods();
@@ -194,22 +199,22 @@
   mWatcher->AddMethods(add);
   mHeartbeat->AddMethods(add);
   mShares->AddMethods(add);
-  mGate->AddMethods(add);
+  mStoreGate->AddMethods(add);
   mClaims->AddMethods(add);
-  mPlaces->AddMethods(add);
+  mSlotFinder->AddMethods(add);
   add("status", [this](const Json::Value&) { return Status(); });
 }
 
 void
 Instance::StartTickers()
 {
-  auto every = [this](Millis aEvery, std::function<void()> aRound) {
+  auto addTicker = [this](Millis aEvery, std::function<void()> aRound) {
     mTickers.push_back(std::make_unique<Ticker>(aEvery, std::move(aRound)));
   };
-  every(kHeartbeatInterval, [this] { mHeartbeat->Round(); });
-  every(kSweepInterval, [this] { mOwner.Sweep(); });
-  every(kReconcileInterval, [this] { mKeeper->Round(); });
-  every(kBriefingInterval, [this] {
+  addTicker(kHeartbeatInterval, [this] { mHeartbeat->Round(); });
+  addTicker(kSweepInterval, [this] { mOwner.Sweep(); });
+  addTicker(kReconcileInterval, [this] { mReconciler->Round(); });
+  addTicker(kBriefingInterval, [this] {
     if (Ready()) {
       mBriefingRunner->Round();
     }
@@ -217,16 +222,17 @@
   // Three tries within a lease. Until there is a configuration, and so
   // anything to share, look more often.
   Millis renew = mSettings.mShareLease / 3;
-  every(kHeartbeatInterval, [this, renew, last = TimePoint{}]() mutable {
-    TimePoint now = mClock.Now();
-    bool due = mWoken.exchange(false) || last == TimePoint{} ||
-               now - last >= renew ||
-               mShares->Table().mMembers.count(mIncarnation) == 0;
-    if (due && mConfig.Current()->mRevision > 0) {
-      last = now;
-      mShares->Round();
-    }
-  });
+  addTicker(kHeartbeatInterval,
+            [this, renew, lastRenewal = TimePoint{}]() mutable {
+              TimePoint now = mClock.Now();
+              bool due = mWoken.exchange(false) || lastRenewal == TimePoint{} ||
+                         now - lastRenewal >= renew ||
+                         mShares->Table().mMembers.count(mIncarnation) == 0;
+              if (due && mConfig.Current()->mRevision > 0) {
+                lastRenewal = now;
+                mShares->Round();
+              }
+            });
   Ticker& shares = *mTickers.back();
   mShares->OnSlotsReceived([this, &shares] {
     mWoken = true;
@@ -255,20 +261,20 @@
          !mShares->Table().mMembers.empty();
 }
 
-AdminPort::Parts
+AdminPort::Dependencies
 Instance::AdminDependencies()
 {
-  AdminPort::Parts parts;
-  parts.mConfig = &mConfig;
-  parts.mStore = &mConfigStore;
-  parts.mMetrics = &mMetrics;
-  parts.mClock = &mClock;
-  parts.mReady = [this] { return Ready(); };
-  parts.mStatus = [this] { return Status(); };
-  parts.mFleet = [this] { return Fleet(); };
-  parts.mExtraMetrics = [this] { return ExtraMetrics(); };
-  parts.mChanged = [this] { mWatcher->Refresh(); };
-  return parts;
+  AdminPort::Dependencies dependencies;
+  dependencies.mConfig = &mConfig;
+  dependencies.mStore = &mConfigStore;
+  dependencies.mMetrics = &mMetrics;
+  dependencies.mClock = &mClock;
+  dependencies.mReady = [this] { return Ready(); };
+  dependencies.mStatus = [this] { return Status(); };
+  dependencies.mFleet = [this] { return Fleet(); };
+  dependencies.mExtraMetrics = [this] { return ExtraMetrics(); };
+  dependencies.mChanged = [this] { mWatcher->Refresh(); };
+  return dependencies;
 }
 
 Json::Value
@@ -305,11 +311,11 @@
     if (auto* status = std::get_if<Json::Value>(&answer)) {
       json["instances"].append(*status);
     } else {
-      Json::Value silent;
-      silent["id"] = peer.mId;
-      silent["zone"] = peer.mZone;
-      silent["silent"] = true;
-      json["instances"].append(silent);
+      Json::Value unreachable;
+      unreachable["id"] = peer.mId;
+      unreachable["zone"] = peer.mZone;
+      unreachable["silent"] = true;
+      json["instances"].append(unreachable);
     }
   }
   return json;
@@ -361,7 +367,7 @@
 Instance::Shutdown()
 {
   LogInfo("leaving", {});
-  TimePoint told = mClock.Now();
+  TimePoint begun = mClock.Now();
   LeaveTimes times;
   times.mBalancerLag = mSettings.mShutdownLag;
   times.mGrace = mSettings.mShutdownLag + mSettings.mShutdownLimit;
@@ -371,7 +377,7 @@
   // Peers that don't answer hold nothing up; it ends with the process.
   std::thread([this] { mHeartbeat->AnnounceLeaving(); }).detach();
   // The balancer goes on sending until it has seen that we aren't ready.
-  std::this_thread::sleep_until(told + mSettings.mShutdownLag);
+  std::this_thread::sleep_until(begun + mSettings.mShutdownLag);
   mCallers->Drain();
   LogInfo("draining",
           { { "in_flight", std::to_string(mCallers->InFlight()) },
@@ -383,7 +389,7 @@
   while (Busy() && mClock.Now() < mLeave.End()) {
     std::this_thread::sleep_for(kDrainStep);
   }
-  int cut = mCallers->AnswerShuttingDown(mClock.Now() + kLastAnswers);
+  int cut = mCallers->AnswerShuttingDown(mClock.Now() + kLastAnswersTimeout);
   mCallers->Close(kPortCloseTimeout);
   mTickers.clear();
   mShares->Leave();
--- a/src/daemon/Instance.h
+++ b/src/daemon/Instance.h
@@ -43,7 +43,7 @@
   void AddPeerMethods();
   void StartTickers();
   bool Busy() const;
-  AdminPort::Parts AdminDependencies();
+  AdminPort::Dependencies AdminDependencies();
   Json::Value Status() const;
   Json::Value Fleet();
   std::string ExtraMetrics() const;
@@ -60,7 +60,7 @@
   std::string mIncarnation; // id.random@address, known once the port is bound
   PeerClient mPeers;
   std::unique_ptr<Members> mMembers;
-  std::unique_ptr<HomeZones> mHomes;
+  std::unique_ptr<HomeZones> mHomeZones;
   std::unique_ptr<ConfigWatcher> mWatcher;
   std::unique_ptr<Heartbeat> mHeartbeat;
   PlacementStore mPlacements;
@@ -70,14 +70,14 @@
   WorkerPool mClaimWorkers;
   WorkerPool mBriefingWorkers;
   ModelOwner mOwner;
-  std::unique_ptr<StoreGate> mGate;
-  std::unique_ptr<EndpointReconciler> mKeeper;
+  std::unique_ptr<StoreGate> mStoreGate;
+  std::unique_ptr<EndpointReconciler> mReconciler;
   std::unique_ptr<ShareManager> mShares;
   std::unique_ptr<ShareClient> mShareClient;
   Authenticator mKeys;
   ClaimRegistry mClaimBook;
   std::unique_ptr<ClaimDriver> mClaims;
-  std::unique_ptr<EngineSlotFinder> mPlaces;
+  std::unique_ptr<EngineSlotFinder> mSlotFinder;
   std::unique_ptr<ModelCalls> mModels;
   std::unique_ptr<ServiceCalls> mServices;
   BriefingStore mBriefings;
--- a/src/daemon/Settings.cpp
+++ b/src/daemon/Settings.cpp
@@ -21,15 +21,15 @@
     return;
   }
   aFields.Texts("near", aOut.mNear, false);
-  auto in = [](const std::vector<std::string>& aZones,
-               const std::string& aZone) {
+  auto contains = [](const std::vector<std::string>& aZones,
+                     const std::string& aZone) {
     return std::find(aZones.begin(), aZones.end(), aZone) != aZones.end();
   };
-  if (!in(aOut.mNear, aOut.mZone)) {
+  if (!contains(aOut.mNear, aOut.mZone)) {
     aFields.AddError(node, "near", "expected our own zone among them");
   }
   for (const std::string& zone : aOut.mNear) {
-    if (!in(aOut.mZones, zone)) {
+    if (!contains(aOut.mZones, zone)) {
       aFields.AddError(node, "near", zone + " isn't one of zones");
     }
   }
@@ -41,9 +41,10 @@
   aFields.Text("id", aOut.mId, true);
   aFields.Text("zone", aOut.mZone, true);
   aFields.Texts("zones", aOut.mZones, true);
-  bool among = std::find(aOut.mZones.begin(), aOut.mZones.end(), aOut.mZone) !=
-               aOut.mZones.end();
-  if (!aOut.mZones.empty() && !among) {
+  bool zoneListed =
+    std::find(aOut.mZones.begin(), aOut.mZones.end(), aOut.mZone) !=
+    aOut.mZones.end();
+  if (!aOut.mZones.empty() && !zoneListed) {
     aFields.AddError(aFields.Node("zone", false), "zone", "isn't one of zones");
   }
   ReadNear(aFields, aOut);
@@ -100,44 +101,43 @@
 }
 
 void
-ReadRest(const toml::table& aRoot, Settings& aOut, TomlErrors& aTomlErrors)
+ReadRest(const toml::table& aRoot, Settings& aOut, TomlErrors& aErrors)
 {
   {
-    TomlTableReader fields(
-      aRoot["platform"].as_table(), "platform", aTomlErrors);
+    TomlTableReader fields(aRoot["platform"].as_table(), "platform", aErrors);
     fields.Address("address", aOut.mPlatformAddress, true);
     fields.Time("timeout_ms", aOut.mPlatformTimeout);
     fields.Number("calls_per_second", aOut.mPlatformCallsPerSecond, 1);
   }
   {
-    TomlTableReader fields(aRoot["keys"].as_table(), "keys", aTomlErrors);
+    TomlTableReader fields(aRoot["keys"].as_table(), "keys", aErrors);
     fields.Time("max_age_s", aOut.mKeysMaxAge);
   }
   {
-    TomlTableReader fields(aRoot["shares"].as_table(), "shares", aTomlErrors);
+    TomlTableReader fields(aRoot["shares"].as_table(), "shares", aErrors);
     fields.Time("lease_ms", aOut.mShareLease);
     fields.Time("margin_ms", aOut.mShareMargin);
     fields.Time("isolation_limit_s", aOut.mShareIsolationLimit);
     fields.Time("grant_life_ms", aOut.mShareGrantLife);
   }
   {
-    TomlTableReader fields(aRoot["store"].as_table(), "store", aTomlErrors);
+    TomlTableReader fields(aRoot["store"].as_table(), "store", aErrors);
     fields.Number("at_once", aOut.mStoreAtOnce, 1);
     fields.Number("starts_per_second", aOut.mStoreStartsPerSecond, 1);
     fields.Number("adapters_at_once", aOut.mStoreAdaptersAtOnce, 1);
   }
   {
-    TomlTableReader fields(aRoot["models"].as_table(), "models", aTomlErrors);
+    TomlTableReader fields(aRoot["models"].as_table(), "models", aErrors);
     fields.Time("idle_limit_s", aOut.mModelIdleLimit);
     fields.Time("order_horizon_s", aOut.mModelOrderHorizon);
   }
-  TomlTableReader fields(aRoot["shutdown"].as_table(), "shutdown", aTomlErrors);
+  TomlTableReader fields(aRoot["shutdown"].as_table(), "shutdown", aErrors);
   fields.Time("lag_ms", aOut.mShutdownLag);
   fields.Time("limit_s", aOut.mShutdownLimit);
 }
 
 void
-CheckTables(const toml::table& aRoot, TomlErrors& aTomlErrors)
+CheckTables(const toml::table& aRoot, TomlErrors& aErrors)
 {
   static const std::set<std::string> sTables = {
     "instance", "caller", "admin",  "peer",     "platform",
@@ -147,11 +147,10 @@
   for (const auto& entry : aRoot) {
     std::string name(entry.first.str());
     if (!sTables.count(name)) {
-      aTomlErrors.Say(
+      aErrors.Add(
         entry.second.source().begin.line, name, "unknown table or field");
     } else if (!entry.second.is_table()) {
-      aTomlErrors.Say(
-        entry.second.source().begin.line, name, "expected a table");
+      aErrors.Add(entry.second.source().begin.line, name, "expected a table");
     }
   }
 }
@@ -161,23 +160,22 @@
 Result<Settings>
 SettingsParse(const std::string& aText, const std::string& aFile)
 {
-  TomlErrors trouble{ aFile, "" };
+  TomlErrors errors{ aFile, "" };
   Settings settings;
   try {
     toml::table root = toml::parse(aText);
-    CheckTables(root, trouble);
-    ReadInstance({ root["instance"].as_table(), "instance", trouble },
-                 settings);
-    ReadCaller({ root["caller"].as_table(), "caller", trouble }, settings);
-    ReadAdmin({ root["admin"].as_table(), "admin", trouble }, settings);
-    ReadPeer({ root["peer"].as_table(), "peer", trouble }, settings);
-    ReadRest(root, settings, trouble);
+    CheckTables(root, errors);
+    ReadInstance({ root["instance"].as_table(), "instance", errors }, settings);
+    ReadCaller({ root["caller"].as_table(), "caller", errors }, settings);
+    ReadAdmin({ root["admin"].as_table(), "admin", errors }, settings);
+    ReadPeer({ root["peer"].as_table(), "peer", errors }, settings);
+    ReadRest(root, settings, errors);
   } catch (const toml::parse_error& error) {
-    trouble.Say(
+    errors.Add(
       error.source().begin.line, "not TOML", std::string(error.description()));
   }
-  if (!trouble.mText.empty()) {
-    return Fail(ErrorKind::ConfigInvalid, trouble.mText);
+  if (!errors.mText.empty()) {
+    return Fail(ErrorKind::ConfigInvalid, errors.mText);
   }
   return settings;
 }
@@ -185,12 +183,12 @@
 Result<Settings>
 SettingsRead(const std::string& aFile)
 {
-  std::ifstream in(aFile);
-  if (!in) {
+  std::ifstream contains(aFile);
+  if (!contains) {
     return Fail(ErrorKind::ConfigInvalid, aFile + ": can't be read");
   }
   std::ostringstream text;
-  text << in.rdbuf();
+  text << contains.rdbuf();
   return SettingsParse(text.str(), aFile);
 }
 
--- a/src/daemon/TomlTableReader.cpp
+++ b/src/daemon/TomlTableReader.cpp
@@ -5,7 +5,7 @@
 namespace caraway {
 
 void
-TomlErrors::Say(uint32_t aLine,
+TomlErrors::Add(uint32_t aLine,
                 const std::string& aField,
                 const std::string& aWhat)
 {
@@ -16,10 +16,10 @@
 
 TomlTableReader::TomlTableReader(const toml::table* aTable,
                                  std::string aName,
-                                 TomlErrors& aTomlErrors)
+                                 TomlErrors& aErrors)
   : mTable(aTable)
   , mName(std::move(aName))
-  , mTrouble(aTomlErrors)
+  , mErrors(aErrors)
 {
 }
 
@@ -47,7 +47,7 @@
   } else if (mTable) {
     line = mTable->source().begin.line;
   }
-  mTrouble.Say(line, mName + "." + aField, aWhat);
+  mErrors.Add(line, mName + "." + aField, aWhat);
 }
 
 const toml::node*
--- a/src/daemon/TomlTableReader.h
+++ b/src/daemon/TomlTableReader.h
@@ -17,7 +17,7 @@
   std::string mFile;
   std::string mText; // "" = none yet
 
-  void Say(uint32_t aLine, const std::string& aField, const std::string& aWhat);
+  void Add(uint32_t aLine, const std::string& aField, const std::string& aWhat);
 };
 
 class TomlTableReader
@@ -26,7 +26,7 @@
   // aTable may be null: a table that isn't there, with defaults for all.
   TomlTableReader(const toml::table* aTable,
                   std::string aName,
-                  TomlErrors& aTomlErrors);
+                  TomlErrors& aErrors);
   // Complains of fields that nobody asked for.
   ~TomlTableReader();
 
@@ -51,7 +51,7 @@
 private:
   const toml::table* mTable;
   std::string mName;
-  TomlErrors& mTrouble;
+  TomlErrors& mErrors;
   std::set<std::string> mKnownFields;
 };
 
--- a/src/peer/Members.cpp
+++ b/src/peer/Members.cpp
@@ -60,9 +60,9 @@
 Members::Listed() const
 {
   std::lock_guard<std::mutex> lock(mLock);
-  bool fresh =
+  bool recent =
     mListedAt != TimePoint{} && mClock.Now() - mListedAt < kListMaxAge;
-  return fresh ? std::make_optional(mListed) : std::nullopt;
+  return recent ? std::make_optional(mListed) : std::nullopt;
 }
 
 void
@@ -86,9 +86,9 @@
   TimePoint now = mClock.Now();
   for (auto& entry : mMembers) {
     Member& member = entry.second;
-    bool apart = member.mUnansweredCalls == 0 ||
-                 now - member.mUnansweredAt >= kMinUnansweredSpacing;
-    if (member.mInfo.mPeerAddress == aAddress && apart) {
+    bool countsSeparately = member.mUnansweredCalls == 0 ||
+                            now - member.mUnansweredAt >= kMinUnansweredSpacing;
+    if (member.mInfo.mPeerAddress == aAddress && countsSeparately) {
       ++member.mUnansweredCalls;
       member.mUnansweredAt = now;
     }
@@ -124,29 +124,29 @@
 Members::AvailablePeersIn(const std::string& aZone) const
 {
   std::lock_guard<std::mutex> lock(mLock);
-  std::vector<InstanceInfo> fit;
+  std::vector<InstanceInfo> available;
   if (mSelf.mZone == aZone && !mSelf.mLeaving) {
-    fit.push_back(mSelf);
+    available.push_back(mSelf);
   }
   for (const auto& member : mMembers) {
     if (member.second.mInfo.mZone == aZone && IsAvailable(member.second)) {
-      fit.push_back(member.second.mInfo);
+      available.push_back(member.second.mInfo);
     }
   }
-  return fit;
+  return available;
 }
 
 std::vector<InstanceInfo>
 Members::Others() const
 {
   std::lock_guard<std::mutex> lock(mLock);
-  std::vector<InstanceInfo> others;
+  std::vector<InstanceInfo> peers;
   for (const auto& member : mMembers) {
     if (!member.second.mInfo.mLeaving) {
-      others.push_back(member.second.mInfo);
+      peers.push_back(member.second.mInfo);
     }
   }
-  return others;
+  return peers;
 }
 
 InstanceInfo
@@ -175,18 +175,19 @@
 InstanceInfo
 Members::FleetOwner(const std::string& aKey) const
 {
-  std::vector<InstanceInfo> fit = AvailablePeersIn(mSelf.mZone);
+  std::vector<InstanceInfo> available = AvailablePeersIn(mSelf.mZone);
   for (const InstanceInfo& info : AvailableElsewhere()) {
-    fit.push_back(info);
+    available.push_back(info);
   }
-  return OwnerAmong(fit, aKey);
+  return OwnerAmong(available, aKey);
 }
 
 std::optional<InstanceInfo>
 Members::OwnerIn(const std::string& aZone, const std::string& aKey) const
 {
-  std::vector<InstanceInfo> fit = AvailablePeersIn(aZone);
-  return fit.empty() ? std::nullopt : std::make_optional(OwnerAmong(fit, aKey));
+  std::vector<InstanceInfo> available = AvailablePeersIn(aZone);
+  return available.empty() ? std::nullopt
+                           : std::make_optional(OwnerAmong(available, aKey));
 }
 
 std::set<std::string>
@@ -210,8 +211,8 @@
 {
   std::set<std::string> zones = AvailableZones();
   std::lock_guard<std::mutex> lock(mLock);
-  for (const std::string& doubted : mSuspectedZones) {
-    zones.erase(doubted);
+  for (const std::string& suspected : mSuspectedZones) {
+    zones.erase(suspected);
   }
   return zones;
 }
@@ -235,14 +236,14 @@
 Members::UncontactedPeers() const
 {
   std::lock_guard<std::mutex> lock(mLock);
-  std::vector<std::string> strangers;
+  std::vector<std::string> uncontacted;
   for (const auto& entry : mMembers) {
     const Member& member = entry.second;
     if (member.mHeard == TimePoint{} && member.mUnansweredCalls == 0) {
-      strangers.push_back(member.mInfo.mPeerAddress);
+      uncontacted.push_back(member.mInfo.mPeerAddress);
     }
   }
-  return strangers;
+  return uncontacted;
 }
 
 int
@@ -256,14 +257,14 @@
 Members::AvailableElsewhere() const
 {
   std::lock_guard<std::mutex> lock(mLock);
-  std::vector<InstanceInfo> fit;
+  std::vector<InstanceInfo> available;
   for (const auto& member : mMembers) {
     if (member.second.mInfo.mZone != mSelf.mZone &&
         IsAvailable(member.second)) {
-      fit.push_back(member.second.mInfo);
+      available.push_back(member.second.mInfo);
     }
   }
-  return fit;
+  return available;
 }
 
 } // namespace caraway
--- a/src/peer/PeerPort.cpp
+++ b/src/peer/PeerPort.cpp
@@ -53,8 +53,8 @@
     aResponse.send();
     return;
   }
-  std::string shown = aRequest.get("Authorization", "");
-  if (!DigestEqual(DigestHex(shown), mSecretDigest)) {
+  std::string presented = aRequest.get("Authorization", "");
+  if (!DigestEqual(DigestHex(presented), mSecretDigest)) {
     aResponse.setKeepAlive(false);
     aResponse.setStatusAndReason(HTTPResponse::HTTP_UNAUTHORIZED);
     aResponse.setContentLength(0);
--- a/src/peer/PeerRpc.cpp
+++ b/src/peer/PeerRpc.cpp
@@ -82,14 +82,14 @@
 
 } // namespace
 
-struct PeerRpcServer::Inner
+struct PeerRpcServer::Impl
 {
   TextConnector mConnector;
   MethodServer mServer{ mConnector };
 };
 
 PeerRpcServer::PeerRpcServer()
-  : mInner(new Inner)
+  : mImpl(new Impl)
 {
 }
 
@@ -98,14 +98,14 @@
 void
 PeerRpcServer::Add(const std::string& aName, PeerMethod aMethod)
 {
-  mInner->mServer.Add(aName, std::move(aMethod));
+  mImpl->mServer.Add(aName, std::move(aMethod));
 }
 
 std::string
 PeerRpcServer::Answer(const std::string& aRequest)
 {
   std::string answer;
-  mInner->mConnector.OnRequest(aRequest, &answer);
+  mImpl->mConnector.OnRequest(aRequest, &answer);
   return answer;
 }
 
--- a/src/peer/PeerRpc.h
+++ b/src/peer/PeerRpc.h
@@ -27,8 +27,8 @@
   std::string Answer(const std::string& aRequest);
 
 private:
-  struct Inner;
-  std::unique_ptr<Inner> mInner;
+  struct Impl;
+  std::unique_ptr<Impl> mImpl;
 };
 
 // Sends aRequest, returns the answer's text; throws std::runtime_error.
--- a/src/platform/ConfigStore.cpp
+++ b/src/platform/ConfigStore.cpp
@@ -103,21 +103,21 @@
 Result<ConfigSnapshot>
 ConfigStore::Load(const ConfigRevision& aRevision)
 {
-  std::map<std::string, Json::Value> kept;
+  std::map<std::string, Json::Value> loaded;
   BOOST_LEAF_AUTO(manifest, Part(aRevision.mManifest));
-  kept[aRevision.mManifest] = manifest;
-  Json::Value whole(Json::objectValue);
+  loaded[aRevision.mManifest] = manifest;
+  Json::Value merged(Json::objectValue);
   for (const Json::Value& digest : manifest["parts"]) {
     BOOST_LEAF_AUTO(part, Part(digest.asString()));
     for (const Json::Value& entry : part["entries"]) {
-      whole[part["section"].asString()].append(entry);
+      merged[part["section"].asString()].append(entry);
     }
-    kept[digest.asString()] = std::move(part);
+    loaded[digest.asString()] = std::move(part);
   }
-  BOOST_LEAF_AUTO(config, ConfigParse(whole));
+  BOOST_LEAF_AUTO(config, ConfigParse(merged));
   config.mRevision = aRevision.mRevision;
   std::lock_guard<std::mutex> lock(mLock);
-  mParts = std::move(kept);
+  mParts = std::move(loaded);
   return config;
 }
 
@@ -134,9 +134,9 @@
   WriteResult result =
     mPlatform.Write({ kPartKind, digest, 0, RandomId(), aPart });
   // Standing already under this name means standing with this content.
-  bool stands =
+  bool stored =
     result.mEnd == WriteOutcome::Done || result.mEnd == WriteOutcome::Conflict;
-  if (!stands) {
+  if (!stored) {
     return Fail(ErrorKind::PlatformUnavailable, "a part couldn't be stored");
   }
   return digest;
@@ -150,13 +150,13 @@
                     const std::string& aAt)
 {
   ConfigIndex index;
-  auto standing = Outcome([&] { return Index(); });
-  if (auto* failure = std::get_if<Failure>(&standing)) {
+  auto current = Outcome([&] { return Index(); });
+  if (auto* failure = std::get_if<Failure>(&current)) {
     if (failure->mKind != ErrorKind::NotFound) {
       return Fail(*failure);
     }
   } else {
-    index = std::get<ConfigIndex>(standing);
+    index = std::get<ConfigIndex>(current);
   }
   if (index.mNow.mRevision != aExpected) {
     return Conflict(index.mNow, aExpected);
--- a/src/platform/PlatformClient.cpp
+++ b/src/platform/PlatformClient.cpp
@@ -62,7 +62,7 @@
 // A conflict with our own write id is no conflict: a first copy was taken,
 // and this is the answer to the second.
 WriteResult
-WriteEnded(const PlatformWrite& aWrite, const HttpReply& aReply)
+WriteResultOf(const PlatformWrite& aWrite, const HttpReply& aReply)
 {
   Json::Value json = JsonParseOrEmpty(aReply.mBody);
   if (aReply.mStatus != kConflict) {
@@ -70,10 +70,10 @@
     object.mValue = aWrite.mValue;
     return { WriteOutcome::Done, std::move(object) };
   }
-  PlatformObject standing = ObjectOf(json["current"]);
-  bool ours = standing.mWriteId == aWrite.mWriteId;
-  return { ours ? WriteOutcome::Done : WriteOutcome::Conflict,
-           std::move(standing) };
+  PlatformObject current = ObjectOf(json["current"]);
+  bool isOwnWrite = current.mWriteId == aWrite.mWriteId;
+  return { isOwnWrite ? WriteOutcome::Done : WriteOutcome::Conflict,
+           std::move(current) };
 }
 
 } // namespace
@@ -117,13 +117,14 @@
 }
 
 void
-PlatformClient::Pause(int aTry)
+PlatformClient::Pause(int aAttempt)
 {
-  int64_t most = mSettings.mBackoff.count() << aTry;
+  int64_t maxPause = mSettings.mBackoff.count() << aAttempt;
   int64_t pause = 0;
   {
     std::lock_guard<std::mutex> lock(mLock);
-    pause = std::uniform_int_distribution<int64_t>(most / 2, most)(mRandom);
+    pause =
+      std::uniform_int_distribution<int64_t>(maxPause / 2, maxPause)(mRandom);
   }
   std::this_thread::sleep_for(Millis(pause));
 }
@@ -150,7 +151,7 @@
 PlatformClient::SendWithRetries(const HttpCall& aCall)
 {
   HttpReply reply;
-  for (int i = 0; i < mSettings.mTries; ++i) {
+  for (int i = 0; i < mSettings.mMaxAttempts; ++i) {
     if (i > 0) {
       Pause(i - 1);
     }
@@ -201,7 +202,7 @@
 }
 
 HttpReply
-PlatformClient::SendOnceForWrite(const PlatformWrite& aWrite)
+PlatformClient::SendWriteOnce(const PlatformWrite& aWrite)
 {
   ++mCounts.mWrites;
   HttpCall call;
@@ -218,11 +219,11 @@
 WriteResult
 PlatformClient::Write(const PlatformWrite& aWrite)
 {
-  HttpReply reply = SendOnceForWrite(aWrite);
+  HttpReply reply = SendWriteOnce(aWrite);
   if (reply.mStage == HttpStage::NotSent) {
     return { WriteOutcome::Refused, {} };
   }
-  return Usable(reply) ? WriteEnded(aWrite, reply) : Resolve(aWrite);
+  return Usable(reply) ? WriteResultOf(aWrite, reply) : Resolve(aWrite);
 }
 
 // The write was offered and no answer came. It may have taken effect, or may
@@ -231,11 +232,11 @@
 WriteResult
 PlatformClient::Resolve(const PlatformWrite& aWrite)
 {
-  for (int i = 0; i < mSettings.mTries; ++i) {
+  for (int i = 0; i < mSettings.mMaxAttempts; ++i) {
     Pause(i);
-    HttpReply reply = SendOnceForWrite(aWrite);
+    HttpReply reply = SendWriteOnce(aWrite);
     if (Usable(reply)) {
-      return WriteEnded(aWrite, reply);
+      return WriteResultOf(aWrite, reply);
     }
   }
   return { WriteOutcome::Unknown, {} };
--- a/src/platform/PlatformClient.h
+++ b/src/platform/PlatformClient.h
@@ -16,7 +16,7 @@
 {
   std::string mAddress;         // ip:port
   Millis mTimeout{ 1000 };      // one try
-  int mTries = 3;               // of a read, or of resolving a write
+  int mMaxAttempts = 3;         // of a read, or of resolving a write
   Millis mBackoff{ 50 };        // first pause; doubles, jittered
   double mCallsPerSecond = 200; // budget of this instance
 };
@@ -44,10 +44,10 @@
 private:
   HttpReply Send(const HttpCall& aCall);
   HttpReply SendWithRetries(const HttpCall& aCall);
-  HttpReply SendOnceForWrite(const PlatformWrite& aWrite);
+  HttpReply SendWriteOnce(const PlatformWrite& aWrite);
   WriteResult Resolve(const PlatformWrite& aWrite);
   bool TakeCallBudget();
-  void Pause(int aTry);
+  void Pause(int aAttempt);
 
   PlatformClientSettings mSettings;
   const Clock& mClock;
