--- a/src/admin/AdminPort.cpp
+++ b/src/admin/AdminPort.cpp
@@ -58,7 +58,7 @@
     mListen, limits, [this](auto& aIn, auto& aOut) { Handle(aIn, aOut); });
 }
 
-// What a balancer asks, without a key: tells nothing but yes or no.
+// Answers the balancer's probes, which carry no key; discloses only yes or no.
 bool
 AdminPort::Probe(const std::string& aPath, Response& aResponse) const
 {
@@ -87,7 +87,7 @@
     }
   }
   if (name.empty()) {
-    return Fail(ErrorKind::KeyUnknown, "no such administration key");
+    return Fail(ErrorKind::KeyUnknown, "unknown administration key");
   }
   return name;
 }
@@ -136,7 +136,7 @@
   BOOST_LEAF_AUTO(text, HttpReadBody(aRequest, kBodyLimit, kBodyTime));
   BOOST_LEAF_AUTO(json, JsonParse(text));
   if (!json.isObject()) {
-    return Fail(ErrorKind::BadRequest, "expected an object");
+    return Fail(ErrorKind::BadRequest, "expected a JSON object");
   }
   return json;
 }
@@ -153,8 +153,8 @@
   return mDependencies.mFleet();
 }
 
-// From the platform, not from this instance's memory: what an operator
-// changes has to be the newest.
+// Reads from the platform and not from this instance's memory, since operators
+// must edit the newest revision.
 Result<Json::Value>
 AdminPort::Read(Request&, const std::string&)
 {
@@ -190,10 +190,11 @@
 {
   BOOST_LEAF_AUTO(body, Body(aRequest));
   if (!body["expected"].isInt64()) {
-    return Fail(ErrorKind::BadRequest, "expected: the revision you changed");
+    return Fail(ErrorKind::BadRequest,
+                "expected: the revision that the change is based on");
   }
   if (!body["note"].isString() && !body["note"].isNull()) {
-    return Fail(ErrorKind::BadRequest, "note: expected a text");
+    return Fail(ErrorKind::BadRequest, "note: expected a string");
   }
   BOOST_LEAF_AUTO(config, ConfigParse(body["config"]));
   BOOST_LEAF_AUTO(
@@ -233,7 +234,8 @@
       return json;
     }
   }
-  return Fail(ErrorKind::NotFound, "revision " + requested + " isn't kept");
+  return Fail(ErrorKind::NotFound,
+              "revision " + requested + " isn't in the history");
 }
 
 } // namespace caraway
--- a/src/admin/AdminPort.h
+++ b/src/admin/AdminPort.h
@@ -1,4 +1,4 @@
-// AdminPort.h: the operators' API.
+// AdminPort.h: the HTTP API for operators.
 #ifndef caraway_admin_AdminPort_h
 #define caraway_admin_AdminPort_h
 
@@ -21,11 +21,11 @@
   std::string mDigest;
 };
 
-// GET  /healthz /readyz          for balancers; no key
-// GET  /metrics                  usual text format
+// GET  /healthz /readyz          for balancers; no key required
+// GET  /metrics                  Prometheus text format
 // GET  /admin/v1/status          this instance
-// GET  /admin/v1/fleet           all it can reach
-// GET  /admin/v1/config          revision and whole configuration
+// GET  /admin/v1/fleet           all instances that it can reach
+// GET  /admin/v1/config          revision and complete configuration
 // POST /admin/v1/config          {"expected":N,"config":{…},"note":"…"}
 // POST /admin/v1/check           {"config":{…}}
 // GET  /admin/v1/history         revisions, newest first
@@ -43,7 +43,7 @@
     std::function<Json::Value()> mStatus;
     std::function<Json::Value()> mFleet;
     std::function<std::string()> mExtraMetrics;
-    std::function<void()> mChanged; // a change was accepted here
+    std::function<void()> mChanged; // called after a change was accepted here
   };
 
   AdminPort(std::string aListen,
--- a/src/daemon/ConfigWatcher.h
+++ b/src/daemon/ConfigWatcher.h
@@ -1,4 +1,4 @@
-// ConfigWatcher.h: keeps this instance's configuration the newest.
+// ConfigWatcher.h: keeps this instance's configuration up to date.
 #ifndef caraway_daemon_ConfigWatcher_h
 #define caraway_daemon_ConfigWatcher_h
 
@@ -13,10 +13,10 @@
 
 namespace caraway {
 
-// One watch at the platform, whose return (with a change or without) confirms
-// how fresh we are. Beside it, what peers say: a peer that knows a newer
-// revision is asked for it, so that a change reaches instances that can't
-// reach the platform, and a new instance starts while the platform is out.
+// Runs one watch at the platform; each return, with a change or without,
+// confirms freshness. In addition, a peer that reports a newer revision is
+// asked for it, so that a change reaches instances that can't reach the
+// platform, and a new instance can start during a platform outage.
 class ConfigWatcher
 {
 public:
@@ -29,11 +29,12 @@
 
   void Start();
   void Stop();
-  // What a peer answered to a beat that we began at aAsked.
+  // Handles the freshness in a peer's heartbeat answer; aAsked: when the
+  // heartbeat was sent.
   void OnPeerFreshness(const std::string& aAddress,
                        const ConfigFreshness& aFresh,
                        TimePoint aAsked);
-  // Reads the index now, after a change accepted here.
+  // Reads the index immediately; called after a change was accepted here.
   void Refresh();
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
@@ -45,7 +46,7 @@
   ConfigFollower mFollower;
   ConfigHolder& mHolder;
   PeerClient& mPeers;
-  Millis mWatch; // one watch; how often freshness is confirmed at least
+  Millis mWatch; // length of a watch, and so the confirmation interval
   const Clock& mClock;
 
   std::atomic<bool> mStopping{ false };
--- a/src/daemon/Heartbeat.cpp
+++ b/src/daemon/Heartbeat.cpp
@@ -8,8 +8,9 @@
 
 constexpr Millis kHeartbeatTimeout{ 700 };
 constexpr Millis kListInterval{ 3000 };
-constexpr int kOtherZoneInterval = 4; // rounds
-// All of a small fleet. In a large one the rest learn of us from the list.
+constexpr int kOtherZoneInterval = 4; // in rounds
+// Covers all peers of a small fleet. In a large one the others learn of this
+// instance from the list.
 constexpr size_t kMaxGreetings = 16;
 
 } // namespace
@@ -98,7 +99,8 @@
   std::vector<std::string> addresses = mMembers.UncontactedPeers();
   std::shuffle(addresses.begin(), addresses.end(), mRandom);
   for (const std::string& address : addresses) {
-    // One that is silent costs the round its time; the next round goes on.
+    // A peer that doesn't answer costs this round its time; the next round
+    // continues.
     if (mGreeted == kMaxGreetings || !SendHeartbeat(address)) {
       return;
     }
--- a/src/daemon/Heartbeat.h
+++ b/src/daemon/Heartbeat.h
@@ -1,4 +1,4 @@
-// Heartbeat.h: short talks with a few peers.
+// Heartbeat.h: exchanges heartbeats with a few peers.
 #ifndef caraway_daemon_Heartbeat_h
 #define caraway_daemon_Heartbeat_h
 
@@ -14,11 +14,13 @@
 
 namespace caraway {
 
-// Each round one peer of our zone and, every few rounds, one of another: the
-// cost of an instance doesn't grow with the fleet. A newcomer begins by
-// greeting those it reads of; else they would learn of it from the list, a few
-// seconds later, and until then hold another for the owner of what it owns. A
-// beat says who we are, whether we leave, and which configuration we have.
+// Each round contacts one peer of this zone and, every few rounds, one of
+// another zone, so the cost per instance doesn't grow with the fleet. A new
+// instance first contacts the peers that it finds on the list. Otherwise they
+// would learn of it from the list a few seconds later, and until then take
+// another instance for the owner of its keys. A heartbeat carries the sender's
+// instance info, whether it is leaving, and its configuration's revision and
+// age.
 class Heartbeat
 {
 public:
@@ -31,7 +33,7 @@
             const Clock& aClock);
 
   void Round();
-  // Tells all fit instances of the zone that we leave.
+  // Tells all available instances of the zone that this one is leaving.
   void AnnounceLeaving();
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
@@ -53,7 +55,7 @@
   std::mt19937 mRandom{ std::random_device{}() };
   TimePoint mListRead{};
   int mRounds = 0;
-  size_t mGreeted = 0; // peers
+  size_t mGreeted = 0; // peers contacted at the start
 };
 
 } // namespace caraway
--- a/src/daemon/Instance.cpp
+++ b/src/daemon/Instance.cpp
@@ -15,10 +15,11 @@
 constexpr Millis kReconcileInterval{ 1000 };
 constexpr Millis kFleetStatusTimeout{ 700 };
 constexpr Millis kDrainStep{ 20 };
-constexpr Millis kLastAnswersTimeout{ 200 }; // all of them
-constexpr Millis kPortCloseTimeout{ 200 };   // of a port
-// Loads mostly wait: for the engine, or for their turn at the store. An
-// urgent one must not wait for a thread behind those.
+constexpr Millis kLastAnswersTimeout{ 200 }; // for all requests together
+constexpr Millis kPortCloseTimeout{ 200 };   // per port
+// Load threads mostly wait for an engine or for a permit of the weight store.
+// There are enough of them that an urgent load doesn't wait for a thread behind
+// those.
 constexpr int kLoadThreads = 32;
 constexpr int kClaimThreads = 4;
 constexpr int kBriefingThreads = 4;
@@ -36,9 +37,9 @@
   return settings;
 }
 
-// Freshness is confirmed when a watch returns. One watch that is lost (its
-// time, 2 s more and a pause) must still leave some of the age that keys are
-// trusted for.
+// Freshness is confirmed when a watch returns. A lost watch (its length, 2 s
+// more and a pause) must still leave some of the age up to which keys are
+// trusted.
 Millis
 WatchTime(const Settings& aSettings)
 {
@@ -219,8 +220,8 @@
       mBriefingRunner->Round();
     }
   });
-  // Three tries within a lease. Until there is a configuration, and so
-  // anything to share, look more often.
+  // Renews three times per lease. Before a configuration and a table exist,
+  // tries at the heartbeat interval.
   Millis renew = mSettings.mShareLease / 3;
   addTicker(kHeartbeatInterval,
             [this, renew, lastRenewal = TimePoint{}]() mutable {
@@ -256,7 +257,8 @@
 bool
 Instance::Ready() const
 {
-  // Without a table of its zone's shares it would refuse what others let in.
+  // Without its zone's share table, this instance would refuse requests that
+  // the other instances admit.
   return mConfig.Current()->mRevision > 0 && !mLeave.Leaving() &&
          !mShares->Table().mMembers.empty();
 }
@@ -374,9 +376,10 @@
   mLeave.Begin(times);
   mCallers->Leave();
   mMembers->MarkSelfLeaving();
-  // Peers that don't answer hold nothing up; it ends with the process.
+  // Detached, so that peers that don't answer don't delay the shutdown.
   std::thread([this] { mHeartbeat->AnnounceLeaving(); }).detach();
-  // The balancer goes on sending until it has seen that we aren't ready.
+  // The balancer keeps sending until it has seen that this instance isn't
+  // ready.
   std::this_thread::sleep_until(begun + mSettings.mShutdownLag);
   mCallers->Drain();
   LogInfo("draining",
--- a/src/daemon/Instance.h
+++ b/src/daemon/Instance.h
@@ -1,4 +1,4 @@
-// Instance.h: all state of one entry instance, in one place.
+// Instance.h: the complete state of one entry instance.
 #ifndef caraway_daemon_Instance_h
 #define caraway_daemon_Instance_h
 
@@ -23,20 +23,20 @@
 
 namespace caraway {
 
-// Built in the order of its members, each on those above it.
+// Members are in order of construction; each depends only on those above it.
 class Instance
 {
 public:
   explicit Instance(Settings aSettings);
   ~Instance();
 
-  // Opens the ports. Throws Poco::Exception when an address can't be bound.
+  // Opens the ports. Throws Poco::Exception if an address can't be bound.
   void Start();
-  // {"caller":…,"admin":…,"peer":…}: addresses as bound.
+  // {"caller":…,"admin":…,"peer":…}: the bound addresses.
   Json::Value Addresses() const;
-  // Unready, keeps serving for the balancer's lag, finishes what is under
-  // way, gives back what it owns. Returns how many requests were cut; each of
-  // them was told.
+  // Reports not ready, keeps serving for the balancer's lag, finishes requests
+  // in flight and hands over its leases. Returns how many requests were cut
+  // off; each of them got a last answer.
   int Shutdown();
 
 private:
@@ -57,7 +57,7 @@
   ConfigStore mConfigStore;
   ConfigHolder mConfig;
   PeerPort mPeerPort;
-  std::string mIncarnation; // id.random@address, known once the port is bound
+  std::string mIncarnation; // id.random@address; set once the port is bound
   PeerClient mPeers;
   std::unique_ptr<Members> mMembers;
   std::unique_ptr<HomeZones> mHomeZones;
@@ -85,7 +85,7 @@
   std::unique_ptr<CallerPort> mCallers;
   std::unique_ptr<AdminPort> mAdmin;
   std::vector<std::unique_ptr<Ticker>> mTickers;
-  std::atomic<bool> mWoken{ false }; // slots were handed to us
+  std::atomic<bool> mWoken{ false }; // share slots were handed over
 };
 
 } // namespace caraway
--- a/src/daemon/Settings.cpp
+++ b/src/daemon/Settings.cpp
@@ -183,12 +183,12 @@
 Result<Settings>
 SettingsRead(const std::string& aFile)
 {
-  std::ifstream contains(aFile);
-  if (!contains) {
-    return Fail(ErrorKind::ConfigInvalid, aFile + ": can't be read");
+  std::ifstream file(aFile);
+  if (!file) {
+    return Fail(ErrorKind::ConfigInvalid, aFile + ": can't be opened");
   }
   std::ostringstream text;
-  text << contains.rdbuf();
+  text << file.rdbuf();
   return SettingsParse(text.str(), aFile);
 }
 
--- a/src/daemon/Settings.h
+++ b/src/daemon/Settings.h
@@ -1,4 +1,4 @@
-// Settings.h: what one instance is told at its start.
+// Settings.h: the settings file of one instance.
 #ifndef caraway_daemon_Settings_h
 #define caraway_daemon_Settings_h
 
@@ -12,22 +12,22 @@
 
 struct AdminKey
 {
-  std::string mName;   // who; stands in the history of changes
-  std::string mDigest; // SHA-256 of the key, hex
+  std::string mName;   // operator's name, as in the history of changes
+  std::string mDigest; // SHA-256 of the key, in hex
 };
 
 struct Settings
 {
   // [instance]
-  std::string mId;                 // its name, unique in the fleet
-  std::string mZone;               // its availability zone
-  std::vector<std::string> mZones; // all of the fleet's zones
-  std::vector<std::string> mNear;  // a few ms away; default: all
+  std::string mId;                 // unique in the fleet
+  std::string mZone;               // availability zone
+  std::vector<std::string> mZones; // all zones of the fleet
+  std::vector<std::string> mNear;  // zones a few ms away; default: all
 
   // [caller]
   std::string mCallerListen;          // ip:port
-  int mCallerConnections = 256;       // served at a time
-  int64_t mCallerBodyBytes = 1048576; // largest request body
+  int mCallerConnections = 256;       // served at the same time
+  int64_t mCallerBodyBytes = 1048576; // largest request body, in bytes
 
   // [admin]
   std::string mAdminListen; // ip:port
@@ -36,37 +36,38 @@
   // [peer]
   std::string mPeerListen;             // ip:port
   std::string mPeerAdvertise;          // ip:port; default: as bound
-  std::string mPeerSecret;             // the same on all instances
-  std::vector<std::string> mPeerSeeds; // ip:port, asked in an outage
+  std::string mPeerSecret;             // shared by all instances
+  std::vector<std::string> mPeerSeeds; // ip:port, contacted in an outage
 
   // [platform]
   std::string mPlatformAddress;          // ip:port
-  Millis mPlatformTimeout{ 1000 };       // one call
+  Millis mPlatformTimeout{ 1000 };       // per call
   int64_t mPlatformCallsPerSecond = 200; // budget of this instance
 
   // [keys]
-  Seconds mKeysMaxAge{ 600 }; // served without confirmation
+  Seconds mKeysMaxAge{ 600 }; // longest use without confirmation
 
   // [shares]
-  Millis mShareLease{ 3000 };           // right to spend after a renewal
-  Millis mShareMargin{ 1000 };          // beyond it, before others take
-  Seconds mShareIsolationLimit{ 3600 }; // spending on promises, at most
-  Millis mShareGrantLife{ 100 };        // from asking to being let in
+  Millis mShareLease{ 3000 };  // right to spend after a renewal
+  Millis mShareMargin{ 1000 }; // added before other instances take over
+  Seconds mShareIsolationLimit{ 3600 }; // longest spending without a renewal
+  Millis mShareGrantLife{ 100 };        // from request of tokens to admission
+
   // [store]: the weight store's limits, for the whole fleet
-  int64_t mStoreAtOnce = 4;          // loads at full speed
-  int64_t mStoreStartsPerSecond = 5; // loads begun
-  int64_t mStoreAdaptersAtOnce = 30; // adapters in flight
+  int64_t mStoreAtOnce = 4;          // concurrent loads at full speed
+  int64_t mStoreStartsPerSecond = 5; // load starts per second
+  int64_t mStoreAdaptersAtOnce = 30; // concurrent adapter loads
 
   // [models]
-  Seconds mModelIdleLimit{ 300 };    // idle replicas are unloaded
-  Seconds mModelOrderHorizon{ 120 }; // no order arrives later
+  Seconds mModelIdleLimit{ 300 };    // idle replicas are unloaded after it
+  Seconds mModelOrderHorizon{ 120 }; // longest delay of an order in flight
 
   // [shutdown]
-  Millis mShutdownLag{ 3000 };   // balancer still sends for so long
-  Seconds mShutdownLimit{ 120 }; // then what is left is cut
+  Millis mShutdownLag{ 3000 };   // the balancer may keep sending for so long
+  Seconds mShutdownLimit{ 120 }; // then requests in flight are cut off
 };
 
-// Checked whole: unknown tables and fields, wrong types and units, missing
+// Reports unknown tables and fields, wrong types and units, and missing
 // addresses. ConfigInvalid with "FILE:LINE: field: what was expected".
 Result<Settings>
 SettingsRead(const std::string& aFile);
--- a/src/daemon/TomlTableReader.h
+++ b/src/daemon/TomlTableReader.h
@@ -1,4 +1,4 @@
-// TomlTableReader.h: reads one TOML table strictly.
+// TomlTableReader.h: reads one TOML table and rejects unknown fields.
 #ifndef caraway_daemon_TomlTableReader_h
 #define caraway_daemon_TomlTableReader_h
 
@@ -11,11 +11,11 @@
 
 namespace caraway {
 
-// The first complaint, over all tables of a file.
+// Keeps the first error over all tables of a file.
 struct TomlErrors
 {
   std::string mFile;
-  std::string mText; // "" = none yet
+  std::string mText; // empty if there was no error
 
   void Add(uint32_t aLine, const std::string& aField, const std::string& aWhat);
 };
@@ -23,11 +23,11 @@
 class TomlTableReader
 {
 public:
-  // aTable may be null: a table that isn't there, with defaults for all.
+  // aTable: null if the table is absent; all fields then get their defaults.
   TomlTableReader(const toml::table* aTable,
                   std::string aName,
                   TomlErrors& aErrors);
-  // Complains of fields that nobody asked for.
+  // Reports fields that were never read as unknown.
   ~TomlTableReader();
 
   void Text(const char* aField, std::string& aOut, bool aRequired = false);
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,4 +1,4 @@
-// carawayd: one entry instance.
+// carawayd: runs one entry instance.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -25,7 +25,7 @@
 Serve(caraway::Settings aSettings)
 {
   caraway::LogStart(aSettings.mId);
-  // Blocked before any thread starts, so that only sigwait sees them.
+  // Blocked before any thread starts, so that only sigwait receives them.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -46,11 +46,11 @@
   int signal = 0;
   do {
     sigwait(&signals, &signal);
-  } while (signal == SIGHUP); // nothing is read again
+  } while (signal == SIGHUP); // no configuration file is reloaded
   int code = instance.Shutdown() == 0 ? kExitOk : kExitCut;
   std::fflush(nullptr);
-  // All is answered and handed over. What is left are threads in calls that
-  // last (the watch waits 10 s), and nothing hangs on their ends.
+  // All requests are answered and leases handed over. The remaining threads are
+  // in long calls (a watch lasts up to 10 s) whose results aren't needed.
   std::_Exit(code);
 }
 
--- a/src/peer/Members.cpp
+++ b/src/peer/Members.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Two calls in a row without an answer: one may be lost to a restart of a
-// kept connection.
+// One unanswered call may be due to a kept connection that the peer closed
+// while restarting.
 constexpr int kMaxUnansweredCalls = 2;
-// Several loads may ask one peer at the same moment; were each unanswered call
-// to count, a stall of a third of a second would look like a death.
+// Several loads may call one peer at the same moment. If each unanswered call
+// counted, a stall of a third of a second would look like a crash.
 constexpr Millis kMinUnansweredSpacing{ 200 };
 constexpr Seconds kForgetAfter{ 60 };
 constexpr Seconds kListMaxAge{ 10 };
@@ -41,7 +41,7 @@
         known->second.mInfo.mPeerAddress == info.mPeerAddress) {
       member = known->second;
     }
-    // What a peer says of its leaving is newer than the list.
+    // A peer's own report that it is leaving is newer than the list.
     bool leaving = member.mInfo.mLeaving || info.mLeaving;
     member.mInfo = info;
     member.mInfo.mLeaving = leaving;
--- a/src/peer/Members.h
+++ b/src/peer/Members.h
@@ -1,4 +1,4 @@
-// Members.h: who is there, as far as this instance knows.
+// Members.h: the fleet's instances as this instance knows them.
 #ifndef caraway_peer_Members_h
 #define caraway_peer_Members_h
 
@@ -14,55 +14,57 @@
 
 namespace caraway {
 
-// Built from the platform's list, which lags, and from what calls to peers
-// show. Everything decided on it is a hint.
+// Built from the platform's instance list, which may be stale, and from the
+// results of calls to peers. Decisions based on it are hints only.
 class Members
 {
 public:
   Members(const Clock& aClock, InstanceInfo aSelf);
 
-  // The platform's list. Members it doesn't name are kept while they answer:
-  // the list lags, and in an outage there is none.
+  // Takes the platform's list. Members it doesn't name are kept while they
+  // answer, since the list may be stale and isn't available during an outage.
   void UpdateFromList(const std::vector<InstanceInfo>& aList);
-  // Addresses on the list as last read; nothing when that is long ago.
+  // Addresses on the last list read, or nothing if that list is too old.
   std::optional<std::set<std::string>> Listed() const;
-  // A peer told of itself.
+  // Called when a peer sent its own instance info.
   void Heard(const InstanceInfo& aPeer);
-  // A call to a peer's address ended without an answer. Calls that one stall
-  // leaves unanswered together count as one.
+  // Called when a call to a peer ended without an answer. Unanswered calls that
+  // fall within kMinUnansweredSpacing of each other count as one.
   void Silent(const std::string& aAddress);
-  // The same, beyond doubt: a call that was given ample time. No new work
-  // until it is heard again.
+  // Called when a call with ample time went unanswered. The peer gets no new
+  // work until it is heard from again.
   void MarkUnreachable(const std::string& aAddress);
 
   const InstanceInfo& Self() const { return mSelf; }
   void MarkSelfLeaving();
-  // AvailablePeersIn for new work: not leaving, not silent. Includes ourselves
-  // unless we are leaving.
+  // Instances available for new work: neither leaving nor unresponsive.
+  // Includes this instance unless it is leaving.
   std::vector<InstanceInfo> AvailablePeersIn(const std::string& aZone) const;
-  // Zones with an instance that is fit for new work, ours among them.
+  // Number of zones with an available instance, including this instance's own.
   int AvailableZoneCount() const;
-  // The same, without those in doubt.
+  // Names of these zones without the suspected ones.
   std::set<std::string> RespondingZones() const;
-  // Calls to two of its instances went unanswered: the zone may be cut off, and
-  // finding out one instance after the other would take a call's time for each.
-  // Ends when one of them is heard.
+  // Marks a zone as possibly unreachable after calls to two of its instances
+  // went unanswered. Otherwise each of its instances would cost the time of one
+  // call to find unresponsive. Cleared when one of them is heard from.
   void SuspectZone(const std::string& aZone);
-  // Instances fit for new work, in all zones; ourselves counted unless we
-  // are leaving.
+  // Number of available instances in all zones; includes this instance unless
+  // it is leaving.
   int AvailableCount() const;
-  bool IsAvailablePeer(const std::string& aId) const; // another's
-  // Addresses of members on the list that never told of themselves; empty of
-  // those that were silent.
+  bool IsAvailablePeer(
+    const std::string& aId) const; // aId: of another instance
+  // Addresses of listed members that have never been heard from and have no
+  // unanswered call.
   std::vector<std::string> UncontactedPeers() const;
-  // All others, fit or not, except those that leave.
+  // All other instances that aren't leaving, available or not.
   std::vector<InstanceInfo> Others() const;
-  // Owner of aKey among the fit of our zone. Ourselves when alone.
+  // Owner of aKey among the available instances of this zone; this instance if
+  // there is no other.
   InstanceInfo Owner(const std::string& aKey) const;
-  // The same in another zone; nothing when it has no fit instance.
+  // The same in zone aZone; nothing if it has no available instance.
   std::optional<InstanceInfo> OwnerIn(const std::string& aZone,
                                       const std::string& aKey) const;
-  // The same among the fit of all zones.
+  // The same among the available instances of all zones.
   InstanceInfo FleetOwner(const std::string& aKey) const;
 
 private:
@@ -71,7 +73,7 @@
     InstanceInfo mInfo;
     TimePoint mHeard{};
     int mUnansweredCalls = 0;
-    TimePoint mUnansweredAt{}; // the last one counted
+    TimePoint mUnansweredAt{}; // of the last call counted
   };
   bool IsAvailable(const Member& aMember) const;
   std::vector<InstanceInfo> AvailableElsewhere() const;
@@ -82,8 +84,8 @@
   const Clock& mClock;
   mutable std::mutex mLock;
   InstanceInfo mSelf;
-  std::map<std::string, Member> mMembers; // by id, others only
-  std::set<std::string> mSuspectedZones;  // zones
+  std::map<std::string, Member> mMembers; // by id, without this instance
+  std::set<std::string> mSuspectedZones;  // possibly unreachable
   std::set<std::string> mListed;
   TimePoint mListedAt{};
 };
--- a/src/peer/PeerClient.h
+++ b/src/peer/PeerClient.h
@@ -1,4 +1,4 @@
-// PeerClient.h: calls to other instances.
+// PeerClient.h: RPC client for calls to other instances.
 #ifndef caraway_peer_PeerClient_h
 #define caraway_peer_PeerClient_h
 
@@ -15,18 +15,18 @@
 {
   std::atomic<int64_t> mCalls{ 0 };
   std::atomic<int64_t> mFailures{ 0 };
-  std::atomic<int64_t> mBytesOut{ 0 }; // bodies; headers are a constant more
+  std::atomic<int64_t> mBytesOut{ 0 }; // bodies only, without headers
   std::atomic<int64_t> mBytesIn{ 0 };
 };
 
 class PeerClient
 {
 public:
-  // aFrom names this instance and its zone to the peer, for its operators.
+  // aFrom: zone and id of this instance, sent to peers for their operators.
   PeerClient(std::string aSecret, std::string aFrom);
 
-  // NoEndpoint when the peer can't be reached or gives no answer. aResend:
-  // the method may arrive twice without harm.
+  // NoEndpoint if the peer can't be reached or doesn't answer. aResend: the
+  // method may safely arrive twice.
   Result<Json::Value> Call(const std::string& aAddress,
                            const std::string& aMethod,
                            const Json::Value& aParams,
--- a/src/peer/PeerPort.h
+++ b/src/peer/PeerPort.h
@@ -1,4 +1,4 @@
-// PeerPort.h: the port other instances call.
+// PeerPort.h: the port for calls from other instances.
 #ifndef caraway_peer_PeerPort_h
 #define caraway_peer_PeerPort_h
 
@@ -11,15 +11,16 @@
 
 namespace caraway {
 
-// Open only to holders of the fleet's secret. Bound first, since our address
-// is part of our name; calls are turned away until Serve.
+// Requires the fleet's shared secret. Opened before anything else is built,
+// since the bound address is part of the incarnation's name; calls are refused
+// until Serve().
 class PeerPort
 {
 public:
   explicit PeerPort(const std::string& aSecret);
 
   void Open(const std::string& aListen, int aThreads);
-  void Add(const std::string& aName, PeerMethod aMethod); // before Serve
+  void Add(const std::string& aName, PeerMethod aMethod); // before Serve()
   void Serve() { mServing = true; }
   std::string Address() const { return mPort->Address(); }
   void Close(Millis aWithin);
--- a/src/peer/PeerRpc.cpp
+++ b/src/peer/PeerRpc.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The port itself is POCO's; the library sees only texts.
+// Passes request and answer as texts, since POCO serves the port.
 class TextConnector : public jsonrpc::AbstractServerConnector
 {
 public:
@@ -37,7 +37,8 @@
     mMethods[aName] = std::move(aMethod);
     jsonrpc::Procedure procedure(
       aName, jsonrpc::PARAMS_BY_NAME, jsonrpc::JSON_OBJECT, nullptr);
-    // The member pointer is never called: HandleMethodCall looks up above.
+    // The member pointer is never called: HandleMethodCall looks the method up
+    // in mMethods.
     bindAndAddMethod(procedure, nullptr);
   }
 
--- a/src/peer/PeerRpc.h
+++ b/src/peer/PeerRpc.h
@@ -1,7 +1,7 @@
-// PeerRpc.h: JSON-RPC between instances, behind names of our own.
+// PeerRpc.h: JSON-RPC between instances, with the library hidden.
 //
 // libjsonrpccpp's headers don't compile as C++17. Only PeerRpc.cpp includes
-// them, and it alone is built as C++14; nothing here may need more.
+// them, and it alone is built as C++14, so this header must stay valid C++14.
 #ifndef caraway_peer_PeerRpc_h
 #define caraway_peer_PeerRpc_h
 
@@ -13,11 +13,11 @@
 
 namespace caraway {
 
-// Takes a method's parameters, gives its result. Throws std::exception to
-// answer with an error.
+// Maps a method's parameters to its result. Throws std::exception to answer
+// with an error.
 using PeerMethod = std::function<Json::Value(const Json::Value&)>;
 
-// Server side: text of a request in, text of the answer out.
+// Server side: takes the text of a request and returns the text of its answer.
 class PeerRpcServer
 {
 public:
@@ -31,10 +31,11 @@
   std::unique_ptr<Impl> mImpl;
 };
 
-// Sends aRequest, returns the answer's text; throws std::runtime_error.
+// Sends a request's text and returns the answer's text; throws
+// std::runtime_error.
 using PeerSend = std::function<std::string(const std::string&)>;
 
-// Client side. Throws std::runtime_error when no answer came or it is an
+// Client side. Throws std::runtime_error if no answer came or the answer is an
 // error.
 Json::Value
 PeerRpcCall(const PeerSend& aSend,
--- a/src/platform/ConfigFollower.cpp
+++ b/src/platform/ConfigFollower.cpp
@@ -34,9 +34,9 @@
   if (failure.mKind != ErrorKind::NotFound) {
     return Fail(failure);
   }
-  // As of when it was asked: the platform may have changed since. And of the
-  // revision we watched from: another thread may be loading a newer one, which
-  // isn't in force here before that is done.
+  // Confirms as of the start of the call, since the platform may have changed
+  // after it, and for the revision that was watched: another thread may be
+  // loading a newer one that isn't in force here yet.
   mHolder.Confirm(followed.mRevision, asked);
   return {};
 }
@@ -53,8 +53,9 @@
 ConfigFollower::Take(const ConfigIndex& aIndex, TimePoint aAsked)
 {
   if (aIndex.mNow.mRevision > mHolder.Current()->mRevision) {
-    // Not followed before it is loaded: a watch from there would say "no
-    // change", and we would go on with the old one and call it fresh.
+    // The watch position moves only after the load. A watch from the new
+    // version would report no change, and the old configuration would count as
+    // fresh.
     BOOST_LEAF_AUTO(config, mStore.Load(aIndex.mNow));
     if (mHolder.Adopt(std::move(config))) {
       LogInfo("config_in_force",
@@ -83,8 +84,8 @@
               { { "revision", std::to_string(revision) }, { "from", "peer" } });
     }
   }
-  // It was sure at (its moment of answering - its age), which is no earlier
-  // than our asking less its age: that is on the safe side.
+  // The peer was sure at the time of its answer minus its age. The start of our
+  // call minus that age is no later, so it never overstates freshness.
   if (aFresh.mRevision > 0) {
     mHolder.Confirm(aFresh.mRevision, aAsked - aFresh.mAge);
   }
--- a/src/platform/ConfigFollower.h
+++ b/src/platform/ConfigFollower.h
@@ -1,4 +1,5 @@
-// ConfigFollower.h: takes up newer configurations, from wherever they come.
+// ConfigFollower.h: adopts newer configurations from the platform and from
+// peers.
 #ifndef caraway_platform_ConfigFollower_h
 #define caraway_platform_ConfigFollower_h
 
@@ -11,8 +12,8 @@
 
 namespace caraway {
 
-// The decisions between the platform's answers, what peers say, and the
-// holder. Threads and waiting are ConfigWatcher's.
+// Decides from the platform's answers and peers' reports which configuration to
+// adopt and how fresh it is. Threads and waiting are in ConfigWatcher.
 class ConfigFollower
 {
 public:
@@ -22,14 +23,15 @@
                  ConfigHolder& aHolder,
                  const Clock& aClock);
 
-  // One look at the platform's index: a watch of aWatch, or a read when there
-  // is nothing to watch from. What it returns, a change or none, confirms how
-  // fresh we are as of when it was asked.
+  // Polls the platform's index once: watches it for aWatch, or reads it if
+  // there is no version to watch from. The result, a change or none, confirms
+  // freshness as of the time of the call.
   Result<void> Look(Millis aWatch);
-  // A read of the index, now.
+  // Reads the index immediately.
   Result<void> Read();
-  // What a peer had at some moment after aAsked. aFetch asks it for that when
-  // it is newer than ours.
+  // Handles a peer's freshness report, made at some moment after aAsked. Calls
+  // aFetch to get the peer's configuration if it is newer than the one in
+  // force.
   void OnPeerFreshness(const ConfigFreshness& aFresh,
                        TimePoint aAsked,
                        const Fetch& aFetch);
@@ -37,8 +39,8 @@
 private:
   struct WatchPosition
   {
-    int64_t mVersion = 0;  // of the index, to watch from; 0 = read it
-    int64_t mRevision = 0; // that the index had then
+    int64_t mVersion = 0;  // index version to watch from; 0 = read it first
+    int64_t mRevision = 0; // the index's revision at that version
   };
 
   Result<void> Take(const ConfigIndex& aIndex, TimePoint aAsked);
@@ -47,7 +49,7 @@
   ConfigHolder& mHolder;
   const Clock& mClock;
   std::mutex mLock;
-  WatchPosition mWatchPosition; // adopted, not merely seen
+  WatchPosition mWatchPosition; // advanced only after the revision was adopted
 };
 
 } // namespace caraway
--- a/src/platform/ConfigHolder.cpp
+++ b/src/platform/ConfigHolder.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Age of what nobody has confirmed yet. Were it counted from the start, an
-// instance started in a cut zone would take a stale configuration from a peer
-// and call it fresh, and its peers would believe it: withdrawn keys would live
-// as long as instances are replaced.
+// Age of a configuration that was never confirmed. If age were counted from the
+// process start, an instance started in an isolated zone would report a peer's
+// stale configuration as fresh, its peers would believe that, and withdrawn
+// keys would stay valid for as long as instances are replaced.
 constexpr std::chrono::hours kNever{ 24 * 365 };
 
 } // namespace
@@ -49,8 +49,8 @@
   }
 }
 
-// Both at one moment: an older revision with the age of a newer one would
-// tell a peer that the older one is the newest.
+// Reads both under one lock: an older revision with the age of a newer one
+// would tell a peer that the older one is the newest.
 ConfigFreshness
 ConfigHolder::Fresh() const
 {
--- a/src/platform/ConfigHolder.h
+++ b/src/platform/ConfigHolder.h
@@ -13,22 +13,22 @@
 struct ConfigFreshness
 {
   int64_t mRevision = 0; // in force
-  Millis mAge{ 0 };      // since it was last known to be the newest
+  Millis mAge{ 0 };      // since it was last confirmed as the newest
 };
 
-// Only ever goes forward: a stale read, a late answer or a peer that lags
-// can't bring an older revision back.
+// Revisions only increase: a stale read, a late answer or a peer with an older
+// revision can't bring it back.
 class ConfigHolder
 {
 public:
   explicit ConfigHolder(const Clock& aClock);
 
-  // Never null; revision 0 when there is none yet.
+  // Never null; revision 0 before the first one is adopted.
   ConfigPtr Current() const;
-  // False when it isn't newer than what stands.
+  // False if aConfig isn't newer than the configuration in force.
   bool Adopt(ConfigSnapshot aConfig);
-  // At aAt, aRevision was known to be the newest. Ignored when we have an
-  // older one than that.
+  // Records that aRevision was known to be the newest at aAt. Ignored if the
+  // revision in force is older.
   void Confirm(int64_t aRevision, TimePoint aAt);
   ConfigFreshness Fresh() const;
   Millis Age() const { return Fresh().mAge; }
--- a/src/platform/ConfigIndex.h
+++ b/src/platform/ConfigIndex.h
@@ -1,4 +1,4 @@
-// ConfigIndex.h: the one object that says which configuration is in force.
+// ConfigIndex.h: the object that names the configuration in force.
 #ifndef caraway_platform_ConfigIndex_h
 #define caraway_platform_ConfigIndex_h
 
@@ -14,12 +14,12 @@
   std::string mManifest; // digest of the list of parts
   std::string mAuthor;
   std::string mNote;
-  std::string mAt; // calendar time, for people
+  std::string mAt; // calendar time, for display
 };
 
 struct ConfigIndex
 {
-  int64_t mVersion = 0; // the platform's, for the conditional update
+  int64_t mVersion = 0; // object version, for the conditional update
   std::string mWriteId;
   ConfigRevision mNow;
   std::vector<ConfigRevision> mHistory; // newest first, without mNow
--- a/src/platform/ConfigStore.cpp
+++ b/src/platform/ConfigStore.cpp
@@ -13,8 +13,8 @@
 constexpr const char* kIndexName = "index";
 constexpr const char* kPartKind = "config-parts";
 constexpr size_t kMaxHistory = 100;
-// 8,800 adapters in 16 parts make about 60 KB each, well under the megabyte
-// a value may have.
+// 8,800 adapters in 16 buckets make parts of about 60 KB, well below the value
+// limit of 1 MB.
 constexpr int kBuckets = 16;
 
 int
@@ -29,7 +29,7 @@
   return static_cast<int>((hash >> 8) % kBuckets);
 }
 
-// Whose change came first, for the operator who has to look at it.
+// Names the change that was accepted first, so that the operator can review it.
 leaf::error_id
 Conflict(const ConfigRevision& aNow, int64_t aExpected)
 {
@@ -95,7 +95,7 @@
   BOOST_LEAF_AUTO(object, mPlatform.Read(kPartKind, aDigest));
   if (DigestHex(JsonWrite(object.mValue)) != aDigest) {
     return Fail(ErrorKind::PlatformUnavailable,
-                "part " + aDigest + " isn't what its name says");
+                "part " + aDigest + " doesn't match its digest");
   }
   return object.mValue;
 }
@@ -133,11 +133,12 @@
   }
   WriteResult result =
     mPlatform.Write({ kPartKind, digest, 0, RandomId(), aPart });
-  // Standing already under this name means standing with this content.
+  // An object that already exists under a digest has the same content.
   bool stored =
     result.mEnd == WriteOutcome::Done || result.mEnd == WriteOutcome::Conflict;
   if (!stored) {
-    return Fail(ErrorKind::PlatformUnavailable, "a part couldn't be stored");
+    return Fail(ErrorKind::PlatformUnavailable,
+                "a configuration part could not be stored");
   }
   return digest;
 }
--- a/src/platform/ConfigStore.h
+++ b/src/platform/ConfigStore.h
@@ -1,4 +1,4 @@
-// ConfigStore.h: configurations kept at the platform.
+// ConfigStore.h: configurations stored at the platform.
 #ifndef caraway_platform_ConfigStore_h
 #define caraway_platform_ConfigStore_h
 
@@ -12,23 +12,23 @@
 
 namespace caraway {
 
-// A configuration is cut into parts by section and name. Parts and the
-// manifest that lists them are named by their digest and never change; the
-// index names the manifest and is replaced by conditional update. So a
-// revision is taken whole or not at all, one watch suffices, and a change
-// moves only the parts it touched.
+// Splits a configuration into parts by section and name. Parts and the manifest
+// that lists them are named by their digest and never change; the index names
+// the manifest and is replaced by conditional update. A revision is therefore
+// read completely or not at all, one watch suffices, and a change transfers
+// only the parts that it modified.
 class ConfigStore
 {
 public:
   explicit ConfigStore(PlatformApi& aPlatform);
 
   Result<ConfigIndex> Index();
-  // Waits; NotFound when nothing newer came within aWithin.
+  // Waits up to aWithin; NotFound if there was no newer version.
   Result<ConfigIndex> WatchIndex(int64_t aAfterVersion, Millis aWithin);
   Result<ConfigSnapshot> Load(const ConfigRevision& aRevision);
 
-  // RevisionConflict when aExpected isn't in force any more.
-  // PlatformUnavailable when it can't be told whether it was accepted.
+  // RevisionConflict if aExpected is no longer in force. PlatformUnavailable if
+  // it is unknown whether the change was accepted.
   Result<ConfigRevision> Commit(int64_t aExpected,
                                 const ConfigSnapshot& aConfig,
                                 const std::string& aAuthor,
@@ -41,7 +41,8 @@
 
   PlatformApi& mPlatform;
   std::mutex mLock;
-  std::map<std::string, Json::Value> mParts; // those of the last revision
+  std::map<std::string, Json::Value>
+    mParts; // parts of the last revision, by digest
 };
 
 } // namespace caraway
--- a/src/platform/InstanceInfo.h
+++ b/src/platform/InstanceInfo.h
@@ -1,4 +1,4 @@
-// InstanceInfo.h: a line of the platform's instance list.
+// InstanceInfo.h: an entry of the platform's instance list.
 #ifndef caraway_platform_InstanceInfo_h
 #define caraway_platform_InstanceInfo_h
 
@@ -10,7 +10,7 @@
 {
   std::string mId;
   std::string mZone;
-  std::string mPeerAddress; // ip:port of its peer port
+  std::string mPeerAddress; // ip:port of the peer port
   bool mLeaving = false;
 };
 
--- a/src/platform/PlatformApi.h
+++ b/src/platform/PlatformApi.h
@@ -1,4 +1,4 @@
-// PlatformApi.h: what the system asks of the platform's object API.
+// PlatformApi.h: interface to the platform's object API.
 #ifndef caraway_platform_PlatformApi_h
 #define caraway_platform_PlatformApi_h
 
@@ -12,24 +12,24 @@
 
 namespace caraway {
 
-// Every call takes part in the fleet's budget of calls at the platform, so
-// callers read no more often than they act on what they read.
+// Every call counts against the fleet's budget of platform calls, so callers
+// must not read more often than they act on the result.
 class PlatformApi
 {
 public:
   virtual ~PlatformApi() = default;
 
-  // NotFound, or PlatformUnavailable.
+  // Errors: NotFound, PlatformUnavailable.
   virtual Result<PlatformObject> Read(const std::string& aKind,
                                       const std::string& aName) = 0;
   // All objects of a kind whose names begin with aPrefix.
   virtual Result<std::vector<PlatformObject>> List(
     const std::string& aKind,
     const std::string& aPrefix) = 0;
-  // Conditional. A lost answer is resolved by re-reading the write id.
+  // Writes conditionally. A lost answer is resolved by the write id.
   virtual WriteResult Write(const PlatformWrite& aWrite) = 0;
-  // Returns once the object's version differs from aAfter; NotFound when
-  // aWithin passes first. A waiting watch counts as one call.
+  // Returns once the object's version differs from aAfter; NotFound if it
+  // doesn't within aWithin. A waiting watch counts as one call.
   virtual Result<PlatformObject> Watch(const std::string& aKind,
                                        const std::string& aName,
                                        int64_t aAfter,
--- a/src/platform/PlatformClient.cpp
+++ b/src/platform/PlatformClient.cpp
@@ -12,7 +12,7 @@
 constexpr int kConflict = 409;
 constexpr int kNotFound = 404;
 constexpr int kNoChange = 204;
-// A watch that ends at its time on the platform's side needs this to return.
+// Time for the answer of a watch that ended at its limit to come back.
 constexpr Millis kWatchTimeoutMargin{ 2000 };
 
 std::string
@@ -47,20 +47,20 @@
 Unavailable(const HttpReply& aReply)
 {
   return Fail(ErrorKind::PlatformUnavailable,
-              aReply.mError.empty()
-                ? "platform answered " + std::to_string(aReply.mStatus)
-                : aReply.mError);
+              aReply.mError.empty() ? "platform answered with status " +
+                                        std::to_string(aReply.mStatus)
+                                    : aReply.mError);
 }
 
-// A fault of the platform's (5xx) is no answer: the call may be tried again.
+// A 5xx status counts as no answer: the call may be retried.
 bool
 Usable(const HttpReply& aReply)
 {
   return aReply.mStage == HttpStage::Answered && aReply.mStatus < 500;
 }
 
-// A conflict with our own write id is no conflict: a first copy was taken,
-// and this is the answer to the second.
+// A conflict with this write's own id means that an earlier copy took effect
+// and this is the answer to a resend.
 WriteResult
 WriteResultOf(const PlatformWrite& aWrite, const HttpReply& aReply)
 {
@@ -96,9 +96,9 @@
   return mLastAnswer;
 }
 
-// Without a budget, an instance whose requests all fail fast would ask the
-// platform as fast as its callers ask it; 350 such instances keep a platform
-// that comes back from an outage down.
+// Without a budget, an instance whose requests all fail fast would call the
+// platform as fast as its callers retry; 350 such instances would keep a
+// recovering platform down.
 bool
 PlatformClient::TakeCallBudget()
 {
@@ -134,7 +134,8 @@
 {
   HttpReply reply;
   if (!TakeCallBudget()) {
-    reply.mError = "this instance's budget of platform calls is spent";
+    reply.mError =
+      "this instance's platform call budget is used up; call not made";
     return reply;
   }
   reply = mPool.Call(aCall);
@@ -226,9 +227,9 @@
   return Usable(reply) ? WriteResultOf(aWrite, reply) : Resolve(aWrite);
 }
 
-// The write was offered and no answer came. It may have taken effect, or may
-// still. Sending it again is safe, since it is conditional: either copy can
-// win only once, and the write id tells whose it was.
+// The write was sent and no answer came, so it may have taken effect or still
+// may. Resending is safe because the write is conditional: only one copy can
+// take effect, and the write id shows that it was this one.
 WriteResult
 PlatformClient::Resolve(const PlatformWrite& aWrite)
 {
--- a/src/platform/PlatformClient.h
+++ b/src/platform/PlatformClient.h
@@ -1,4 +1,4 @@
-// PlatformClient.h: the object API over HTTP.
+// PlatformClient.h: HTTP client for the platform's object API.
 #ifndef caraway_platform_PlatformClient_h
 #define caraway_platform_PlatformClient_h
 
@@ -15,10 +15,10 @@
 struct PlatformClientSettings
 {
   std::string mAddress;         // ip:port
-  Millis mTimeout{ 1000 };      // one try
-  int mMaxAttempts = 3;         // of a read, or of resolving a write
+  Millis mTimeout{ 1000 };      // per attempt
+  int mMaxAttempts = 3;         // attempts of a read, or to resolve a write
   Millis mBackoff{ 50 };        // first pause; doubles, jittered
-  double mCallsPerSecond = 200; // budget of this instance
+  double mCallsPerSecond = 200; // this instance's call budget
 };
 
 class PlatformClient : public PlatformApi
@@ -38,7 +38,8 @@
   Result<std::vector<InstanceInfo>> Instances() override;
 
   const PlatformCounts& Counts() const { return mCounts; }
-  // When the platform last answered anything; zero time point = never.
+  // Time of the platform's last answer of any kind; zero time point if it never
+  // answered.
   TimePoint LastAnswer() const;
 
 private:
--- a/src/platform/PlatformCounts.h
+++ b/src/platform/PlatformCounts.h
@@ -1,4 +1,4 @@
-// PlatformCounts.h: calls at the platform, by operation.
+// PlatformCounts.h: counters of platform calls by operation.
 #ifndef caraway_platform_PlatformCounts_h
 #define caraway_platform_PlatformCounts_h
 
@@ -13,8 +13,10 @@
   std::atomic<int64_t> mLists{ 0 };
   std::atomic<int64_t> mWrites{ 0 };
   std::atomic<int64_t> mWatches{ 0 };
-  std::atomic<int64_t> mFailures{ 0 };   // no answer, or a fault
-  std::atomic<int64_t> mOverBudget{ 0 }; // not made: the budget was spent
+  std::atomic<int64_t> mFailures{ 0 }; // no answer, or a 5xx status
+  std::atomic<int64_t> mOverBudget{
+    0
+  }; // calls not made because the budget was used up
 };
 
 } // namespace caraway
--- a/src/platform/PlatformObject.h
+++ b/src/platform/PlatformObject.h
@@ -1,4 +1,4 @@
-// PlatformObject.h: one object as the platform's API gives it.
+// PlatformObject.h: an object of the platform's API.
 #ifndef caraway_platform_PlatformObject_h
 #define caraway_platform_PlatformObject_h
 
@@ -11,7 +11,7 @@
 {
   std::string mName;
   int64_t mVersion = 0; // 0 = doesn't exist
-  std::string mWriteId; // of the write that made this version
+  std::string mWriteId; // id of the write that made this version
   Json::Value mValue;
 };
 
--- a/src/platform/PlatformWrite.h
+++ b/src/platform/PlatformWrite.h
@@ -1,4 +1,4 @@
-// PlatformWrite.h: a conditional write, and how it ended.
+// PlatformWrite.h: a conditional write and its outcome.
 #ifndef caraway_platform_PlatformWrite_h
 #define caraway_platform_PlatformWrite_h
 
@@ -14,16 +14,16 @@
   std::string mKind;
   std::string mName;
   int64_t mExpected = 0; // version it replaces; 0 = must not exist yet
-  std::string mWriteId;  // drawn by the writer, found again by a re-read
+  std::string mWriteId;  // random; identifies this write in later reads
   Json::Value mValue;
 };
 
 enum class WriteOutcome
 {
-  Done,     // in force; mObject is what was written
-  Conflict, // another version stands; mObject is it
-  Unknown,  // no answer, and re-reading gave none either
-  Refused,  // the platform can't be reached; nothing was offered
+  Done,     // took effect; mObject is the written object
+  Conflict, // another version exists; mObject is that version
+  Unknown,  // no answer, and resending gave none either
+  Refused,  // the platform can't be reached; nothing was sent
 };
 
 struct WriteResult
