--- a/src/base/ConfigCodec.cpp
+++ b/src/base/ConfigCodec.cpp
@@ -18,8 +18,8 @@
     return false;
   }
   for (char c : aName) {
-    bool word = std::isalnum(static_cast<unsigned char>(c)) != 0;
-    if (!word && c != '-' && c != '_' && c != '.' && c != ':') {
+    bool alphanumeric = std::isalnum(static_cast<unsigned char>(c)) != 0;
+    if (!alphanumeric && c != '-' && c != '_' && c != '.' && c != ':') {
       return false;
     }
   }
@@ -27,7 +27,7 @@
 }
 
 std::string
-Where(const char* aSection, const Json::Value& aJson)
+PathOf(const char* aSection, const Json::Value& aJson)
 {
   if (aJson.isObject() && aJson["name"].isString()) {
     return std::string(aSection) + "." + aJson["name"].asString();
@@ -99,31 +99,31 @@
 Result<void>
 CheckProfile(const ConfigSnapshot& aConfig, const Profile& aProfile)
 {
-  auto bad = [&](const char* aField, const std::string& aWhy) {
+  auto invalid = [&](const char* aField, const std::string& aWhy) {
     return Fail(ErrorKind::ConfigInvalid,
                 "profiles." + aProfile.mName + "." + aField + ": " + aWhy);
   };
   if (!aProfile.mTenant.empty() && !aConfig.mTenants.count(aProfile.mTenant)) {
-    return bad("tenant", "no tenant " + aProfile.mTenant);
+    return invalid("tenant", "no tenant " + aProfile.mTenant);
   }
   if (aProfile.mModel.empty() == aProfile.mService.empty()) {
-    return bad("model", "name either a model or a service");
+    return invalid("model", "name either a model or a service");
   }
   if (!aProfile.mModel.empty()) {
     auto model = aConfig.mModels.find(aProfile.mModel);
     if (model == aConfig.mModels.end() || !model->second.mBase.empty()) {
-      return bad("model", "no model " + aProfile.mModel);
+      return invalid("model", "no model " + aProfile.mModel);
     }
   }
   if (!aProfile.mModel.empty() && !aProfile.mRepeatable) {
-    return bad("repeatable",
-               "only a service's calls can be kept from running twice");
+    return invalid("repeatable",
+                   "only a service's calls can be kept from running twice");
   }
   if (!aProfile.mAdapter.empty()) {
     auto adapter = aConfig.mModels.find(aProfile.mAdapter);
     if (adapter == aConfig.mModels.end() ||
         adapter->second.mBase != aProfile.mModel) {
-      return bad("adapter", "no adapter of that model");
+      return invalid("adapter", "no adapter of that model");
     }
   }
   if (!aProfile.mService.empty()) {
@@ -133,7 +133,7 @@
         return {};
       }
     }
-    return bad("service", "no endpoint in group " + aProfile.mService);
+    return invalid("service", "no endpoint in group " + aProfile.mService);
   }
   return {};
 }
@@ -171,7 +171,7 @@
 Result<Profile>
 ProfileParse(const Json::Value& aJson)
 {
-  JsonObjectReader fields(aJson, Where("profiles", aJson));
+  JsonObjectReader fields(aJson, PathOf("profiles", aJson));
   Profile profile;
   profile.mName = Name(fields);
   profile.mTenant = fields.Text("tenant");
@@ -182,12 +182,12 @@
   if (!name.empty() && !RequestClassParse(name, profile.mClass)) {
     fields.AddError("class", "expected urgent, interactive or batch");
   }
-  const Millis least(1);
+  const Millis minDuration(1);
   profile.mFirstToken =
-    fields.Duration("first_token_ms", profile.mFirstToken, least);
+    fields.Duration("first_token_ms", profile.mFirstToken, minDuration);
   profile.mColdStart =
-    fields.Duration("cold_start_ms", profile.mColdStart, least);
-  profile.mAnswer = fields.Duration("answer_ms", profile.mAnswer, least);
+    fields.Duration("cold_start_ms", profile.mColdStart, minDuration);
+  profile.mAnswer = fields.Duration("answer_ms", profile.mAnswer, minDuration);
   profile.mRepeatable = fields.Flag("repeatable", profile.mRepeatable);
   profile.mMaxTokens =
     static_cast<int>(fields.Integer("max_tokens", profile.mMaxTokens, 1));
@@ -198,7 +198,7 @@
 Result<Tenant>
 TenantParse(const Json::Value& aJson)
 {
-  JsonObjectReader fields(aJson, Where("tenants", aJson));
+  JsonObjectReader fields(aJson, PathOf("tenants", aJson));
   Tenant tenant;
   tenant.mName = Name(fields);
   tenant.mRate = fields.Number("rate", 0, 0);
@@ -222,7 +222,7 @@
 Result<EndpointSpec>
 EndpointSpecParse(const Json::Value& aJson)
 {
-  JsonObjectReader fields(aJson, Where("endpoints", aJson));
+  JsonObjectReader fields(aJson, PathOf("endpoints", aJson));
   EndpointSpec endpoint;
   endpoint.mName = Name(fields);
   endpoint.mZone = fields.Text("zone", true);
@@ -248,7 +248,7 @@
 Result<ModelSpec>
 ModelSpecParse(const Json::Value& aJson)
 {
-  JsonObjectReader fields(aJson, Where("models", aJson));
+  JsonObjectReader fields(aJson, PathOf("models", aJson));
   ModelSpec model;
   model.mName = Name(fields);
   model.mVersion = fields.Text("version");
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -152,7 +152,7 @@
     budget.mSince = now;
     budget.mUsed = 0;
   }
-  if (budget.mUsed >= kLinesPerSecond || mWaiting.size() >= kMaxBufferedBytes) {
+  if (budget.mUsed >= kLinesPerSecond || mBuffer.size() >= kMaxBufferedBytes) {
     ++budget.mDropped;
     ++mDroppedLines;
     return false;
@@ -164,10 +164,10 @@
 void
 EventLog::WriteDropped(const std::string& aEvent, Budget& aBudget)
 {
-  if (aBudget.mDropped > 0 && mWaiting.size() < kMaxBufferedBytes) {
-    mWaiting += "{\"event\":\"log_left_out\",\"instance\":\"" + mInstance +
-                "\",\"of\":\"" + aEvent +
-                "\",\"lines\":" + std::to_string(aBudget.mDropped) + "}\n";
+  if (aBudget.mDropped > 0 && mBuffer.size() < kMaxBufferedBytes) {
+    mBuffer += "{\"event\":\"log_left_out\",\"instance\":\"" + mInstance +
+               "\",\"of\":\"" + aEvent +
+               "\",\"lines\":" + std::to_string(aBudget.mDropped) + "}\n";
     aBudget.mDropped = 0;
   }
 }
@@ -193,7 +193,7 @@
 void
 EventLog::Put(std::string aLine)
 {
-  mWaiting += aLine;
+  mBuffer += aLine;
 }
 
 void
@@ -203,19 +203,19 @@
     return;
   }
   size_t done = 0;
-  while (done < mWaiting.size()) {
-    std::string_view lines =
-      LinesInOneWrite(std::string_view(mWaiting).substr(done));
-    ssize_t written = write(mFile, lines.data(), lines.size());
+  while (done < mBuffer.size()) {
+    std::string_view chunk =
+      LinesInOneWrite(std::string_view(mBuffer).substr(done));
+    ssize_t written = write(mFile, chunk.data(), chunk.size());
     if (written < 0 && errno != EAGAIN && errno != EINTR) {
-      done = mWaiting.size(); // nobody will ever read it
+      done = mBuffer.size(); // nobody will ever read it
     }
     if (written <= 0) {
       break;
     }
     done += static_cast<size_t>(written);
   }
-  mWaiting.erase(0, done);
+  mBuffer.erase(0, done);
 }
 
 } // namespace caraway
--- a/src/base/EventLog.h
+++ b/src/base/EventLog.h
@@ -54,8 +54,8 @@
   void Flush();
 
   int64_t DroppedLines() const { return mDroppedLines; }
-  size_t Waiting() const { return mWaiting.size(); }
-  const std::string& Gathered() const { return mWaiting; }
+  size_t BufferedBytes() const { return mBuffer.size(); }
+  const std::string& Gathered() const { return mBuffer; }
 
 private:
   friend class EventLine;
@@ -72,7 +72,7 @@
   const Clock& mClock;
   std::string mInstance;
   int mFile;
-  std::string mWaiting;
+  std::string mBuffer;
   std::map<std::string, Budget, std::less<>> mBudgets; // by event name
   int64_t mDroppedLines = 0;
 };
--- a/src/base/JsonObjectReader.cpp
+++ b/src/base/JsonObjectReader.cpp
@@ -3,20 +3,20 @@
 namespace caraway {
 
 JsonObjectReader::JsonObjectReader(const Json::Value& aObject,
-                                   std::string aWhere)
+                                   std::string aPath)
   : mObject(aObject)
-  , mWhere(std::move(aWhere))
+  , mPath(std::move(aPath))
 {
   if (!aObject.isObject()) {
-    mTrouble = mWhere + ": expected a table";
+    mError = mPath + ": expected a table";
   }
 }
 
 void
 JsonObjectReader::AddError(const char* aName, const std::string& aExpected)
 {
-  if (mTrouble.empty()) {
-    mTrouble = mWhere + "." + aName + ": " + aExpected;
+  if (mError.empty()) {
+    mError = mPath + "." + aName + ": " + aExpected;
   }
 }
 
@@ -101,15 +101,15 @@
 Result<void>
 JsonObjectReader::Done()
 {
-  if (mTrouble.empty()) {
+  if (mError.empty()) {
     for (const std::string& name : mObject.getMemberNames()) {
       if (mKnownFields.count(name) == 0) {
         AddError(name.c_str(), "unknown field");
       }
     }
   }
-  if (!mTrouble.empty()) {
-    return Fail(ErrorKind::ConfigInvalid, mTrouble);
+  if (!mError.empty()) {
+    return Fail(ErrorKind::ConfigInvalid, mError);
   }
   return {};
 }
--- a/src/base/JsonObjectReader.h
+++ b/src/base/JsonObjectReader.h
@@ -16,7 +16,7 @@
 class JsonObjectReader
 {
 public:
-  JsonObjectReader(const Json::Value& aObject, std::string aWhere);
+  JsonObjectReader(const Json::Value& aObject, std::string aPath);
 
   std::string Text(const char* aName, bool aRequired = false);
   int64_t Integer(const char* aName, int64_t aDefault, int64_t aLeast);
@@ -32,8 +32,8 @@
   const Json::Value* Find(const char* aName, bool aRequired);
 
   const Json::Value& mObject;
-  std::string mWhere;
-  std::string mTrouble;
+  std::string mPath;
+  std::string mError;
   std::set<std::string> mKnownFields;
 };
 
--- a/src/base/Log.cpp
+++ b/src/base/Log.cpp
@@ -14,7 +14,7 @@
   R"({"at":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})";
 
 std::string
-Inner(const char* aEvent, std::initializer_list<LogField> aFields)
+ObjectContent(const char* aEvent, std::initializer_list<LogField> aFields)
 {
   Json::Value line(Json::objectValue);
   line["event"] = aEvent;
@@ -41,13 +41,13 @@
 void
 LogInfo(const char* aEvent, std::initializer_list<LogField> aFields)
 {
-  spdlog::info("{}", Inner(aEvent, aFields));
+  spdlog::info("{}", ObjectContent(aEvent, aFields));
 }
 
 void
 LogWarn(const char* aEvent, std::initializer_list<LogField> aFields)
 {
-  spdlog::warn("{}", Inner(aEvent, aFields));
+  spdlog::warn("{}", ObjectContent(aEvent, aFields));
 }
 
 } // namespace caraway
--- a/src/base/MetricSeries.cpp
+++ b/src/base/MetricSeries.cpp
@@ -11,14 +11,14 @@
 } // namespace
 
 MetricSeries::MetricSeries()
-  : mSet(acc::extended_p_square_probabilities = kQuantiles)
+  : mAccumulator(acc::extended_p_square_probabilities = kQuantiles)
 {
 }
 
 void
 MetricSeries::Add(double aSeconds)
 {
-  mSet(aSeconds);
+  mAccumulator(aSeconds);
   size_t bucket = 0;
   while (bucket < kMetricBounds.size() && aSeconds > kMetricBounds[bucket]) {
     ++bucket;
@@ -29,30 +29,30 @@
 uint64_t
 MetricSeries::Count() const
 {
-  return acc::count(mSet);
+  return acc::count(mAccumulator);
 }
 
 double
 MetricSeries::Sum() const
 {
-  return acc::sum(mSet);
+  return acc::sum(mAccumulator);
 }
 
 double
 MetricSeries::Max() const
 {
-  return Count() == 0 ? 0 : acc::max(mSet);
+  return Count() == 0 ? 0 : acc::max(mAccumulator);
 }
 
 double
-MetricSeries::Quantile(double aPart) const
+MetricSeries::Quantile(double aFraction) const
 {
   // The estimator needs a few samples before its markers stand.
-  constexpr uint64_t kLeast = 8;
-  if (Count() < kLeast) {
+  constexpr uint64_t kMinSamples = 8;
+  if (Count() < kMinSamples) {
     return Max();
   }
-  return acc::quantile(mSet, acc::quantile_probability = aPart);
+  return acc::quantile(mAccumulator, acc::quantile_probability = aFraction);
 }
 
 uint64_t
--- a/src/base/MetricSeries.h
+++ b/src/base/MetricSeries.h
@@ -30,12 +30,12 @@
   uint64_t Count() const;
   double Sum() const;
   double Max() const;
-  double Quantile(double aPart) const; // 0.5, 0.95 or 0.99
+  double Quantile(double aFraction) const; // 0.5, 0.95 or 0.99
   // Cumulative, as the text format wants them.
   uint64_t CumulativeCount(size_t aBound) const;
 
 private:
-  using Set = boost::accumulators::accumulator_set<
+  using Accumulator = boost::accumulators::accumulator_set<
     double,
     boost::accumulators::stats<
       boost::accumulators::tag::count,
@@ -43,7 +43,7 @@
       boost::accumulators::tag::max,
       boost::accumulators::tag::extended_p_square_quantile>>;
 
-  Set mSet;
+  Accumulator mAccumulator;
   std::array<uint64_t, kMetricBounds.size() + 1> mBuckets{};
 };
 
--- a/src/base/Metrics.cpp
+++ b/src/base/Metrics.cpp
@@ -23,9 +23,9 @@
        << "\n";
   aOut << name << "_sum{" << labels << "} " << aSeries.Sum() << "\n";
   aOut << name << "_count{" << labels << "} " << aSeries.Count() << "\n";
-  for (double part : { 0.5, 0.95, 0.99 }) {
-    aOut << name << "_quantile{" << labels << ",quantile=\"" << part << "\"} "
-         << aSeries.Quantile(part) << "\n";
+  for (double fraction : { 0.5, 0.95, 0.99 }) {
+    aOut << name << "_quantile{" << labels << ",quantile=\"" << fraction
+         << "\"} " << aSeries.Quantile(fraction) << "\n";
   }
 }
 
--- a/src/base/RandomId.cpp
+++ b/src/base/RandomId.cpp
@@ -13,9 +13,9 @@
   std::random_device device;
   std::string text;
   for (int i = 0; i < aArguments; ++i) {
-    char word[9];
-    std::snprintf(word, sizeof word, "%08x", device());
-    text += word;
+    char digits[9];
+    std::snprintf(digits, sizeof digits, "%08x", device());
+    text += digits;
   }
   return text;
 }
--- a/src/base/Ticker.cpp
+++ b/src/base/Ticker.cpp
@@ -51,8 +51,8 @@
     }
     lock.lock();
     int64_t jitter = mInterval.count() / 4;
-    std::uniform_int_distribution<int64_t> spread(-jitter, jitter);
-    Millis pause(mInterval.count() + spread(mRandom));
+    std::uniform_int_distribution<int64_t> distribution(-jitter, jitter);
+    Millis pause(mInterval.count() + distribution(mRandom));
     mWake.wait_for(lock, pause, [this] { return mStopping || mWoken; });
   }
 }
--- a/src/ctl/AdminClient.cpp
+++ b/src/ctl/AdminClient.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-constexpr Millis kTime{ 10000 };
-const std::string kProblem = "urn:caraway:problem:";
+constexpr Millis kTimeout{ 10000 };
+const std::string kProblemPrefix = "urn:caraway:problem:";
 
 leaf::error_id
 Refusal(const HttpReply& aReply)
 {
   Json::Value json = JsonParseOrEmpty(aReply.mBody);
   std::string type = json["type"].asString();
-  std::string name = type.size() > kProblem.size()
-                       ? type.substr(kProblem.size())
+  std::string name = type.size() > kProblemPrefix.size()
+                       ? type.substr(kProblemPrefix.size())
                        : std::string("internal");
   Failure failure =
     FailureOf(ErrorKindOf(name.c_str()), json["detail"].asString());
@@ -54,7 +54,7 @@
   call.mMethod = aMethod;
   call.mPath = aPath;
   call.mBody = aBody;
-  call.mTimeout = kTime;
+  call.mTimeout = kTimeout;
   call.mHeaders = { { "Authorization", "Bearer " + mKey } };
   constexpr size_t kReplyLimit = 64 * 1024 * 1024;
   call.mReplyLimit = kReplyLimit;
--- a/src/ctl/ConfigFile.cpp
+++ b/src/ctl/ConfigFile.cpp
@@ -14,8 +14,8 @@
     aOut = *text;
   } else if (auto number = aNode.value_exact<int64_t>()) {
     aOut = Json::Int64(*number);
-  } else if (auto real = aNode.value_exact<double>()) {
-    aOut = *real;
+  } else if (auto decimal = aNode.value_exact<double>()) {
+    aOut = *decimal;
   } else if (auto flag = aNode.value_exact<bool>()) {
     aOut = *flag;
   } else {
@@ -25,7 +25,9 @@
 }
 
 leaf::error_id
-Bad(const std::string& aFile, const toml::node& aNode, const std::string& aWhat)
+InvalidAt(const std::string& aFile,
+          const toml::node& aNode,
+          const std::string& aWhat)
 {
   return Fail(ErrorKind::ConfigInvalid,
               aFile + ":" + std::to_string(aNode.source().begin.line) + ": " +
@@ -40,14 +42,14 @@
     std::string name(entry.first.str());
     const toml::table* fields = entry.second.as_table();
     if (!fields) {
-      return Bad(aFile, entry.second, name + ": expected a table");
+      return InvalidAt(aFile, entry.second, name + ": expected a table");
     }
     Json::Value item;
     item["name"] = name;
     for (const auto& field : *fields) {
       std::string key(field.first.str());
       if (!ValueOf(field.second, item[key])) {
-        return Bad(aFile, field.second, key + ": expected a plain value");
+        return InvalidAt(aFile, field.second, key + ": expected a plain value");
       }
     }
     section.append(item);
@@ -79,10 +81,10 @@
     std::string name(entry.first.str());
     const toml::table* table = entry.second.as_table();
     if (!table || name == "keys") {
-      return Bad(aName,
-                 entry.second,
-                 name + (table ? ": keys are granted with `key grant`"
-                               : ": expected a table"));
+      return InvalidAt(aName,
+                       entry.second,
+                       name + (table ? ": keys are granted with `key grant`"
+                                     : ": expected a table"));
     }
     BOOST_LEAF_AUTO(section, Section(aName, *table));
     file.mSections[name] = section;
--- a/src/ctl/Ctl.cpp
+++ b/src/ctl/Ctl.cpp
@@ -113,8 +113,8 @@
   for (const Command& command : kCommands) {
     std::string line =
       "  " + std::string(command.mName) + " " + command.mArguments;
-    constexpr size_t kWide = 44;
-    line.resize(std::max(line.size() + 2, kWide), ' ');
+    constexpr size_t kHelpColumn = 44;
+    line.resize(std::max(line.size() + 2, kHelpColumn), ' ');
     text += line + command.mHelp + "\n";
   }
   return text + "\nExit codes: 0 done, 1 diff found differences, 2 usage, 3 "
@@ -122,25 +122,26 @@
 }
 
 int
-Ctl::Run(const Words& aArguments)
+Ctl::Run(const Arguments& aArguments)
 {
   for (const Command& command : kCommands) {
     if (aArguments.empty() || aArguments[0] != command.mName) {
       continue;
     }
-    Words arguments(aArguments.begin() + 1, aArguments.end());
-    if (arguments.size() < command.mLeast || arguments.size() > command.mMost) {
+    Arguments arguments(aArguments.begin() + 1, aArguments.end());
+    if (arguments.size() < command.mMinArguments ||
+        arguments.size() > command.mMaxArguments) {
       std::fprintf(stderr,
                    "carawayctl: usage: carawayctl %s %s\n",
                    command.mName,
                    command.mArguments);
       return CtlExit_Usage;
     }
-    auto done = Outcome([&] { return (this->*command.mAction)(arguments); });
-    if (auto* code = std::get_if<int>(&done)) {
+    auto result = Outcome([&] { return (this->*command.mAction)(arguments); });
+    if (auto* code = std::get_if<int>(&result)) {
       return *code;
     }
-    const Failure& failure = std::get<Failure>(done);
+    const Failure& failure = std::get<Failure>(result);
     std::fprintf(stderr,
                  "carawayctl: %s %s\n",
                  ErrorAnswerOf(failure.mKind).mTitle,
@@ -185,7 +186,7 @@
 
 // Each file's text to aRead, from aFirst on.
 Result<void>
-Ctl::ReadFiles(const Words& aFiles,
+Ctl::ReadFiles(const Arguments& aFiles,
                size_t aFirst,
                const std::function<void(const std::string&)>& aRead)
 {
@@ -202,7 +203,7 @@
 }
 
 Result<int>
-Ctl::Losses(const Words& aArguments)
+Ctl::Losses(const Arguments& aArguments)
 {
   LossReport report;
   BOOST_LEAF_CHECK(ReadFiles(
@@ -213,17 +214,17 @@
 }
 
 Result<int>
-Ctl::Explain(const Words& aArguments)
+Ctl::Explain(const Arguments& aArguments)
 {
-  RequestTrace story(aArguments[0]);
+  RequestTrace trace(aArguments[0]);
   BOOST_LEAF_CHECK(ReadFiles(
-    aArguments, 1, [&](const std::string& aText) { story.Read(aText); }));
-  std::fputs(story.Text().c_str(), stdout);
+    aArguments, 1, [&](const std::string& aText) { trace.Read(aText); }));
+  std::fputs(trace.Text().c_str(), stdout);
   return CtlExit_Ok;
 }
 
 Result<int>
-Ctl::AdminKey(const Words&)
+Ctl::AdminKey(const Arguments&)
 {
   std::string key = RandomKey();
   std::printf("key:    %s\ndigest: %s  (goes into [admin] keys of every "
@@ -234,7 +235,7 @@
 }
 
 Result<int>
-Ctl::Help(const Words& aArguments)
+Ctl::Help(const Arguments& aArguments)
 {
   for (const Command& command : kCommands) {
     if (!aArguments.empty() && aArguments[0] == command.mName) {
--- a/src/ctl/Ctl.h
+++ b/src/ctl/Ctl.h
@@ -25,48 +25,48 @@
 class Ctl
 {
 public:
-  using Words = std::vector<std::string>;
+  using Arguments = std::vector<std::string>;
 
   explicit Ctl(CtlOptions aOptions);
 
   // aArguments: command and its arguments.
-  int Run(const Words& aArguments);
+  int Run(const Arguments& aArguments);
   static std::string Usage();
 
 private:
-  using Action = Result<int> (Ctl::*)(const Words& aArguments);
+  using Action = Result<int> (Ctl::*)(const Arguments& aArguments);
   struct Command
   {
     const char* mName;
     const char* mArguments;
     const char* mHelp;
-    size_t mLeast; // arguments
-    size_t mMost;
+    size_t mMinArguments; // arguments
+    size_t mMaxArguments;
     Action mAction;
   };
   static const Command kCommands[];
 
-  Result<int> List(const Words& aArguments);
-  Result<int> Show(const Words& aArguments);
-  Result<int> Set(const Words& aArguments);
-  Result<int> Remove(const Words& aArguments);
-  Result<int> Keys(const Words& aArguments);
-  Result<int> Grant(const Words& aArguments);
-  Result<int> Withdraw(const Words& aArguments);
-  Result<int> Check(const Words& aArguments);
-  Result<int> Diff(const Words& aArguments);
-  Result<int> Apply(const Words& aArguments);
-  Result<int> History(const Words& aArguments);
-  Result<int> Rollback(const Words& aArguments);
-  Result<int> Status(const Words& aArguments);
-  Result<int> AdminKey(const Words& aArguments);
-  Result<int> Explain(const Words& aArguments);
-  Result<int> Losses(const Words& aArguments);
+  Result<int> List(const Arguments& aArguments);
+  Result<int> Show(const Arguments& aArguments);
+  Result<int> Set(const Arguments& aArguments);
+  Result<int> Remove(const Arguments& aArguments);
+  Result<int> Keys(const Arguments& aArguments);
+  Result<int> Grant(const Arguments& aArguments);
+  Result<int> Withdraw(const Arguments& aArguments);
+  Result<int> Check(const Arguments& aArguments);
+  Result<int> Diff(const Arguments& aArguments);
+  Result<int> Apply(const Arguments& aArguments);
+  Result<int> History(const Arguments& aArguments);
+  Result<int> Rollback(const Arguments& aArguments);
+  Result<int> Status(const Arguments& aArguments);
+  Result<int> AdminKey(const Arguments& aArguments);
+  Result<int> Explain(const Arguments& aArguments);
+  Result<int> Losses(const Arguments& aArguments);
   static Result<void> ReadFiles(
-    const Words& aFiles,
+    const Arguments& aFiles,
     size_t aFirst,
     const std::function<void(const std::string&)>& aRead);
-  Result<int> Help(const Words& aArguments);
+  Result<int> Help(const Arguments& aArguments);
 
   Result<int> Change(const Json::Value& aConfig,
                      int64_t aRevision,
--- a/src/ctl/CtlEntries.cpp
+++ b/src/ctl/CtlEntries.cpp
@@ -13,15 +13,15 @@
 
 struct EntryKind
 {
-  const char* mOne;
+  const char* mSingular;
   const char* mSection;
   std::vector<std::string> mColumns;
 };
 
 const EntryKind*
-EntryKindOf(const std::string& aWord)
+EntryKindOf(const std::string& aName)
 {
-  static const EntryKind sNouns[] = {
+  static const EntryKind sEntryKinds[] = {
     { "profile",
       "profiles",
       { "name",
@@ -43,19 +43,19 @@
         "checks_fencing" } },
     { "model", "models", { "name", "version", "base", "bytes" } },
   };
-  for (const EntryKind& noun : sNouns) {
-    if (aWord == noun.mOne || aWord == noun.mSection) {
-      return &noun;
+  for (const EntryKind& kind : sEntryKinds) {
+    if (aName == kind.mSingular || aName == kind.mSection) {
+      return &kind;
     }
   }
   return nullptr;
 }
 
 leaf::error_id
-UnknownEntryKind(const std::string& aWord)
+UnknownEntryKind(const std::string& aName)
 {
   return Fail(ErrorKind::BadRequest,
-              aWord + ": expected profile, tenant, endpoint or model");
+              aName + ": expected profile, tenant, endpoint or model");
 }
 
 Json::Value*
@@ -84,7 +84,7 @@
 }
 
 void
-Without(Json::Value& aSection, const char* aField, const std::string& aName)
+RemoveEntry(Json::Value& aSection, const char* aField, const std::string& aName)
 {
   Json::Value kept(Json::arrayValue);
   for (const Json::Value& entry : aSection) {
@@ -98,28 +98,28 @@
 } // namespace
 
 Result<int>
-Ctl::List(const Words& aArguments)
+Ctl::List(const Arguments& aArguments)
 {
-  const EntryKind* noun = EntryKindOf(aArguments[0]);
-  if (!noun) {
+  const EntryKind* kind = EntryKindOf(aArguments[0]);
+  if (!kind) {
     return UnknownEntryKind(aArguments[0]);
   }
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
-  const Json::Value& section = json["config"][noun->mSection];
-  Print(section, section, noun->mColumns);
+  const Json::Value& section = json["config"][kind->mSection];
+  Print(section, section, kind->mColumns);
   return CtlExit_Ok;
 }
 
 Result<int>
-Ctl::Show(const Words& aArguments)
+Ctl::Show(const Arguments& aArguments)
 {
-  const EntryKind* noun = EntryKindOf(aArguments[0]);
-  if (!noun) {
+  const EntryKind* kind = EntryKindOf(aArguments[0]);
+  if (!kind) {
     return UnknownEntryKind(aArguments[0]);
   }
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   Json::Value* entry =
-    Find(json["config"][noun->mSection], "name", aArguments[1]);
+    Find(json["config"][kind->mSection], "name", aArguments[1]);
   if (!entry) {
     return Fail(ErrorKind::NotFound, aArguments[0] + " " + aArguments[1]);
   }
@@ -135,20 +135,20 @@
 }
 
 Result<int>
-Ctl::Set(const Words& aArguments)
+Ctl::Set(const Arguments& aArguments)
 {
-  const EntryKind* noun = EntryKindOf(aArguments[0]);
-  if (!noun) {
+  const EntryKind* kind = EntryKindOf(aArguments[0]);
+  if (!kind) {
     return UnknownEntryKind(aArguments[0]);
   }
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
-  Json::Value& section = json["config"][noun->mSection];
+  Json::Value& section = json["config"][kind->mSection];
   Json::Value* entry = Find(section, "name", aArguments[1]);
-  bool made = entry == nullptr;
-  if (made) {
-    Json::Value fresh;
-    fresh["name"] = aArguments[1];
-    entry = &section.append(fresh);
+  bool isNew = entry == nullptr;
+  if (isNew) {
+    Json::Value newEntry;
+    newEntry["name"] = aArguments[1];
+    entry = &section.append(newEntry);
   }
   for (size_t i = 2; i < aArguments.size(); ++i) {
     size_t split = aArguments[i].find('=');
@@ -161,30 +161,31 @@
   }
   return Change(json["config"],
                 json["revision"].asInt64(),
-                std::string(made ? "made " : "changed ") + noun->mOne + " " +
-                  aArguments[1]);
+                std::string(isNew ? "made " : "changed ") + kind->mSingular +
+                  " " + aArguments[1]);
 }
 
 Result<int>
-Ctl::Remove(const Words& aArguments)
+Ctl::Remove(const Arguments& aArguments)
 {
-  const EntryKind* noun = EntryKindOf(aArguments[0]);
-  if (!noun) {
+  const EntryKind* kind = EntryKindOf(aArguments[0]);
+  if (!kind) {
     return UnknownEntryKind(aArguments[0]);
   }
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
-  Json::Value& section = json["config"][noun->mSection];
+  Json::Value& section = json["config"][kind->mSection];
   if (!Find(section, "name", aArguments[1])) {
     return Fail(ErrorKind::NotFound, aArguments[0] + " " + aArguments[1]);
   }
-  Without(section, "name", aArguments[1]);
+  RemoveEntry(section, "name", aArguments[1]);
   return Change(json["config"],
                 json["revision"].asInt64(),
-                std::string("removed ") + noun->mOne + " " + aArguments[1]);
+                std::string("removed ") + kind->mSingular + " " +
+                  aArguments[1]);
 }
 
 Result<int>
-Ctl::Keys(const Words&)
+Ctl::Keys(const Arguments&)
 {
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   const Json::Value& section = json["config"]["keys"];
@@ -194,7 +195,7 @@
 
 // Made here and sent only as a digest: the key is nowhere but on this screen.
 Result<int>
-Ctl::Grant(const Words& aArguments)
+Ctl::Grant(const Arguments& aArguments)
 {
   constexpr size_t kIdDigits = 10;
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
@@ -210,10 +211,10 @@
            json["revision"].asInt64(),
            "granted " + entry["id"].asString() + " to " + aArguments[0]));
   if (mOptions.mJson) {
-    Json::Value shown;
-    shown["id"] = entry["id"];
-    shown["key"] = key;
-    std::printf("%s\n", JsonWrite(shown).c_str());
+    Json::Value output;
+    output["id"] = entry["id"];
+    output["key"] = key;
+    std::printf("%s\n", JsonWrite(output).c_str());
   } else {
     std::printf(
       "%s  %s  (shown this once)\n", entry["id"].asCString(), key.c_str());
@@ -222,14 +223,14 @@
 }
 
 Result<int>
-Ctl::Withdraw(const Words& aArguments)
+Ctl::Withdraw(const Arguments& aArguments)
 {
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   Json::Value& keys = json["config"]["keys"];
   if (!Find(keys, "id", aArguments[0])) {
     return Fail(ErrorKind::NotFound, "key " + aArguments[0]);
   }
-  Without(keys, "id", aArguments[0]);
+  RemoveEntry(keys, "id", aArguments[0]);
   return Change(
     json["config"], json["revision"].asInt64(), "withdrew " + aArguments[0]);
 }
--- a/src/ctl/CtlFiles.cpp
+++ b/src/ctl/CtlFiles.cpp
@@ -10,7 +10,7 @@
 namespace caraway {
 
 Result<int>
-Ctl::Check(const Words& aArguments)
+Ctl::Check(const Arguments& aArguments)
 {
   BOOST_LEAF_AUTO(file, ConfigFile::Read(aArguments[0]));
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
@@ -26,7 +26,7 @@
 }
 
 Result<int>
-Ctl::Diff(const Words& aArguments)
+Ctl::Diff(const Arguments& aArguments)
 {
   BOOST_LEAF_AUTO(file, ConfigFile::Read(aArguments[0]));
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
@@ -41,7 +41,7 @@
 }
 
 Result<int>
-Ctl::Apply(const Words& aArguments)
+Ctl::Apply(const Arguments& aArguments)
 {
   BOOST_LEAF_AUTO(file, ConfigFile::Read(aArguments[0]));
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
@@ -60,7 +60,7 @@
 }
 
 Result<int>
-Ctl::History(const Words&)
+Ctl::History(const Arguments&)
 {
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/history"));
   Json::Value entries(Json::arrayValue);
@@ -73,19 +73,19 @@
 }
 
 Result<int>
-Ctl::Rollback(const Words& aArguments)
+Ctl::Rollback(const Arguments& aArguments)
 {
-  BOOST_LEAF_AUTO(old, mClient.Get("/admin/v1/revisions/" + aArguments[0]));
+  BOOST_LEAF_AUTO(earlier, mClient.Get("/admin/v1/revisions/" + aArguments[0]));
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   // Keys stay: a rollback must not bring a withdrawn key back.
-  Json::Value config = old["config"];
+  Json::Value config = earlier["config"];
   config["keys"] = json["config"]["keys"];
   return Change(
     config, json["revision"].asInt64(), "rolled back to " + aArguments[0]);
 }
 
 Result<int>
-Ctl::Status(const Words&)
+Ctl::Status(const Arguments&)
 {
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/fleet"));
   Print(json["instances"],
--- a/src/ctl/LossReport.cpp
+++ b/src/ctl/LossReport.cpp
@@ -59,19 +59,19 @@
   mFirst = mFirst == 0 ? at : std::min(mFirst, at);
   std::string id = TextOf(json, "id");
   int64_t second = at / kSecondMs;
-  Spending& spending = mTenants[TextOf(json, "tenant")];
+  TokenUsage& usage = mTenants[TextOf(json, "tenant")];
   if (event == "request_sent") {
     mRouteOf[id] = TextOf(json, "route");
     mTenantOf[id] = TextOf(json, "tenant");
     if (NumberOf(json, "send") == 1) {
-      spending.mSent[second] += NumberOf(json, "tokens");
+      usage.mAdmittedTokens[second] += NumberOf(json, "tokens");
     }
   } else if (event == "request_refused") {
     mRouteOf[id] = TextOf(json, "route");
     mTenantOf[id] = TextOf(json, "tenant");
   } else if (event == "tokens_refused") {
-    spending.mRefused[second] += NumberOf(json, "tokens");
-    spending.mRate = NumberOf(json, "rate");
+    usage.mRefusedTokens[second] += NumberOf(json, "tokens");
+    usage.mRate = NumberOf(json, "rate");
   } else if (event == "request_done") {
     double status = NumberOf(json, "status");
     if (status == 0 || status >= kFirstFailure) {
@@ -107,25 +107,26 @@
 {
   std::ostringstream text;
   text << "\ntenants in seconds in which they were refused by rate\n";
-  for (const auto& [name, spending] : mTenants) {
+  for (const auto& [name, usage] : mTenants) {
     size_t seconds = 0;
-    double sent = 0;
-    double asked = 0;
-    for (const auto& [second, refused] : spending.mRefused) {
-      if (spending.mRate <= 0 || refused <= kMinRefusedShare * spending.mRate) {
+    double admitted = 0;
+    double requested = 0;
+    for (const auto& [second, refused] : usage.mRefusedTokens) {
+      if (usage.mRate <= 0 || refused <= kMinRefusedShare * usage.mRate) {
         continue;
       }
-      auto found = spending.mSent.find(second);
-      double of = found == spending.mSent.end() ? 0 : found->second;
+      auto found = usage.mAdmittedTokens.find(second);
+      double admittedTokens =
+        found == usage.mAdmittedTokens.end() ? 0 : found->second;
       ++seconds;
-      sent += of / spending.mRate;
-      asked += (of + refused) / spending.mRate;
+      admitted += admittedTokens / usage.mRate;
+      requested += (admittedTokens + refused) / usage.mRate;
     }
     if (seconds > 0) {
       auto count = static_cast<double>(seconds);
       text << "  " << name << ": " << seconds << " s, let in "
-           << std::setprecision(2) << std::fixed << sent / count
-           << " of the rate, asked " << asked / count << "\n";
+           << std::setprecision(2) << std::fixed << admitted / count
+           << " of the rate, asked " << requested / count << "\n";
     }
   }
   return text.str();
@@ -139,9 +140,9 @@
   std::map<Cause, std::pair<size_t, std::map<int64_t, size_t>>> causes;
   for (const auto& [key, count] : mLost) {
     const auto& [window, cause, route, tenant] = key;
-    auto& [total, moments] = causes[{ cause, route, tenant }];
+    auto& [total, windows] = causes[{ cause, route, tenant }];
     total += count;
-    moments[RelativeSecond(window)] += count;
+    windows[RelativeSecond(window)] += count;
   }
   std::vector<std::pair<size_t, Cause>> ranked;
   for (const auto& [cause, counts] : causes) {
@@ -157,8 +158,8 @@
     text << std::setw(7) << count << "  " << why << "  "
          << (route.empty() ? "-" : route) << "  "
          << (tenant.empty() ? "-" : tenant) << " ";
-    for (const auto& [second, times] : causes[cause].second) {
-      text << " " << second << ":" << times;
+    for (const auto& [second, number] : causes[cause].second) {
+      text << " " << second << ":" << number;
     }
     text << "\n";
   }
--- a/src/ctl/LossReport.h
+++ b/src/ctl/LossReport.h
@@ -34,18 +34,18 @@
   using Key = std::tuple<int64_t, std::string, std::string, std::string>;
 
   // Of one tenant, by second.
-  struct Spending
+  struct TokenUsage
   {
-    std::map<int64_t, double> mSent;    // tokens
-    std::map<int64_t, double> mRefused; // tokens
-    double mRate = 0;                   // tokens a second
+    std::map<int64_t, double> mAdmittedTokens; // tokens
+    std::map<int64_t, double> mRefusedTokens;  // tokens
+    double mRate = 0;                          // tokens a second
   };
   void ReadLine(const std::string& aLine);
   int64_t RelativeSecond(int64_t aAt) const;
   std::string Tenants() const;
 
   std::map<Key, size_t> mLost;
-  std::map<std::string, Spending> mTenants;
+  std::map<std::string, TokenUsage> mTenants;
   std::map<std::string, std::string> mRouteOf; // by request's id
   std::map<std::string, std::string> mTenantOf;
   int64_t mFirst = 0; // Unix ms
--- a/src/ctl/RequestTrace.cpp
+++ b/src/ctl/RequestTrace.cpp
@@ -63,11 +63,11 @@
 // How far another instance's clock must move so that its load of the model
 // begins after the request waited and ends before the request was sent.
 int64_t
-ShiftOf(const std::vector<TraceLine>& aOwn,
+ShiftOf(const std::vector<TraceLine>& aOwnLines,
         const std::vector<TraceLine>& aOthers)
 {
-  const TraceLine* waits = FirstOf(aOwn, "request_waits");
-  const TraceLine* sent = FirstOf(aOwn, "request_sent");
+  const TraceLine* waits = FirstOf(aOwnLines, "request_waits");
+  const TraceLine* sent = FirstOf(aOwnLines, "request_sent");
   const TraceLine* ended = FirstOf(aOthers, "place_ended");
   const TraceLine* decided = FirstOf(aOthers, "place_decided");
   if (sent && ended && waits && ended->mAt > sent->mAt) {
@@ -108,16 +108,16 @@
     line.mUp = json["up_ms"].isInt64() ? json["up_ms"].asInt64() : 0;
     line.mOwn = TextOf(json, "id") == mId;
     line.mLine = std::move(json);
-    mAll.push_back(std::move(line));
+    mLines.push_back(std::move(line));
   }
 }
 
 bool
 RequestTrace::IsRelated(const TraceLine& aLine,
-                        const std::vector<TraceLine>& aOwn) const
+                        const std::vector<TraceLine>& aOwnLines) const
 {
-  bool near =
-    std::any_of(aOwn.begin(), aOwn.end(), [&aLine](const TraceLine& aRequest) {
+  bool near = std::any_of(
+    aOwnLines.begin(), aOwnLines.end(), [&aLine](const TraceLine& aRequest) {
       int64_t after = aLine.mAt - aRequest.mAt;
       return after > -kBeforeMs && after < kAfterMs;
     });
@@ -126,14 +126,16 @@
     return false;
   }
   if (kModelEvents.count(event)) {
-    return ValuesOf(aOwn, "model").count(TextOf(aLine.mLine, "model")) > 0;
+    return ValuesOf(aOwnLines, "model").count(TextOf(aLine.mLine, "model")) > 0;
   }
   if (kServerEvents.count(event)) {
-    return ValuesOf(aOwn, "server").count(TextOf(aLine.mLine, "server")) > 0;
+    return ValuesOf(aOwnLines, "server").count(TextOf(aLine.mLine, "server")) >
+           0;
   }
   if (event == "tokens_refused") {
-    return ValuesOf(aOwn, "tenant").count(TextOf(aLine.mLine, "tenant")) > 0 &&
-           aLine.mInstance == aOwn.front().mInstance;
+    return ValuesOf(aOwnLines, "tenant").count(TextOf(aLine.mLine, "tenant")) >
+             0 &&
+           aLine.mInstance == aOwnLines.front().mInstance;
   }
   return kStateEvents.count(event) > 0;
 }
@@ -141,49 +143,51 @@
 std::vector<TraceLine>
 RequestTrace::Lines() const
 {
-  std::vector<TraceLine> own;
-  std::copy_if(mAll.begin(),
-               mAll.end(),
-               std::back_inserter(own),
+  std::vector<TraceLine> ownLines;
+  std::copy_if(mLines.begin(),
+               mLines.end(),
+               std::back_inserter(ownLines),
                [](const TraceLine& aLine) { return aLine.mOwn; });
   std::stable_sort(
-    own.begin(), own.end(), [](const auto& aOne, const auto& aB) {
-      return aOne.mUp < aB.mUp;
+    ownLines.begin(), ownLines.end(), [](const auto& aOne, const auto& aOther) {
+      return aOne.mUp < aOther.mUp;
     });
-  std::map<std::string, std::vector<TraceLine>> others;
-  for (const TraceLine& line : mAll) {
-    if (!own.empty() && IsRelated(line, own)) {
-      others[line.mInstance].push_back(line);
+  std::map<std::string, std::vector<TraceLine>> linesByInstance;
+  for (const TraceLine& line : mLines) {
+    if (!ownLines.empty() && IsRelated(line, ownLines)) {
+      linesByInstance[line.mInstance].push_back(line);
     }
   }
-  std::vector<TraceLine> story = own;
-  for (auto& [instance, lines] : others) {
-    bool same = !own.empty() && instance == own.front().mInstance;
-    int64_t shift = same ? 0 : ShiftOf(own, lines);
+  std::vector<TraceLine> trace = ownLines;
+  for (auto& [instance, lines] : linesByInstance) {
+    bool sameInstance =
+      !ownLines.empty() && instance == ownLines.front().mInstance;
+    int64_t shift = sameInstance ? 0 : ShiftOf(ownLines, lines);
     for (TraceLine& line : lines) {
       line.mAt += shift;
       line.mMoved = shift != 0;
-      story.push_back(std::move(line));
+      trace.push_back(std::move(line));
     }
   }
   std::stable_sort(
-    story.begin(), story.end(), [](const auto& aOne, const auto& aB) {
-      bool same = aOne.mInstance == aB.mInstance;
-      return same && aOne.mAt == aB.mAt ? aOne.mUp < aB.mUp : aOne.mAt < aB.mAt;
+    trace.begin(), trace.end(), [](const auto& aOne, const auto& aOther) {
+      bool sameInstance = aOne.mInstance == aOther.mInstance;
+      return sameInstance && aOne.mAt == aOther.mAt ? aOne.mUp < aOther.mUp
+                                                    : aOne.mAt < aOther.mAt;
     });
-  return story;
+  return trace;
 }
 
 std::string
 RequestTrace::Text() const
 {
-  std::vector<TraceLine> story = Lines();
-  if (story.empty()) {
+  std::vector<TraceLine> trace = Lines();
+  if (trace.empty()) {
     return "no line is about request " + mId + "\n";
   }
   std::ostringstream text;
-  int64_t begin = story.front().mAt;
-  for (const TraceLine& line : story) {
+  int64_t begin = trace.front().mAt;
+  for (const TraceLine& line : trace) {
     Json::Value rest = line.mLine;
     for (const char* name : { "at", "up_ms", "instance", "event", "id" }) {
       rest.removeMember(name);
--- a/src/ctl/RequestTrace.h
+++ b/src/ctl/RequestTrace.h
@@ -34,10 +34,10 @@
 
 private:
   bool IsRelated(const TraceLine& aLine,
-                 const std::vector<TraceLine>& aOwn) const;
+                 const std::vector<TraceLine>& aOwnLines) const;
 
   std::string mId;
-  std::vector<TraceLine> mAll;
+  std::vector<TraceLine> mLines;
 };
 
 } // namespace caraway
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -61,15 +61,15 @@
   options.mCsv = FLAGS_csv;
   options.mExpect = FLAGS_expect;
   options.mNote = FLAGS_note;
-  caraway::Ctl::Words words(aArguments + 1, aArguments + aCount);
+  caraway::Ctl::Arguments arguments(aArguments + 1, aArguments + aCount);
   const std::set<std::string> offline = {
     "help", "admin-key", "explain", "losses"
   };
-  bool local = !words.empty() && offline.count(words[0]) > 0;
+  bool local = !arguments.empty() && offline.count(arguments[0]) > 0;
   if (!local && options.mAdmin.empty()) {
     std::fprintf(stderr,
                  "carawayctl: no address: give --admin or CARAWAY_ADMIN\n");
     return caraway::CtlExit_Usage;
   }
-  return caraway::Ctl(options).Run(words);
+  return caraway::Ctl(options).Run(arguments);
 }
--- a/tests/unit/EventLogTest.cpp
+++ b/tests/unit/EventLogTest.cpp
@@ -59,13 +59,13 @@
     clock.Advance(Seconds(1));
   }
   EXPECT_LT(std::chrono::steady_clock::now() - begin, Seconds(2));
-  EXPECT_LE(log.Waiting(), 300u * 1024);
+  EXPECT_LE(log.BufferedBytes(), 300u * 1024);
   EXPECT_GT(log.DroppedLines(), 0);
-  size_t waiting = log.Waiting();
+  size_t waiting = log.BufferedBytes();
   char bytes[65536];
   ASSERT_GT(read(ends[0], bytes, sizeof bytes), 0);
   log.Flush();
-  EXPECT_LT(log.Waiting(), waiting);
+  EXPECT_LT(log.BufferedBytes(), waiting);
   close(ends[0]);
   close(ends[1]);
 }
@@ -83,7 +83,7 @@
       log.Line("busy").Text("text", std::string(600 + i, 'x'));
     }
     log.Flush();
-    EXPECT_GT(log.Waiting(), 0u);
+    EXPECT_GT(log.BufferedBytes(), 0u);
     char bytes[2000];
     ASSERT_GT(read(ends[0], bytes, sizeof bytes), 0);
   }
