--- a/src/base/ConfigCodec.cpp
+++ b/src/base/ConfigCodec.cpp
@@ -10,7 +10,7 @@
 
 constexpr size_t kMaxName = 128;
 
-// Names become object names at the platform and path segments here.
+// Names are used as object names at the platform and as path segments here.
 bool
 IsValidName(const std::string& aName)
 {
@@ -79,7 +79,7 @@
     std::string key = item.*aKey;
     if (!aOut.emplace(key, std::move(item)).second) {
       return Fail(ErrorKind::ConfigInvalid,
-                  std::string(aSection) + "." + key + ": stands twice");
+                  std::string(aSection) + "." + key + ": defined twice");
     }
   }
   return {};
@@ -138,7 +138,7 @@
   return {};
 }
 
-// A model that fits nowhere would be refused on every call; say it now.
+// Rejects a model that fits no engine, since every call to it would be refused.
 Result<void>
 CheckModel(const ConfigSnapshot& aConfig, const ModelSpec& aModel)
 {
@@ -330,7 +330,7 @@
     "profiles", "tenants", "keys", "endpoints", "models"
   };
   if (!aJson.isObject()) {
-    return Fail(ErrorKind::ConfigInvalid, "expected a table of sections");
+    return Fail(ErrorKind::ConfigInvalid, "expected an object with sections");
   }
   for (const std::string& name : aJson.getMemberNames()) {
     if (!sSections.count(name)) {
--- a/src/base/ConfigCodec.h
+++ b/src/base/ConfigCodec.h
@@ -1,4 +1,4 @@
-// ConfigCodec.h: configuration to and from JSON, and the whole check.
+// ConfigCodec.h: configuration to and from JSON, with validation.
 #ifndef caraway_base_ConfigCodec_h
 #define caraway_base_ConfigCodec_h
 
@@ -9,8 +9,8 @@
 
 namespace caraway {
 
-// Each refuses unknown fields and wrong types with ConfigInvalid and the
-// place, e.g. "profiles.noon-notice.class".
+// Each rejects unknown fields and wrong types with ConfigInvalid and the
+// field's path, e.g. "profiles.noon-notice.class".
 Result<Profile>
 ProfileParse(const Json::Value& aJson);
 Result<Tenant>
@@ -34,13 +34,13 @@
 ModelSpecJson(const ModelSpec& aModel);
 
 // {"profiles":[...],"tenants":[...],"keys":[...],"endpoints":[...],
-//  "models":[...]}; sections may be absent. References are checked too.
+//  "models":[...]}; sections may be absent. Checks references too.
 Result<ConfigSnapshot>
 ConfigParse(const Json::Value& aJson);
 Json::Value
 ConfigJson(const ConfigSnapshot& aConfig);
 
-// Every reference names something, sizes fit, addresses are ip:port.
+// Checks that references resolve, sizes fit and addresses are ip:port.
 Result<void>
 ConfigCheck(const ConfigSnapshot& aConfig);
 
--- a/src/base/Digest.h
+++ b/src/base/Digest.h
@@ -1,4 +1,4 @@
-// Digest.h: SHA-256, and comparing without a timing trace.
+// Digest.h: SHA-256, and comparison in constant time.
 #ifndef caraway_base_Digest_h
 #define caraway_base_Digest_h
 
@@ -9,8 +9,8 @@
 std::string
 DigestHex(const std::string& aText); // 64 hex digits
 
-// Time doesn't depend on where the texts differ, so that a key can't be
-// guessed digit by digit.
+// Takes the same time wherever the texts differ, so that a key can't be guessed
+// digit by digit.
 bool
 DigestEqual(const std::string& aLeft, const std::string& aRight);
 
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -10,15 +10,16 @@
 
 namespace {
 
-// Lines of one event name a second: ten times what an instance writes at
-// today's traffic, a few thousandths of a core.
+// Limit per event name and second: ten times what an instance writes at today's
+// traffic, and a few thousandths of a core.
 constexpr int kLinesPerSecond = 200;
 
-// Kept while the reader is slow: some seconds of lines.
+// Buffer for a slow reader: a few seconds of lines.
 constexpr size_t kMaxBufferedBytes = 256 * 1024;
 
-// The whole lines at the start of aText that a pipe takes at once or not at
-// all: a process that ends between two writes leaves no half line behind.
+// Returns the complete lines at the start of aText that fit into one atomic
+// pipe write, so that a process that exits between two writes leaves no partial
+// line.
 std::string_view
 LinesInOneWrite(std::string_view aText)
 {
@@ -208,7 +209,7 @@
       LinesInOneWrite(std::string_view(mBuffer).substr(done));
     ssize_t written = write(mFile, chunk.data(), chunk.size());
     if (written < 0 && errno != EAGAIN && errno != EINTR) {
-      done = mBuffer.size(); // nobody will ever read it
+      done = mBuffer.size(); // no reader is left
     }
     if (written <= 0) {
       break;
--- a/src/base/EventLog.h
+++ b/src/base/EventLog.h
@@ -1,10 +1,9 @@
-// EventLog.h: JSON lines on standard output that never block and stay
-// bounded.
+// EventLog.h: JSON lines on standard output, non-blocking and bounded.
 //
-// spdlog's sinks write until the reader has taken all; a pipe that nobody
-// reads would stop the thread that serves callers. Lines are gathered here
-// and handed over without waiting, once a turn; what doesn't fit is counted
-// and told in a line of its own.
+// spdlog's sinks block until the reader has taken everything, so a pipe that
+// nobody reads would stop the thread that serves callers. This log buffers
+// lines and writes them without waiting, once per pass of the event loop; lines
+// that don't fit are counted, and their number is logged in a line of its own.
 #ifndef caraway_base_EventLog_h
 #define caraway_base_EventLog_h
 
@@ -18,7 +17,7 @@
 
 class EventLog;
 
-// One line; written when it goes out of scope.
+// One line; written when the object is destroyed.
 class EventLine
 {
 public:
@@ -37,20 +36,20 @@
 private:
   void Name(std::string_view aName);
 
-  EventLog* mLog; // null = left out
+  EventLog* mLog; // null if the line is dropped
   std::string mText;
 };
 
 class EventLog
 {
 public:
-  // aFile: written without waiting; made non-blocking. -1 = keeps lines to
-  // itself, for tests.
+  // aFile: file descriptor, set to non-blocking. -1 only buffers lines, for
+  // tests.
   EventLog(const Clock& aClock, std::string aInstance, int aFile);
 
-  // Begins a line about aEvent; one of the names of docs/OPERATIONS.md.
+  // Begins a line for event aEvent, which docs/OPERATIONS.md must list.
   EventLine Line(std::string_view aEvent);
-  // Hands gathered lines over, as far as the reader takes them.
+  // Writes buffered lines, as far as the reader takes them without blocking.
   void Flush();
 
   int64_t DroppedLines() const { return mDroppedLines; }
--- a/src/base/Incarnation.h
+++ b/src/base/Incarnation.h
@@ -1,4 +1,4 @@
-// Incarnation.h: the name of one life of an instance.
+// Incarnation.h: names one run of an instance's process.
 #ifndef caraway_base_Incarnation_h
 #define caraway_base_Incarnation_h
 
@@ -6,12 +6,12 @@
 
 namespace caraway {
 
-// id.random@address. A process that is started anew has another, so that
-// nobody takes its word for what its former life did.
+// id.random@address. A restarted process gets a new one, so that peers don't
+// trust it to know what its earlier incarnation did.
 std::string
 IncarnationMake(const std::string& aId, const std::string& aAddress);
 
-// ip:port of its peer port.
+// The ip:port of the incarnation's peer port.
 std::string
 IncarnationAddress(const std::string& aIncarnation);
 
--- a/src/base/JsonObjectReader.cpp
+++ b/src/base/JsonObjectReader.cpp
@@ -8,7 +8,7 @@
   , mPath(std::move(aPath))
 {
   if (!aObject.isObject()) {
-    mError = mPath + ": expected a table";
+    mError = mPath + ": expected an object";
   }
 }
 
@@ -41,7 +41,7 @@
     return "";
   }
   if (!value->isString() || (aRequired && value->asString().empty())) {
-    AddError(aName, "expected a text");
+    AddError(aName, "expected a string");
     return "";
   }
   return value->asString();
@@ -69,7 +69,7 @@
     return aDefault;
   }
   if (!value->isNumeric() || value->asDouble() < aLeast) {
-    // Bounds are whole; 0.000000 would only puzzle.
+    // Bounds are integers; to_string of a double would print 0.000000.
     AddError(aName,
              "expected a number >= " +
                std::to_string(static_cast<int64_t>(aLeast)));
--- a/src/base/JsonObjectReader.h
+++ b/src/base/JsonObjectReader.h
@@ -1,4 +1,4 @@
-// JsonObjectReader.h: reads the fields of one JSON object strictly.
+// JsonObjectReader.h: reads a JSON object's fields and rejects unknown ones.
 #ifndef caraway_base_JsonObjectReader_h
 #define caraway_base_JsonObjectReader_h
 
@@ -10,9 +10,9 @@
 
 namespace caraway {
 
-// Collects the first thing that is wrong instead of failing at once, so that
-// a parse function reads as a list of its fields. A misspelt optional field
-// would otherwise be dropped in silence and the default would apply.
+// Keeps the first error instead of returning at once, so that a parse function
+// reads as a list of its fields. Unknown fields are errors, since a misspelt
+// optional field would otherwise be ignored and its default would apply.
 class JsonObjectReader
 {
 public:
@@ -25,7 +25,7 @@
   Millis Duration(const char* aName, Millis aDefault, Millis aLeast);
 
   void AddError(const char* aName, const std::string& aExpected);
-  // ConfigInvalid with "where.field: what was expected"; else fine.
+  // ConfigInvalid with "path.field: what was expected" if there was an error.
   Result<void> Done();
 
 private:
--- a/src/base/JsonText.cpp
+++ b/src/base/JsonText.cpp
@@ -12,7 +12,7 @@
   Json::CharReaderBuilder builder;
   builder["failIfExtra"] = true;
   builder["rejectDupKeys"] = true;
-  builder["stackLimit"] = 64; // deep nesting would otherwise eat the stack
+  builder["stackLimit"] = 64; // limits recursion on deeply nested input
   std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
   const char* begin = aText.data();
   try {
@@ -31,7 +31,7 @@
   Json::Value value;
   std::string errors;
   if (!ParseInto(aText, value, errors)) {
-    return Fail(ErrorKind::BadRequest, "not JSON: " + errors);
+    return Fail(ErrorKind::BadRequest, "invalid JSON: " + errors);
   }
   return value;
 }
--- a/src/base/JsonText.h
+++ b/src/base/JsonText.h
@@ -1,5 +1,5 @@
-// JsonText.h: JSON text in and out. jsoncpp, since libjsonrpccpp brings it:
-// one JSON type in the whole program instead of two that need converting.
+// JsonText.h: parses and writes JSON text. Uses jsoncpp because libjsonrpccpp
+// does, so that the program has one JSON type and no conversions.
 #ifndef caraway_base_JsonText_h
 #define caraway_base_JsonText_h
 
@@ -10,15 +10,15 @@
 
 namespace caraway {
 
-// BadRequest with the parser's line and column when aText isn't JSON.
+// BadRequest with the parser's line and column if aText isn't JSON.
 Result<Json::Value>
 JsonParse(const std::string& aText);
 
-// One line, no blanks.
+// Compact form: one line without spaces.
 std::string
 JsonWrite(const Json::Value& aValue);
 
-// An object whose text can't be read as JSON, or isn't an object, is empty.
+// Returns an empty object if aText isn't JSON or isn't an object.
 Json::Value
 JsonParseOrEmpty(const std::string& aText);
 
--- a/src/base/Log.cpp
+++ b/src/base/Log.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The pattern closes the object; the message is its inner part.
+// The pattern encloses the message, which holds the object's inner part.
 constexpr const char* kPattern =
   R"({"at":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})";
 
--- a/src/base/Log.h
+++ b/src/base/Log.h
@@ -10,14 +10,15 @@
 
 using LogField = std::pair<const char*, std::string>;
 
-// One line: {"at":...,"level":"info","event":aEvent,fields...}. Fields never
-// hold a key or a body: logs are read by more people than keys are shown to.
+// Writes {"at":...,"level":"info","event":aEvent,fields...} as one line. Fields
+// must never hold a key or a body, since more people read logs than may see
+// those.
 void
 LogInfo(const char* aEvent, std::initializer_list<LogField> aFields);
 void
 LogWarn(const char* aEvent, std::initializer_list<LogField> aFields);
 
-// Name of the instance, on every line from then on.
+// Sets the instance's name, written on every line from then on.
 void
 LogStart(const std::string& aInstance);
 
--- a/src/base/MetricSeries.cpp
+++ b/src/base/MetricSeries.cpp
@@ -47,7 +47,7 @@
 double
 MetricSeries::Quantile(double aFraction) const
 {
-  // The estimator needs a few samples before its markers stand.
+  // The estimator needs a few samples before its result is usable.
   constexpr uint64_t kMinSamples = 8;
   if (Count() < kMinSamples) {
     return Max();
--- a/src/base/MetricSeries.h
+++ b/src/base/MetricSeries.h
@@ -1,4 +1,4 @@
-// MetricSeries.h: one distribution, e.g. waits of a tenant's urgent calls.
+// MetricSeries.h: one distribution, e.g. the waits of a tenant's urgent calls.
 #ifndef caraway_base_MetricSeries_h
 #define caraway_base_MetricSeries_h
 
@@ -16,7 +16,7 @@
 
 namespace caraway {
 
-// Upper bounds in seconds; the last bucket is without bound.
+// Upper bounds in seconds; a last bucket has no bound.
 constexpr std::array<double, 12> kMetricBounds = { 0.005, 0.01, 0.025, 0.05,
                                                    0.1,   0.25, 0.5,   1,
                                                    2.5,   5,    15,    60 };
@@ -30,8 +30,8 @@
   uint64_t Count() const;
   double Sum() const;
   double Max() const;
-  double Quantile(double aFraction) const; // 0.5, 0.95 or 0.99
-  // Cumulative, as the text format wants them.
+  double Quantile(double aFraction) const; // aFraction: 0.5, 0.95 or 0.99
+  // Number of samples up to bound aBound, as the text format requires.
   uint64_t CumulativeCount(size_t aBound) const;
 
 private:
--- a/src/base/Metrics.h
+++ b/src/base/Metrics.h
@@ -1,4 +1,4 @@
-// Metrics.h: counters and histograms, in the usual text format.
+// Metrics.h: counters and histograms in Prometheus text format.
 #ifndef caraway_base_Metrics_h
 #define caraway_base_Metrics_h
 
@@ -13,7 +13,7 @@
 
 namespace caraway {
 
-// In shards, each under its own lock: every request adds to it.
+// Sharded, each shard with its own lock, because every request updates it.
 class Metrics
 {
 public:
@@ -22,9 +22,10 @@
                const std::string& aTenant,
                RequestClass aClass,
                Micros aTime);
-  // A distribution that isn't of a tenant's requests; aLabels as for Count().
+  // Records a duration that doesn't belong to a tenant's request; aLabels as
+  // for Count().
   void Time(const char* aName, const std::string& aLabels, Micros aTime);
-  // aLabels as in the text format, e.g. kind="rate_exceeded".
+  // aLabels: as in the text format, e.g. kind="rate_exceeded".
   void Count(const char* aName, const std::string& aLabels, int64_t aBy = 1);
 
   std::string Text() const;
--- a/src/base/RandomId.h
+++ b/src/base/RandomId.h
@@ -1,4 +1,4 @@
-// RandomId.h: ids that no other instance draws.
+// RandomId.h: random ids, unique over all instances.
 #ifndef caraway_base_RandomId_h
 #define caraway_base_RandomId_h
 
@@ -10,7 +10,7 @@
 std::string
 RandomId();
 
-// A key as callers show it: "cw_" and 256 random bits.
+// A tenant or administration key: "cw_" and 256 random bits in hex.
 std::string
 RandomKey();
 
--- a/src/base/Ticker.h
+++ b/src/base/Ticker.h
@@ -1,4 +1,4 @@
-// Ticker.h: a thread that does one thing again and again.
+// Ticker.h: a thread that runs a function periodically.
 #ifndef caraway_base_Ticker_h
 #define caraway_base_Ticker_h
 
@@ -12,14 +12,14 @@
 
 namespace caraway {
 
-// The pause between rounds is jittered by a quarter: instances started by one
-// command would otherwise all call the platform in the same moment for ever.
+// The pause between rounds is jittered by a quarter. Otherwise instances
+// started by one command would call the platform at the same moments forever.
 class Ticker
 {
 public:
   Ticker(Millis aEvery, std::function<void()> aRound);
   ~Ticker();
-  void TriggerNow(); // next round now
+  void TriggerNow(); // starts the next round immediately
   void Stop();
 
 private:
--- a/src/base/WorkerPool.h
+++ b/src/base/WorkerPool.h
@@ -15,10 +15,10 @@
 {
 public:
   explicit WorkerPool(int aThreads);
-  ~WorkerPool(); // runs what was submitted, then ends
+  ~WorkerPool(); // runs all submitted jobs first
 
   void Submit(std::function<void()> aJob);
-  // Nothing runs and nothing waits.
+  // True if no job is running or waiting.
   bool Idle() const;
 
 private:
--- a/src/ctl/AdminClient.h
+++ b/src/ctl/AdminClient.h
@@ -1,4 +1,4 @@
-// AdminClient.h: the administration API, from the operators' side.
+// AdminClient.h: client of the administration API.
 #ifndef caraway_ctl_AdminClient_h
 #define caraway_ctl_AdminClient_h
 
@@ -14,7 +14,8 @@
 public:
   AdminClient(std::string aAddress, std::string aKey);
 
-  // NoEndpoint when it can't be reached; else the refusal's own kind.
+  // NoEndpoint if the instance can't be reached; otherwise the error kind of
+  // its answer.
   Result<Json::Value> Get(const std::string& aPath);
   Result<Json::Value> Post(const std::string& aPath, const Json::Value& aBody);
 
--- a/src/ctl/ConfigDiff.h
+++ b/src/ctl/ConfigDiff.h
@@ -1,4 +1,4 @@
-// ConfigDiff.h: what differs between two configurations.
+// ConfigDiff.h: the differences between two configurations.
 #ifndef caraway_ctl_ConfigDiff_h
 #define caraway_ctl_ConfigDiff_h
 
@@ -7,12 +7,12 @@
 
 namespace caraway {
 
-// aInForce with the sections of aFile in place of its own.
+// Returns aInForce with the sections of aFile in place of its own.
 Json::Value
 ConfigMerge(const Json::Value& aInForce, const Json::Value& aFile);
 
 // [{"change":"made|removed|changed","section":…,"name":…,"field":…,
-//   "from":…,"to":…}]; a field that an entry leaves out counts as unchanged.
+//   "from":…,"to":…}]; a field that the new entry leaves out is unchanged.
 Json::Value
 ConfigDiff(const Json::Value& aFrom, const Json::Value& aTo);
 std::string
--- a/src/ctl/ConfigFile.cpp
+++ b/src/ctl/ConfigFile.cpp
@@ -49,7 +49,8 @@
     for (const auto& field : *fields) {
       std::string key(field.first.str());
       if (!ValueOf(field.second, item[key])) {
-        return InvalidAt(aFile, field.second, key + ": expected a plain value");
+        return InvalidAt(
+          aFile, field.second, key + ": expected a string, number or boolean");
       }
     }
     section.append(item);
@@ -64,7 +65,7 @@
 {
   std::ifstream in(aName);
   if (!in) {
-    return Fail(ErrorKind::ConfigInvalid, aName + ": can't be read");
+    return Fail(ErrorKind::ConfigInvalid, aName + ": can't be opened");
   }
   std::ostringstream text;
   text << in.rdbuf();
@@ -83,8 +84,9 @@
     if (!table || name == "keys") {
       return InvalidAt(aName,
                        entry.second,
-                       name + (table ? ": keys are granted with `key grant`"
-                                     : ": expected a table"));
+                       name + (table
+                                 ? ": keys are granted with `carawayctl grant`"
+                                 : ": expected a table"));
     }
     BOOST_LEAF_AUTO(section, Section(aName, *table));
     file.mSections[name] = section;
@@ -96,7 +98,7 @@
 ConfigFile::LocationOf(const std::string& aDetail) const
 {
   std::string path = aDetail.substr(0, aDetail.find(':'));
-  // The longest part of the path that the file has.
+  // Finds the longest prefix of the path that exists in the file.
   while (!path.empty()) {
     auto node = mRoot.at_path(path);
     if (node) {
--- a/src/ctl/ConfigFile.h
+++ b/src/ctl/ConfigFile.h
@@ -1,4 +1,4 @@
-// ConfigFile.h: profiles and the rest, as operators write them.
+// ConfigFile.h: a configuration file as operators write it.
 #ifndef caraway_ctl_ConfigFile_h
 #define caraway_ctl_ConfigFile_h
 
@@ -10,18 +10,18 @@
 
 namespace caraway {
 
-// A TOML file with tables [profiles.NAME], [tenants.NAME], [endpoints.NAME]
-// and [models.NAME]. Sections that it doesn't name stay as they are when it
-// is applied. Keys never stand in files.
+// A TOML file with tables [profiles.NAME], [tenants.NAME], [endpoints.NAME] and
+// [models.NAME]. Applying it leaves sections that it doesn't contain unchanged.
+// Keys are never stored in files.
 class ConfigFile
 {
 public:
-  // ConfigInvalid with file and line when it can't be read.
+  // ConfigInvalid with file and line if it can't be parsed.
   static Result<ConfigFile> Read(const std::string& aName);
 
-  // Sections as the administration API takes them.
+  // Sections as the administration API expects them.
   const Json::Value& Sections() const { return mSections; }
-  // "FILE:LINE: " of what a refusal names ("profiles.noon.class: …").
+  // "FILE:LINE: " of the entry that an error names ("profiles.noon.class: …").
   std::string LocationOf(const std::string& aDetail) const;
 
 private:
--- a/src/ctl/Ctl.cpp
+++ b/src/ctl/Ctl.cpp
@@ -16,19 +16,19 @@
 const Ctl::Command Ctl::kCommands[] = {
   { "list",
     "profiles|tenants|endpoints|models",
-    "what is in force",
+    "lists the entries in force",
     1,
     1,
     &Ctl::List },
   { "show",
     "profile|tenant|endpoint|model NAME",
-    "one entry with all fields",
+    "shows one entry with all fields",
     2,
     2,
     &Ctl::Show },
   { "set",
     "profile|tenant|endpoint|model NAME FIELD=VALUE...",
-    "makes or changes an entry",
+    "creates or changes an entry",
     3,
     64,
     &Ctl::Set },
@@ -38,64 +38,74 @@
     2,
     2,
     &Ctl::Remove },
-  { "keys", "", "keys by id; never the keys themselves", 0, 0, &Ctl::Keys },
-  { "grant",
-    "TENANT",
-    "makes a key and shows it this once",
-    1,
-    1,
-    &Ctl::Grant },
+  { "keys",
+    "",
+    "lists key ids; the keys themselves aren't stored",
+    0,
+    0,
+    &Ctl::Keys },
+  { "grant", "TENANT", "creates a key and shows it once", 1, 1, &Ctl::Grant },
   { "withdraw",
     "KEY-ID",
-    "the key stops working within seconds",
+    "withdraws a key; it stops working within seconds",
     1,
     1,
     &Ctl::Withdraw },
-  { "check", "FILE.toml", "would the file be accepted?", 1, 1, &Ctl::Check },
-  { "diff",
+  { "check",
     "FILE.toml",
-    "what applying the file would change",
+    "checks whether the file would be accepted",
     1,
     1,
-    &Ctl::Diff },
-  { "apply",
+    &Ctl::Check },
+  { "diff",
     "FILE.toml",
-    "puts the file's sections in force",
+    "shows what applying the file would change",
     1,
     1,
-    &Ctl::Apply },
-  { "history", "", "accepted revisions, newest first", 0, 0, &Ctl::History },
+    &Ctl::Diff },
+  { "apply", "FILE.toml", "applies the file's sections", 1, 1, &Ctl::Apply },
+  { "history",
+    "",
+    "lists accepted revisions, newest first",
+    0,
+    0,
+    &Ctl::History },
   { "rollback",
     "REVISION",
-    "puts an earlier revision in force as a new one",
+    "applies an earlier revision as a new one",
     1,
     1,
     &Ctl::Rollback },
   { "status",
     "",
-    "every instance: revision, age, requests, share",
+    "shows revision, age, requests and share of every instance",
     0,
     0,
     &Ctl::Status },
   { "admin-key",
     "",
-    "makes an administration key and its digest",
+    "creates an administration key and its digest",
     0,
     0,
     &Ctl::AdminKey },
   { "explain",
     "ID FILE...",
-    "one request's story from the logs of several instances",
+    "traces one request through the logs of several instances",
     2,
     1024,
     &Ctl::Explain },
   { "losses",
     "FILE...",
-    "where requests were lost, from the logs of all instances",
+    "reports lost requests from the logs of all instances",
     1,
     1024,
     &Ctl::Losses },
-  { "help", "[COMMAND]", "this text, or a command's line", 0, 1, &Ctl::Help },
+  { "help",
+    "[COMMAND]",
+    "shows this text, or one command's usage",
+    0,
+    1,
+    &Ctl::Help },
 };
 
 Ctl::Ctl(CtlOptions aOptions)
@@ -107,9 +117,10 @@
 std::string
 Ctl::Usage()
 {
-  std::string text = "changes and shows what carawayd instances serve.\n"
-                     "  carawayctl [--admin IP:PORT] [--key_file FILE] "
-                     "COMMAND ...\n\n";
+  std::string text =
+    "shows and changes the configuration that carawayd instances serve.\n"
+    "  carawayctl [--admin IP:PORT] [--key_file FILE] "
+    "COMMAND ...\n\n";
   for (const Command& command : kCommands) {
     std::string line =
       "  " + std::string(command.mName) + " " + command.mArguments;
@@ -149,7 +160,7 @@
     return failure.mKind == ErrorKind::NoEndpoint ? CtlExit_Unreachable
                                                   : CtlExit_Refused;
   }
-  std::fprintf(stderr, "carawayctl: no such command; see carawayctl help\n");
+  std::fprintf(stderr, "carawayctl: unknown command; see carawayctl help\n");
   return CtlExit_Usage;
 }
 
@@ -184,7 +195,7 @@
   return CtlExit_Ok;
 }
 
-// Each file's text to aRead, from aFirst on.
+// Calls aRead with the text of each file, starting at index aFirst.
 Result<void>
 Ctl::ReadFiles(const Arguments& aFiles,
                size_t aFirst,
@@ -195,7 +206,7 @@
     std::ostringstream text;
     text << file.rdbuf();
     if (!file) {
-      return Fail(ErrorKind::NotFound, "can't read " + aFiles[i]);
+      return Fail(ErrorKind::NotFound, "can't open or read " + aFiles[i]);
     }
     aRead(text.str());
   }
@@ -227,7 +238,7 @@
 Ctl::AdminKey(const Arguments&)
 {
   std::string key = RandomKey();
-  std::printf("key:    %s\ndigest: %s  (goes into [admin] keys of every "
+  std::printf("key:    %s\ndigest: %s  (add to [admin] keys of every "
               "instance)\n",
               key.c_str(),
               DigestHex(key).c_str());
--- a/src/ctl/Ctl.h
+++ b/src/ctl/Ctl.h
@@ -16,10 +16,10 @@
 {
   std::string mAdmin;   // ip:port of any instance's administration port
   std::string mKey;     // administration key
-  bool mJson = false;   // answers for scripts
-  bool mCsv = false;    // of losses
-  int64_t mExpect = -1; // revision a change must be based on; -1 = newest
-  std::string mNote;    // for the history
+  bool mJson = false;   // print JSON for scripts
+  bool mCsv = false;    // print losses as CSV
+  int64_t mExpect = -1; // base revision of a change; -1 = newest
+  std::string mNote;    // recorded in the history
 };
 
 class Ctl
@@ -29,7 +29,7 @@
 
   explicit Ctl(CtlOptions aOptions);
 
-  // aArguments: command and its arguments.
+  // aArguments: the command and its arguments.
   int Run(const Arguments& aArguments);
   static std::string Usage();
 
@@ -40,7 +40,7 @@
     const char* mName;
     const char* mArguments;
     const char* mHelp;
-    size_t mMinArguments; // arguments
+    size_t mMinArguments; // limits of the number of arguments
     size_t mMaxArguments;
     Action mAction;
   };
--- a/src/ctl/CtlEntries.cpp
+++ b/src/ctl/CtlEntries.cpp
@@ -1,4 +1,4 @@
-// The commands on single entries: profiles, tenants, endpoints, models, keys.
+// Commands on single entries: profiles, tenants, endpoints, models, keys.
 #include "ctl/Ctl.h"
 
 #include <cstdio>
@@ -69,7 +69,7 @@
   return nullptr;
 }
 
-// true, 12 and 1.5 are what they look like; all else is text.
+// Parses booleans and numbers as such; any other text is a string.
 Json::Value
 ValueOf(const std::string& aText)
 {
@@ -193,7 +193,8 @@
   return CtlExit_Ok;
 }
 
-// Made here and sent only as a digest: the key is nowhere but on this screen.
+// The key is generated here and only its digest is sent, so it appears nowhere
+// but in this output.
 Result<int>
 Ctl::Grant(const Arguments& aArguments)
 {
--- a/src/ctl/CtlFiles.cpp
+++ b/src/ctl/CtlFiles.cpp
@@ -1,4 +1,4 @@
-// The commands on files, revisions and the fleet as a whole.
+// Commands on files, revisions and the fleet as a whole.
 #include "ctl/Ctl.h"
 
 #include <cstdio>
@@ -77,7 +77,7 @@
 {
   BOOST_LEAF_AUTO(earlier, mClient.Get("/admin/v1/revisions/" + aArguments[0]));
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
-  // Keys stay: a rollback must not bring a withdrawn key back.
+  // Keeps the current keys: a rollback must not restore a withdrawn key.
   Json::Value config = earlier["config"];
   config["keys"] = json["config"]["keys"];
   return Change(
--- a/src/ctl/LossReport.cpp
+++ b/src/ctl/LossReport.cpp
@@ -13,10 +13,10 @@
 
 constexpr int64_t kSecondMs = 1000;
 
-// Statuses from here on are no service.
+// Statuses from this one on count as failed.
 constexpr int kFirstFailure = 400;
 
-// A second in which so much of a tenant's rate was refused is counted.
+// A second counts if more than this share of the tenant's rate was refused.
 constexpr double kMinRefusedShare = 0.2;
 
 std::string
@@ -106,7 +106,8 @@
 LossReport::Tenants() const
 {
   std::ostringstream text;
-  text << "\ntenants in seconds in which they were refused by rate\n";
+  text
+    << "\ntenants, in the seconds in which their rate limit refused requests\n";
   for (const auto& [name, usage] : mTenants) {
     size_t seconds = 0;
     double admitted = 0;
@@ -124,9 +125,9 @@
     }
     if (seconds > 0) {
       auto count = static_cast<double>(seconds);
-      text << "  " << name << ": " << seconds << " s, let in "
+      text << "  " << name << ": " << seconds << " s, admitted "
            << std::setprecision(2) << std::fixed << admitted / count
-           << " of the rate, asked " << requested / count << "\n";
+           << " of the rate, requested " << requested / count << "\n";
     }
   }
   return text.str();
@@ -135,7 +136,7 @@
 std::string
 LossReport::Text() const
 {
-  // Cause, route and tenant, with all moments.
+  // Cause, route and tenant, over all windows.
   using Cause = std::tuple<std::string, std::string, std::string>;
   std::map<Cause, std::pair<size_t, std::map<int64_t, size_t>>> causes;
   for (const auto& [key, count] : mLost) {
@@ -150,8 +151,8 @@
   }
   std::sort(ranked.rbegin(), ranked.rend());
   std::ostringstream text;
-  text << mEvents << " events read, " << mUnreadable << " lines not readable\n"
-       << "requests that weren't served: count, cause, route, tenant, and "
+  text << mEvents << " events read, " << mUnreadable << " unreadable lines\n"
+       << "failed requests: count, cause, route, tenant, and "
           "count by second\n";
   for (const auto& [count, cause] : ranked) {
     const auto& [why, route, tenant] = cause;
--- a/src/ctl/RequestTrace.cpp
+++ b/src/ctl/RequestTrace.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-// Around the request's own lines: a load takes seconds, and what broke a
-// server is seen at other instances within one.
+// Window around the request's own lines: a load takes seconds, and other
+// instances see a server's failure within one second.
 constexpr int64_t kBeforeMs = 8000;
 constexpr int64_t kAfterMs = 1500;
 
-// Lines of others about the request's model, servers or tenant.
+// Other lines that relate to the request's model, servers or tenant.
 const std::set<std::string> kModelEvents = { "place_decided",
                                              "place_ended",
                                              "place_none",
@@ -60,8 +60,8 @@
   return nullptr;
 }
 
-// How far another instance's clock must move so that its load of the model
-// begins after the request waited and ends before the request was sent.
+// Returns the shift of another instance's clock that lets its load of the model
+// begin after the request waited and end before the request was sent.
 int64_t
 ShiftOf(const std::vector<TraceLine>& aOwnLines,
         const std::vector<TraceLine>& aOthers)
@@ -71,7 +71,7 @@
   const TraceLine* ended = FirstOf(aOthers, "place_ended");
   const TraceLine* decided = FirstOf(aOthers, "place_decided");
   if (sent && ended && waits && ended->mAt > sent->mAt) {
-    return sent->mAt - ended->mAt - 1; // a cause comes first also in a tie
+    return sent->mAt - ended->mAt - 1; // causes come first in a tie too
   }
   bool caused = !sent || !ended || ended->mAt >= (waits ? waits->mAt : 0);
   if (waits && decided && caused && decided->mAt < waits->mAt &&
@@ -183,7 +183,7 @@
 {
   std::vector<TraceLine> trace = Lines();
   if (trace.empty()) {
-    return "no line is about request " + mId + "\n";
+    return "no line belongs to request " + mId + "\n";
   }
   std::ostringstream text;
   int64_t begin = trace.front().mAt;
--- a/src/ctl/RequestTrace.h
+++ b/src/ctl/RequestTrace.h
@@ -1,5 +1,5 @@
-// RequestTrace.h: one request's lines from the logs of several instances, in
-// the order in which one thing led to the next.
+// RequestTrace.h: one request's log lines from several instances, with each
+// cause before its effect.
 #ifndef caraway_ctl_RequestTrace_h
 #define caraway_ctl_RequestTrace_h
 
@@ -12,11 +12,11 @@
 struct TraceLine
 {
   std::string mInstance;
-  int64_t mAt = 0; // the instance's own clock, Unix ms
-  int64_t mUp = 0; // its monotonic time: orders its own lines
+  int64_t mAt = 0; // the instance's wall clock, Unix ms
+  int64_t mUp = 0; // the instance's monotonic time; orders its own lines
   Json::Value mLine;
-  bool mOwn = false;   // about the request itself
-  bool mMoved = false; // its clock was shifted to fit causes
+  bool mOwn = false;   // logged for the request itself
+  bool mMoved = false; // mAt was shifted to fit causes
 };
 
 class RequestTrace
@@ -24,12 +24,12 @@
 public:
   explicit RequestTrace(std::string aId);
 
-  // One file's text; lines that aren't events are passed over.
+  // Reads the text of one file; lines that aren't events are skipped.
   void Read(const std::string& aText);
-  // Lines of the request, and those about its model, servers and tenant that
-  // bear on it, each cause before its effect.
+  // Lines of the request and related lines about its model, servers and tenant,
+  // each cause before its effect.
   std::vector<TraceLine> Lines() const;
-  // For people; says so when no line is about the request.
+  // For display; reports if no line belongs to the request.
   std::string Text() const;
 
 private:
--- a/src/ctl/Table.h
+++ b/src/ctl/Table.h
@@ -1,4 +1,4 @@
-// Table.h: lists for people.
+// Table.h: text tables for the terminal.
 #ifndef caraway_ctl_Table_h
 #define caraway_ctl_Table_h
 
@@ -8,7 +8,7 @@
 
 namespace caraway {
 
-// One line per entry, columns as wide as their widest text.
+// One line per entry, with columns as wide as their widest text.
 std::string
 TableText(const Json::Value& aEntries,
           const std::vector<std::string>& aColumns);
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// carawayctl: the operators' command line.
+// carawayctl: the operators' command line tool.
 #include <cstdio>
 #include <cstdlib>
 #include <fstream>
@@ -10,7 +10,7 @@
 
 DEFINE_string(admin,
               "",
-              "administration address ip:port of any instance "
+              "administration address, ip:port, of any instance "
               "(or CARAWAY_ADMIN)");
 DEFINE_string(key_file,
               "",
@@ -19,7 +19,7 @@
 DEFINE_string(output, "table", "table, or json for scripts");
 DEFINE_bool(csv, false, "losses as comma-separated values");
 DEFINE_int64(expect, -1, "revision the change is based on; -1 = the newest");
-DEFINE_string(note, "", "why, for the history");
+DEFINE_string(note, "", "reason for the change, recorded in the history");
 
 namespace {
 
@@ -30,7 +30,8 @@
   return aFlag.empty() && value ? value : aFlag;
 }
 
-// Not a flag: command lines are seen by everybody on the machine.
+// Read from a file or the environment, since command lines are visible to all
+// users of the machine.
 std::string
 AdminKey()
 {
@@ -51,7 +52,7 @@
   gflags::SetUsageMessage(caraway::Ctl::Usage());
   gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   if (FLAGS_output != "json" && FLAGS_output != "table") {
-    std::fprintf(stderr, "carawayctl: --output is table or json\n");
+    std::fprintf(stderr, "carawayctl: --output must be table or json\n");
     return caraway::CtlExit_Usage;
   }
   caraway::CtlOptions options;
@@ -68,7 +69,7 @@
   bool local = !arguments.empty() && offline.count(arguments[0]) > 0;
   if (!local && options.mAdmin.empty()) {
     std::fprintf(stderr,
-                 "carawayctl: no address: give --admin or CARAWAY_ADMIN\n");
+                 "carawayctl: no address; set --admin or CARAWAY_ADMIN\n");
     return caraway::CtlExit_Usage;
   }
   return caraway::Ctl(options).Run(arguments);
--- a/src/peer/PeerClient.h
+++ b/src/peer/PeerClient.h
@@ -15,7 +15,7 @@
 {
   std::atomic<int64_t> mCalls{ 0 };
   std::atomic<int64_t> mFailures{ 0 };
-  std::atomic<int64_t> mBytesOut{ 0 }; // bodies only, without headers
+  std::atomic<int64_t> mBytesOut{ 0 }; // bodies; headers add a constant
   std::atomic<int64_t> mBytesIn{ 0 };
 };
 
--- a/tests/unit/LossReportTest.cpp
+++ b/tests/unit/LossReportTest.cpp
@@ -54,7 +54,7 @@
       1100, "tokens_refused", R"(,"tenant":"acme","tokens":1500,"rate":1000)"));
   EXPECT_NE(
     std::string::npos,
-    report.Text().find("acme: 1 s, let in 0.50 of the rate, asked 2.00"));
+    report.Text().find("acme: 1 s, admitted 0.50 of the rate, requested 2.00"));
 }
 
 // Guards against a report that ends at a torn or foreign line.
