--- a/tests/process/AtMostOnceTest.cpp
+++ b/tests/process/AtMostOnceTest.cpp
@@ -44,7 +44,7 @@
     return mFleet.OrderCall(
       aInstance, mFleet.mKeys["acme"], aKey, aBody, aWithin);
   }
-  void ServiceFault(const char* aName, const Json::Value& aValue)
+  void SetServiceFault(const char* aName, const Json::Value& aValue)
   {
     for (auto& service : mFleet.mServices) {
       Json::Value body;
@@ -61,7 +61,7 @@
 // once, and the others wait on its creator.
 TEST_F(AtMostOnce, SentToAllInstancesAtOnce)
 {
-  ServiceFault("delay_ms", 400);
+  SetServiceFault("delay_ms", 400);
   std::vector<std::future<HttpReply>> replies;
   for (size_t i = 0; i < 3; ++i) {
     replies.push_back(
@@ -78,13 +78,13 @@
 // told "may have run" and the order isn't sent again to find out.
 TEST_F(AtMostOnce, InstanceKilledAfterHandingOn)
 {
-  ServiceFault("delay_ms", 700);
-  auto broken =
+  SetServiceFault("delay_ms", 700);
+  auto firstReply =
     std::async(std::launch::async, [&] { return Send(0, "k", "close"); });
   ASSERT_TRUE(
     Eventually(Seconds(5), [&] { return mFleet.Runs("close") == 1; }));
   mFleet.mInstances[0]->Kill();
-  EXPECT_FALSE(broken.get().Ok());
+  EXPECT_FALSE(firstReply.get().Ok());
   HttpReply again = Send(1, "k", "close");
   EXPECT_EQ(Field(again, "run"), "may_have_run");
   EXPECT_FALSE(again.Header("retry-after").empty());
@@ -95,7 +95,7 @@
 // of the run that is still under way.
 TEST_F(AtMostOnce, CallerTimesOutAndRetriesElsewhere)
 {
-  ServiceFault("delay_ms", 900);
+  SetServiceFault("delay_ms", 900);
   HttpReply first = Send(0, "k", "close", Millis(300));
   EXPECT_FALSE(first.Ok());
   HttpReply second = Send(2, "k", "close");
@@ -185,7 +185,7 @@
   EXPECT_EQ(mFleet.Runs("open"), 0);
   EXPECT_TRUE(mFleet.OrderCall(1, mFleet.mKeys["globex"], "k", "open").Ok());
   EXPECT_EQ(mFleet.Runs("open"), 1);
-  ServiceFault("padding", 700000);
+  SetServiceFault("padding", 700000);
   EXPECT_TRUE(Send(0, "large", "large").Ok());
   EXPECT_EQ(Field(Send(2, "large", "large"), "run"), "ran");
   EXPECT_EQ(mFleet.Runs("large"), 1);
@@ -213,8 +213,8 @@
   HttpReply again = fleet.OrderCall(2, key, "k", "close");
   EXPECT_EQ(Field(again, "ran"), "close") << again.mBody;
   fleet.PlatformFault("outage", "refuse");
-  HttpReply blind = fleet.OrderCall(1, key, "k", "close");
-  EXPECT_EQ(Field(blind, "run"), "may_have_run");
+  HttpReply duringOutage = fleet.OrderCall(1, key, "k", "close");
+  EXPECT_EQ(Field(duringOutage, "run"), "may_have_run");
   EXPECT_EQ(fleet.Runs("close"), 1);
 }
 
@@ -225,7 +225,7 @@
 TEST_F(AtMostOnce, NoOrderRunsTwiceUnderFaults)
 {
   std::mt19937 random(20261203);
-  auto below = [&](int aLimit) {
+  auto randomBelow = [&](int aLimit) {
     return static_cast<int>(random() % static_cast<unsigned>(aLimit));
   };
   const char* modes[] = { "pass", "pass", "drop_answer" };
@@ -233,12 +233,12 @@
   for (int i = 0; i < 16; ++i) {
     std::string body = "order " + std::to_string(i);
     for (int attempt = 0; attempt < 4; ++attempt) {
-      mFleet.ProxyMode(*mFleet.mServiceProxies[below(2)],
-                       Mode(modes[below(3)]));
-      mFleet.PlatformFault("lose_answers", below(3) == 0 ? 1 : 0);
-      mFleet.PlatformFault("drop_writes", below(4) == 0 ? 1 : 0);
-      mFleet.PlatformFault("outage", below(6) == 0 ? "refuse" : "");
-      size_t at = static_cast<size_t>(below(3));
+      mFleet.ProxyMode(*mFleet.mServiceProxies[randomBelow(2)],
+                       Mode(modes[randomBelow(3)]));
+      mFleet.PlatformFault("lose_answers", randomBelow(3) == 0 ? 1 : 0);
+      mFleet.PlatformFault("drop_writes", randomBelow(4) == 0 ? 1 : 0);
+      mFleet.PlatformFault("outage", randomBelow(6) == 0 ? "refuse" : "");
+      size_t at = static_cast<size_t>(randomBelow(3));
       auto reply = std::async(std::launch::async, [&] {
         return Send(at, "key " + std::to_string(i), body, Seconds(8));
       });
--- a/tests/process/BriefingTest.cpp
+++ b/tests/process/BriefingTest.cpp
@@ -23,10 +23,10 @@
 }
 
 Json::Value
-Look(Fleet& aFleet,
-     size_t aInstance,
-     const std::string& aLocation,
-     const char* aTenant = "acme")
+Fetch(Fleet& aFleet,
+      size_t aInstance,
+      const std::string& aLocation,
+      const char* aTenant = "acme")
 {
   return JsonParseOrEmpty(
     aFleet
@@ -62,13 +62,14 @@
     fleet.Announce(i, false);
   }
   for (const std::string& location : locations) {
-    EXPECT_TRUE(Eventually(
-      Seconds(30), [&] { return Look(fleet, 1, location)["state"] == "done"; }))
+    EXPECT_TRUE(
+      Eventually(Seconds(30),
+                 [&] { return Fetch(fleet, 1, location)["state"] == "done"; }))
       << location;
-    Json::Value result = Look(fleet, 0, location)["result"];
+    Json::Value result = Fetch(fleet, 0, location)["result"];
     EXPECT_EQ(result["choices"][0]["message"]["content"].asString(),
               "w0 w1 w2 w3 w4 ");
-    EXPECT_EQ(Look(fleet, 0, location, "globex")["status"].asInt(), 404);
+    EXPECT_EQ(Fetch(fleet, 0, location, "globex")["status"].asInt(), 404);
   }
 }
 
@@ -84,25 +85,26 @@
   EXPECT_NE(Submit(fleet, 0, "brief").mStatus, 202);
   fleet.PlatformFault("outage", "");
   fleet.PlatformFault("lose_answers", 2);
-  HttpReply kept = Submit(fleet, 1, "brief");
-  EXPECT_EQ(kept.mStatus, 202);
+  HttpReply stored = Submit(fleet, 1, "brief");
+  EXPECT_EQ(stored.mStatus, 202);
   EXPECT_TRUE(Eventually(Seconds(20), [&] {
-    return Look(fleet, 2, kept.Header("location"))["state"] == "done";
+    return Fetch(fleet, 2, stored.Header("location"))["state"] == "done";
   }));
   for (auto& engine : fleet.mEngines) {
     engine->Kill();
   }
-  HttpReply owed = Submit(fleet, 0, "chat-m3");
-  ASSERT_EQ(owed.mStatus, 202);
+  HttpReply openBriefing = Submit(fleet, 0, "chat-m3");
+  ASSERT_EQ(openBriefing.mStatus, 202);
   fleet.Configure([&](Json::Value& aConfig) {
     aConfig["keys"][0]["id"] = "key-renewed"; // same key, granted anew
   });
   EXPECT_TRUE(Eventually(Seconds(20), [&] {
-    return Look(fleet, 2, owed.Header("location"))["state"] == "refused";
+    return Fetch(fleet, 2, openBriefing.Header("location"))["state"] ==
+           "refused";
   }));
-  EXPECT_EQ(
-    Look(fleet, 2, owed.Header("location"))["problem"]["run"].asString(),
-    "not_run");
+  EXPECT_EQ(Fetch(fleet, 2, openBriefing.Header("location"))["problem"]["run"]
+              .asString(),
+            "not_run");
 }
 
 } // namespace caraway
--- a/tests/process/CompleteAnswerTest.cpp
+++ b/tests/process/CompleteAnswerTest.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 std::string
-Words(int aCount)
+ExpectedText(int aCount)
 {
   std::string text;
   for (int i = 0; i < aCount; ++i) {
@@ -41,14 +41,14 @@
   plan.mEngines = 2;
   Fleet fleet(plan);
   std::string key = fleet.mKeys["acme"];
-  ASSERT_EQ(Content(fleet.Chat(0, key, "chat-m0", 3)), Words(3));
+  ASSERT_EQ(Content(fleet.Chat(0, key, "chat-m0", 3)), ExpectedText(3));
   Json::Value fault;
   fault[GetParam()] = 7;
   for (auto& engine : fleet.mEngines) {
     fleet.Call(engine->Address(), "POST", "/control", fault);
   }
   HttpReply reply = fleet.Chat(0, key, "chat-m0", 20);
-  EXPECT_EQ(Content(reply), Words(20)) << reply.mBody;
+  EXPECT_EQ(Content(reply), ExpectedText(20)) << reply.mBody;
 }
 
 INSTANTIATE_TEST_SUITE_P(Faults,
--- a/tests/process/ConfigTest.cpp
+++ b/tests/process/ConfigTest.cpp
@@ -18,7 +18,7 @@
 }
 
 void
-Withdraw(Json::Value& aConfig, const std::string& aId)
+RemoveKey(Json::Value& aConfig, const std::string& aId)
 {
   Json::Value kept(Json::arrayValue);
   for (const Json::Value& key : aConfig["keys"]) {
@@ -56,7 +56,7 @@
   std::this_thread::sleep_for(Millis(300)); // some tokens are out
   auto begun = std::chrono::steady_clock::now();
   int64_t revision = fleet.Configure(
-    [](Json::Value& aConfig) { Withdraw(aConfig, "key-acme"); });
+    [](Json::Value& aConfig) { RemoveKey(aConfig, "key-acme"); });
   caller.join();
   EXPECT_LT(std::chrono::steady_clock::now() - begun, Seconds(3));
   EXPECT_NE(reply.mBody.find("event: error"), std::string::npos)
@@ -92,7 +92,7 @@
     return fleet.EngineState(0)["audit"]["loads"].asInt() == 1;
   }));
   auto begun = std::chrono::steady_clock::now();
-  fleet.Configure([](Json::Value& aConfig) { Withdraw(aConfig, "key-acme"); });
+  fleet.Configure([](Json::Value& aConfig) { RemoveKey(aConfig, "key-acme"); });
   acme.join();
   EXPECT_LT(std::chrono::steady_clock::now() - begun, Seconds(4));
   EXPECT_EQ(refused.mStatus, 401) << refused.mBody;
--- a/tests/process/HomeZoneTest.cpp
+++ b/tests/process/HomeZoneTest.cpp
@@ -22,7 +22,7 @@
 
 // Profiles of models whose home is aZone.
 std::vector<std::string>
-AtHomeIn(const Fleet& aFleet, const std::string& aZone)
+ProfilesWithHomeIn(const Fleet& aFleet, const std::string& aZone)
 {
   std::vector<std::string> profiles;
   for (int i = 0; i < aFleet.mPlan.mModels; ++i) {
@@ -65,11 +65,12 @@
   plan.mInstances = { 2, 3 };
   plan.mModels = 12;
   Fleet fleet(plan);
-  std::vector<std::string> away = AtHomeIn(fleet, "mendoza-a");
-  ASSERT_GE(away.size(), 4u);
+  std::vector<std::string> homeProfiles =
+    ProfilesWithHomeIn(fleet, "mendoza-a");
+  ASSERT_GE(homeProfiles.size(), 4u);
   fleet.CutZone("mendoza-a", true);
   size_t at = 0;
-  for (const std::string& profile : away) {
+  for (const std::string& profile : homeProfiles) {
     HttpReply reply = fleet.Chat(2 + at++ % 3, fleet.mKeys["acme"], profile, 4);
     EXPECT_TRUE(reply.Ok()) << profile << ": " << reply.mBody;
   }
@@ -79,7 +80,7 @@
   }
   EXPECT_LE(found, 2);
 
-  EXPECT_EQ(fleet.EngineAudit("loads"), static_cast<int>(away.size()));
+  EXPECT_EQ(fleet.EngineAudit("loads"), static_cast<int>(homeProfiles.size()));
 }
 
 // A replica that the home has is used from everywhere until the home is lost;
@@ -87,7 +88,7 @@
 TEST(HomeZones, WarmReplicaInHomeZoneServesOtherZones)
 {
   Fleet fleet(Plan());
-  std::string profile = AtHomeIn(fleet, "mendoza-a").at(0);
+  std::string profile = ProfilesWithHomeIn(fleet, "mendoza-a").at(0);
   EXPECT_TRUE(fleet.Chat(0, fleet.mKeys["acme"], profile, 4).Ok());
   EXPECT_TRUE(fleet.Chat(2, fleet.mKeys["acme"], profile, 4).Ok());
   EXPECT_EQ(fleet.EngineAudit("loads"), 1);
@@ -105,7 +106,7 @@
 TEST(HomeZones, OneInstanceDeathDoesNotLoseTheHomeZone)
 {
   Fleet fleet(Plan());
-  std::string profile = AtHomeIn(fleet, "mendoza-a").at(0);
+  std::string profile = ProfilesWithHomeIn(fleet, "mendoza-a").at(0);
   std::string model = profile.substr(std::string("chat-").size());
   EXPECT_TRUE(fleet.Chat(2, fleet.mKeys["acme"], profile, 4).Ok());
   bool first = RendezvousOwner({ "i0", "i1" }, "model/" + model) == "i0";
@@ -123,15 +124,17 @@
   FleetPlan plan = Plan();
   plan.mMemory = 100; // two models
   Fleet fleet(plan);
-  std::vector<std::string> ours = AtHomeIn(fleet, "uspallata-b");
-  std::string busy = AtHomeIn(fleet, "mendoza-a").at(0);
-  ASSERT_GE(ours.size(), 2u);
-  for (const std::string& profile : { ours[0], ours[1], busy }) {
+  std::vector<std::string> ownProfiles =
+    ProfilesWithHomeIn(fleet, "uspallata-b");
+  std::string busyProfile = ProfilesWithHomeIn(fleet, "mendoza-a").at(0);
+  ASSERT_GE(ownProfiles.size(), 2u);
+  for (const std::string& profile :
+       { ownProfiles[0], ownProfiles[1], busyProfile }) {
     EXPECT_TRUE(fleet.Chat(2, fleet.mKeys["acme"], profile, 1).Ok());
   }
   std::this_thread::sleep_for(Millis(2200)); // else none could be evicted
   for (int i = 0; i < 80; ++i) {
-    EXPECT_TRUE(fleet.Chat(2, fleet.mKeys["acme"], busy, 1).Ok());
+    EXPECT_TRUE(fleet.Chat(2, fleet.mKeys["acme"], busyProfile, 1).Ok());
   }
   EXPECT_TRUE(Eventually(Seconds(5), [&] {
     return fleet.Metric(2, "caraway_optional_loads_given_up_total") == 1;
--- a/tests/process/InTimeTest.cpp
+++ b/tests/process/InTimeTest.cpp
@@ -30,17 +30,18 @@
   ASSERT_TRUE(fleet.AwaitRevision(revision, Seconds(9)));
   ASSERT_TRUE(fleet.Chat(0, fleet.mKeys["acme"], "notice", 1).Ok());
   std::atomic<bool> ending{ false };
-  std::atomic<int> briefs{ 0 };
+  std::atomic<int> briefingsServed{ 0 };
   std::atomic<int> refused{ 0 };
-  std::atomic<int> silent{ 0 };
+  std::atomic<int> withoutRetryAfter{ 0 };
   std::vector<std::thread> flood;
   for (size_t i = 0; i < 36; ++i) {
     flood.emplace_back([&, i] {
       while (!ending) {
         HttpReply reply = fleet.Chat(i % 3, fleet.mKeys["globex"], "brief", 80);
-        briefs += reply.Ok() ? 1 : 0;
+        briefingsServed += reply.Ok() ? 1 : 0;
         refused += reply.mStatus == 503 || reply.mStatus == 504 ? 1 : 0;
-        silent += !reply.Ok() && reply.Header("retry-after").empty() ? 1 : 0;
+        withoutRetryAfter +=
+          !reply.Ok() && reply.Header("retry-after").empty() ? 1 : 0;
       }
     });
   }
@@ -65,9 +66,9 @@
   }
   EXPECT_EQ(served, 30);
   EXPECT_LT(worst, 1.4);
-  EXPECT_GT(briefs, 0);
+  EXPECT_GT(briefingsServed, 0);
   EXPECT_GT(refused, 0);
-  EXPECT_EQ(silent, 0);
+  EXPECT_EQ(withoutRetryAfter, 0);
   RecordProperty("worst_ms", static_cast<int>(worst * 1000));
 }
 
@@ -170,8 +171,8 @@
     ASSERT_TRUE(fleet.Chat(0, fleet.mKeys["acme"], "chat-m0", 40).Ok());
   }
   std::atomic<int> first{ 0 };
-  std::atomic<int> back{ 0 };
-  std::atomic<int> then{ 0 };
+  std::atomic<int> retried{ 0 };
+  std::atomic<int> servedOnRetry{ 0 };
   std::vector<std::thread> burst;
   for (size_t i = 0; i < 150; ++i) {
     burst.emplace_back([&, i] {
@@ -185,18 +186,20 @@
       }
       std::this_thread::sleep_for(
         Seconds(std::atoi(reply.Header("retry-after").c_str())));
-      ++back;
-      then += fleet.Chat(i % 3, key, "chat-m0", tokens).Ok() ? 1 : 0;
+      ++retried;
+      servedOnRetry += fleet.Chat(i % 3, key, "chat-m0", tokens).Ok() ? 1 : 0;
     });
   }
   for (std::thread& thread : burst) {
     thread.join();
   }
-  std::printf(
-    "first %d, back %d, then %d\n", first.load(), back.load(), then.load());
+  std::printf("first %d, back %d, then %d\n",
+              first.load(),
+              retried.load(),
+              servedOnRetry.load());
   EXPECT_GT(first, 20);
-  EXPECT_GT(back, 20);
-  EXPECT_GT(then * 2, back);
+  EXPECT_GT(retried, 20);
+  EXPECT_GT(servedOnRetry * 2, retried);
 }
 
 } // namespace caraway
--- a/tests/process/LeavingTest.cpp
+++ b/tests/process/LeavingTest.cpp
@@ -325,15 +325,15 @@
   EXPECT_TRUE(Eventually(Seconds(5), [&] {
     return fleet.EngineState(0)["active"].asInt() == 2 && fleet.Runs("b1") == 1;
   }));
-  auto told = std::chrono::steady_clock::now();
+  auto begun = std::chrono::steady_clock::now();
   fleet.mInstances[1]->Terminate();
   for (std::thread& caller : callers) {
     caller.join();
   }
-  EXPECT_LT(std::chrono::steady_clock::now() - told, Millis(2200));
+  EXPECT_LT(std::chrono::steady_clock::now() - begun, Millis(2200));
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 1);
   // The platform's timeout more: handing the shares on takes a call.
-  EXPECT_LT(std::chrono::steady_clock::now() - told, Millis(3200));
+  EXPECT_LT(std::chrono::steady_clock::now() - begun, Millis(3200));
   EXPECT_EQ(whole.mStatus, 503) << whole.mError;
   EXPECT_EQ(RunOf(whole), "may_have_run");
   EXPECT_EQ(order.mStatus, 503) << order.mError;
@@ -414,10 +414,10 @@
   for (size_t i : { 0u, 2u, 3u, 4u, 5u }) {
     fleet.mInstances[i]->Stop();
   }
-  auto told = std::chrono::steady_clock::now();
+  auto begun = std::chrono::steady_clock::now();
   fleet.mInstances[1]->Terminate();
   caller.join();
-  EXPECT_LT(std::chrono::steady_clock::now() - told, Millis(2200));
+  EXPECT_LT(std::chrono::steady_clock::now() - begun, Millis(2200));
   EXPECT_EQ(reply.mStatus, 503) << reply.mError;
   EXPECT_EQ(RunOf(reply), "may_have_run");
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 1);
--- a/tests/process/PlacementTest.cpp
+++ b/tests/process/PlacementTest.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 std::set<std::string>
-Held(Fleet& aFleet, size_t aEngine)
+ReplicasHeld(Fleet& aFleet, size_t aEngine)
 {
   std::set<std::string> names;
   for (const Json::Value& replica : aFleet.EngineState(aEngine)["replicas"]) {
@@ -23,7 +23,7 @@
 }
 
 std::set<std::string>
-Decided(Fleet& aFleet, const std::string& aEndpoint)
+ReplicasDecided(Fleet& aFleet, const std::string& aEndpoint)
 {
   Json::Value list = JsonParseOrEmpty(
     aFleet.Call(aFleet.mPlatform->Address(), "GET", "/list/placement?prefix=")
@@ -59,7 +59,7 @@
     }
   }
   int Undecided() const { return mUndecided; }
-  int Looks() const { return mLooks; }
+  int Checks() const { return mChecks; }
 
 private:
   void Run()
@@ -70,13 +70,13 @@
         std::string name =
           "llm-" + mFleet.mPlan.mZones[zone] +
           std::to_string(i % static_cast<size_t>(mFleet.mPlan.mEngines));
-        std::set<std::string> before = Held(mFleet, i);
-        std::set<std::string> decided = Decided(mFleet, name);
-        std::set<std::string> after = Held(mFleet, i);
+        std::set<std::string> before = ReplicasHeld(mFleet, i);
+        std::set<std::string> decided = ReplicasDecided(mFleet, name);
+        std::set<std::string> after = ReplicasHeld(mFleet, i);
         for (const std::string& model : before) {
           mUndecided += after.count(model) && !decided.count(model) ? 1 : 0;
         }
-        ++mLooks;
+        ++mChecks;
       }
     }
   }
@@ -84,7 +84,7 @@
   Fleet& mFleet;
   std::atomic<bool> mEnding{ false };
   std::atomic<int> mUndecided{ 0 };
-  std::atomic<int> mLooks{ 0 };
+  std::atomic<int> mChecks{ 0 };
   std::thread mThread;
 };
 
@@ -176,7 +176,7 @@
   first.wait();
   EXPECT_TRUE(fleet.Chat(owner, fleet.mKeys["acme"], "chat-m0", 4).Ok());
   auditor.Stop();
-  EXPECT_GT(auditor.Looks(), 0);
+  EXPECT_GT(auditor.Checks(), 0);
   EXPECT_EQ(auditor.Undecided(), 0);
   EXPECT_EQ(fleet.EngineAudit("overcommits"), 0);
 }
@@ -201,22 +201,22 @@
   Fleet fleet(plan);
   Auditor auditor(fleet);
   std::mt19937 random(7);
-  auto below = [&](int aLimit) {
+  auto randomBelow = [&](int aLimit) {
     return static_cast<int>(random() % static_cast<unsigned>(aLimit));
   };
   std::atomic<int> served{ 0 };
   for (int round = 0; round < 10; ++round) {
-    size_t engine = static_cast<size_t>(below(2));
+    size_t engine = static_cast<size_t>(randomBelow(2));
     Json::Value fault;
-    fault["lose_order_answers"] = below(2);
+    fault["lose_order_answers"] = randomBelow(2);
     fleet.Call(fleet.mEngines[engine]->Address(), "POST", "/control", fault);
-    fleet.PlatformFault("lose_answers", below(2));
-    fleet.PlatformFault("outage", below(5) == 0 ? "refuse" : "");
-    size_t victim = static_cast<size_t>(below(3));
+    fleet.PlatformFault("lose_answers", randomBelow(2));
+    fleet.PlatformFault("outage", randomBelow(5) == 0 ? "refuse" : "");
+    size_t instance = static_cast<size_t>(randomBelow(3));
     std::vector<std::thread> callers;
     for (int i = 0; i < 6; ++i) {
-      size_t at = static_cast<size_t>(below(3));
-      std::string profile = "chat-m" + std::to_string(below(4));
+      size_t at = static_cast<size_t>(randomBelow(3));
+      std::string profile = "chat-m" + std::to_string(randomBelow(4));
       callers.emplace_back([&fleet, &served, at, profile] {
         Json::Value body;
         HttpReply reply = fleet.Chat(at, fleet.mKeys["acme"], profile, 3);
@@ -224,24 +224,24 @@
       });
     }
     if (round % 4 == 1) {
-      fleet.mInstances[victim]->Stop();
+      fleet.mInstances[instance]->Stop();
       std::this_thread::sleep_for(Millis(300));
-      fleet.mInstances[victim]->Continue();
+      fleet.mInstances[instance]->Continue();
     }
     if (round % 4 == 3) {
-      fleet.mInstances[victim]->Kill();
+      fleet.mInstances[instance]->Kill();
     }
     fleet.PlatformFault("outage", "");
     for (std::thread& caller : callers) {
       caller.join();
     }
     if (round % 4 == 3) {
-      fleet.mInstances[victim] = fleet.StartInstance(victim);
-      fleet.Announce(victim, false);
+      fleet.mInstances[instance] = fleet.StartInstance(instance);
+      fleet.Announce(instance, false);
     }
   }
   auditor.Stop();
-  EXPECT_GT(auditor.Looks(), 20);
+  EXPECT_GT(auditor.Checks(), 20);
   EXPECT_EQ(auditor.Undecided(), 0);
   EXPECT_EQ(fleet.EngineAudit("overcommits"), 0);
   EXPECT_GE(served, 20);
--- a/tests/process/ShareTest.cpp
+++ b/tests/process/ShareTest.cpp
@@ -90,23 +90,23 @@
   const double burst = 40;
   Fleet fleet(Plan(rate, burst));
   Load load(fleet, { 0, 0, 1, 1, 2, 2 });
-  auto letInDuring = [&](const std::function<void()>& aTomlErrors) {
+  auto admittedDuring = [&](const std::function<void()>& aFault) {
     int before = load.mAdmitted;
-    aTomlErrors();
+    aFault();
     return load.mAdmitted - before;
   };
   auto wait = [] { std::this_thread::sleep_for(Millis(1500)); };
-  EXPECT_GT(letInDuring(wait), 0);
-  EXPECT_GT(letInDuring([&] {
+  EXPECT_GT(admittedDuring(wait), 0);
+  EXPECT_GT(admittedDuring([&] {
               fleet.CutZone("uspallata-b", true);
               wait();
               fleet.CutZone("uspallata-b", false);
             }),
             0);
-  EXPECT_GT(letInDuring([&] {
+  EXPECT_GT(admittedDuring([&] {
               fleet.PlatformFault("outage", "refuse");
               std::this_thread::sleep_for(Millis(5000)); // beyond a lease
-              EXPECT_GT(letInDuring(wait), 0);
+              EXPECT_GT(admittedDuring(wait), 0);
               fleet.PlatformFault("outage", "");
             }),
             0);
--- a/tests/process/StoreGateTest.cpp
+++ b/tests/process/StoreGateTest.cpp
@@ -25,7 +25,7 @@
     return plan;
   }
 
-  void Wake()
+  void StartColdRequests()
   {
     for (int model = 1; model < 15; ++model) {
       size_t at = model % 2 == 0 ? 0 : 2;
@@ -61,7 +61,7 @@
 // bulletin's model before all that still wait.
 TEST_F(ColdStartFleet, UrgentModelLoadsBeforeWaitingOnes)
 {
-  Wake();
+  StartColdRequests();
   EXPECT_TRUE(
     Eventually(Seconds(5), [&] { return Store()["order"].size() >= 4; }));
   HttpReply notice = mFleet.Chat(0, mFleet.mKeys["globex"], "notice", 1);
@@ -87,7 +87,7 @@
   Json::Value pass;
   pass["mode"] = "pass";
   mFleet.ProxyMode(*mFleet.mPlatformProxies["uspallata-b"], pass);
-  Wake();
+  StartColdRequests();
   Join();
   EXPECT_EQ(mAnswered, 14);
   EXPECT_LE(Store()["peak"].asInt(), 2 * 4);
--- a/tests/support/Child.cpp
+++ b/tests/support/Child.cpp
@@ -33,26 +33,26 @@
              const std::string& aLog)
 {
   std::string path = std::string(CARAWAY_BIN_DIR) + "/" + aProgram;
-  std::vector<char*> words = { const_cast<char*>(path.c_str()) };
-  for (const std::string& word : aArguments) {
-    words.push_back(const_cast<char*>(word.c_str()));
+  std::vector<char*> arguments = { const_cast<char*>(path.c_str()) };
+  for (const std::string& argument : aArguments) {
+    arguments.push_back(const_cast<char*>(argument.c_str()));
   }
-  words.push_back(nullptr);
-  int ends[2];
-  if (pipe2(ends, O_CLOEXEC) != 0) {
+  arguments.push_back(nullptr);
+  int pipeEnds[2];
+  if (pipe2(pipeEnds, O_CLOEXEC) != 0) {
     throw std::runtime_error("no pipe");
   }
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
-  posix_spawn_file_actions_adddup2(&actions, ends[1], 1);
+  posix_spawn_file_actions_adddup2(&actions, pipeEnds[1], 1);
   posix_spawn_file_actions_addopen(
     &actions, 2, aLog.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-  int failed =
-    posix_spawn(&mPid, path.c_str(), &actions, nullptr, words.data(), environ);
+  int spawnError = posix_spawn(
+    &mPid, path.c_str(), &actions, nullptr, arguments.data(), environ);
   posix_spawn_file_actions_destroy(&actions);
-  close(ends[1]);
-  mOutput = ends[0];
-  if (failed != 0) {
+  close(pipeEnds[1]);
+  mOutput = pipeEnds[0];
+  if (spawnError != 0) {
     mPid = -1;
     throw std::runtime_error("can't start " + path);
   }
--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr Millis kStartTime{ 15000 };
-constexpr Millis kLook{ 10 };
+constexpr Millis kPollInterval{ 10 };
 
 std::string
 TemporaryFolder()
@@ -46,7 +46,7 @@
     if (std::chrono::steady_clock::now() > until) {
       return false;
     }
-    std::this_thread::sleep_for(kLook);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
@@ -84,7 +84,7 @@
     throw std::runtime_error("the first revision doesn't get everywhere");
   }
   // What a balancer would wait for, and every slot has its holder.
-  bool held = Eventually(kStartTime, [&] {
+  bool slotsHeld = Eventually(kStartTime, [&] {
     int slots = 0;
     for (size_t i = 0; i < mInstances.size(); ++i) {
       Json::Value status = Status(i);
@@ -98,12 +98,12 @@
     }
     return slots == 16 * static_cast<int>(mPlan.mZones.size());
   });
-  if (!held) {
+  if (!slotsHeld) {
     throw std::runtime_error("the shares aren't held; see " + mFolder);
   }
   // Until all know all, two of them may hold themselves for the owner of one
   // key. Tests of a fleet that is still meeting start instances themselves.
-  bool met = Eventually(kStartTime, [&] {
+  bool allKnown = Eventually(kStartTime, [&] {
     for (size_t i = 0; i < mInstances.size(); ++i) {
       if (Status(i)["fit_instances"].asUInt64() != mInstances.size()) {
         return false;
@@ -111,7 +111,7 @@
     }
     return true;
   });
-  if (!met) {
+  if (!allKnown) {
     throw std::runtime_error("not all know all; see " + mFolder);
   }
 }
@@ -480,16 +480,16 @@
   mode["mode"] = aCut ? "cut" : "pass";
   ProxyMode(*mPlatformProxies[aZone], mode);
   for (size_t i = 0; i < mPeerProxies.size(); ++i) {
-    Json::Value from;
-    from["mode"] = "pass";
-    from["cut_from"] = Json::Value(Json::arrayValue);
+    Json::Value mode;
+    mode["mode"] = "pass";
+    mode["cut_from"] = Json::Value(Json::arrayValue);
     for (const std::string& zone : mPlan.mZones) {
       bool crosses = (zone == aZone) != (mZoneOf[i] == aZone);
       if (aCut && crosses) {
-        from["cut_from"].append(zone);
+        mode["cut_from"].append(zone);
       }
     }
-    ProxyMode(*mPeerProxies[i], from);
+    ProxyMode(*mPeerProxies[i], mode);
   }
 }
 
--- a/tests/unit/ConfigCodecTest.cpp
+++ b/tests/unit/ConfigCodecTest.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 std::string
-Trouble(const std::string& aChange)
+ErrorAfter(const std::string& aChange)
 {
   Json::Value config = JsonParseOrEmpty(R"({
     "tenants":[{"name":"acme","rate":10,"burst":20}],
@@ -32,20 +32,20 @@
 // An operator's slip is refused whole, with the place, before it is accepted.
 TEST(ConfigCodec, InvalidConfigIsReportedWithItsLocation)
 {
-  EXPECT_EQ(Trouble("{}"), "");
-  EXPECT_EQ(Trouble(R"({"profiles":{"model":"x"}})"),
+  EXPECT_EQ(ErrorAfter("{}"), "");
+  EXPECT_EQ(ErrorAfter(R"({"profiles":{"model":"x"}})"),
             "profiles.p.model: no model x");
-  EXPECT_EQ(Trouble(R"({"profiles":{"adapter":"m"}})"),
+  EXPECT_EQ(ErrorAfter(R"({"profiles":{"adapter":"m"}})"),
             "profiles.p.adapter: no adapter of that model");
-  EXPECT_EQ(Trouble(R"({"profiles":{"tenant":"x"}})"),
+  EXPECT_EQ(ErrorAfter(R"({"profiles":{"tenant":"x"}})"),
             "profiles.p.tenant: no tenant x");
-  EXPECT_EQ(Trouble(R"({"profiles":{"service":"g"}})"),
+  EXPECT_EQ(ErrorAfter(R"({"profiles":{"service":"g"}})"),
             "profiles.p.model: name either a model or a service");
-  EXPECT_EQ(Trouble(R"({"models":{"bytes":11}})"),
+  EXPECT_EQ(ErrorAfter(R"({"models":{"bytes":11}})"),
             "models.m.bytes: fits no engine's memory");
-  EXPECT_EQ(Trouble(R"({"endpoints":{"address":"host:80"}})"),
+  EXPECT_EQ(ErrorAfter(R"({"endpoints":{"address":"host:80"}})"),
             "endpoints.e.address: expected ip:port");
-  EXPECT_EQ(Trouble(R"({"tenants":{"rate":"10/s"}})"),
+  EXPECT_EQ(ErrorAfter(R"({"tenants":{"rate":"10/s"}})"),
             "tenants.acme.rate: expected a number >= 0");
 }
 
@@ -54,7 +54,7 @@
 // accepted and not kept.
 TEST(ConfigCodec, NonRepeatableModelProfileIsRejected)
 {
-  EXPECT_EQ(Trouble(R"({"profiles":{"repeatable":false}})"),
+  EXPECT_EQ(ErrorAfter(R"({"profiles":{"repeatable":false}})"),
             "profiles.p.repeatable: only a service's calls can be kept from "
             "running twice");
 }
--- a/tests/unit/EventLogTest.cpp
+++ b/tests/unit/EventLogTest.cpp
@@ -46,10 +46,10 @@
 // lines flow again when somebody reads.
 TEST(EventLog, FullPipeDoesNotBlock)
 {
-  int ends[2];
-  ASSERT_EQ(0, pipe(ends));
+  int pipeEnds[2];
+  ASSERT_EQ(0, pipe(pipeEnds));
   PausedClock clock;
-  EventLog log(clock, "i1", ends[1]);
+  EventLog log(clock, "i1", pipeEnds[1]);
   auto begin = std::chrono::steady_clock::now();
   for (int second = 0; second < 60; ++second) {
     for (int i = 0; i < 190; ++i) {
@@ -61,40 +61,40 @@
   EXPECT_LT(std::chrono::steady_clock::now() - begin, Seconds(2));
   EXPECT_LE(log.BufferedBytes(), 300u * 1024);
   EXPECT_GT(log.DroppedLines(), 0);
-  size_t waiting = log.BufferedBytes();
+  size_t bufferedBefore = log.BufferedBytes();
   char bytes[65536];
-  ASSERT_GT(read(ends[0], bytes, sizeof bytes), 0);
+  ASSERT_GT(read(pipeEnds[0], bytes, sizeof bytes), 0);
   log.Flush();
-  EXPECT_LT(log.BufferedBytes(), waiting);
-  close(ends[0]);
-  close(ends[1]);
+  EXPECT_LT(log.BufferedBytes(), bufferedBefore);
+  close(pipeEnds[0]);
+  close(pipeEnds[1]);
 }
 
 // Guards against half a line of a process that ended while nobody read, with
 // the first line of its successor behind it.
 TEST(EventLog, ExitingProcessLeavesNoPartialLine)
 {
-  int ends[2];
-  ASSERT_EQ(0, pipe(ends));
+  int pipeEnds[2];
+  ASSERT_EQ(0, pipe(pipeEnds));
   PausedClock clock;
   for (const char* name : { "first", "second" }) {
-    EventLog log(clock, name, ends[1]);
+    EventLog log(clock, name, pipeEnds[1]);
     for (int i = 0; i < 190; ++i) {
       log.Line("busy").Text("text", std::string(600 + i, 'x'));
     }
     log.Flush();
     EXPECT_GT(log.BufferedBytes(), 0u);
     char bytes[2000];
-    ASSERT_GT(read(ends[0], bytes, sizeof bytes), 0);
+    ASSERT_GT(read(pipeEnds[0], bytes, sizeof bytes), 0);
   }
-  close(ends[1]);
+  close(pipeEnds[1]);
   std::string text;
   char bytes[4096];
   ssize_t count = 0;
-  while ((count = read(ends[0], bytes, sizeof bytes)) > 0) {
+  while ((count = read(pipeEnds[0], bytes, sizeof bytes)) > 0) {
     text.append(bytes, static_cast<size_t>(count));
   }
-  close(ends[0]);
+  close(pipeEnds[0]);
   std::istringstream lines(text.substr(text.find('\n') + 1));
   std::string line;
   while (std::getline(lines, line)) {
--- a/tests/unit/EventTableTest.cpp
+++ b/tests/unit/EventTableTest.cpp
@@ -24,7 +24,7 @@
 }
 
 std::set<std::string>
-WordsIn(const std::string& aText, const char* aPattern)
+MatchesIn(const std::string& aText, const char* aPattern)
 {
   std::set<std::string> words;
   std::regex pattern(aPattern);
@@ -51,9 +51,9 @@
     std::sregex_iterator end;
     for (std::sregex_iterator at(text.begin(), text.end(), line); at != end;
          ++at) {
-      std::set<std::string> fields = WordsIn(
+      std::set<std::string> fields = MatchesIn(
         (*at)[2], "\\.(?:Text|Count|Number|Ms|Flag)\\(\\s*\"([a-z_]+)\"");
-      for (const std::string& event : WordsIn((*at)[1], "\"([a-z_]+)\"")) {
+      for (const std::string& event : MatchesIn((*at)[1], "\"([a-z_]+)\"")) {
         events[event].insert(fields.begin(), fields.end());
       }
     }
@@ -74,8 +74,8 @@
     if (!std::regex_match(text, match, row) || match[1] == "event") {
       continue;
     }
-    for (const std::string& event : WordsIn(match[1], "([a-z_]+)")) {
-      events[event] = WordsIn(match[2], "([a-z_]+)");
+    for (const std::string& event : MatchesIn(match[1], "([a-z_]+)")) {
+      events[event] = MatchesIn(match[2], "([a-z_]+)");
     }
   }
   events.erase("log_left_out"); // written by the log itself
--- a/tests/unit/HeartbeatTest.cpp
+++ b/tests/unit/HeartbeatTest.cpp
@@ -14,15 +14,15 @@
 const std::string kSecret = "0123456789abcdef";
 
 // A member that counts the beats it gets.
-struct Listener
+struct CountingPeer
 {
-  explicit Listener(const std::string& aId)
+  explicit CountingPeer(const std::string& aId)
     : mPort(kSecret)
   {
     mPort.Open("127.0.0.1:0", 2);
     mInfo = { aId, "mendoza-a", mPort.Address(), false };
     mPort.Add("beat", [this](const Json::Value&) {
-      ++mBeats;
+      ++mHeartbeats;
       Json::Value self;
       self["id"] = mInfo.mId;
       self["zone"] = mInfo.mZone;
@@ -34,13 +34,13 @@
 
   PeerPort mPort;
   InstanceInfo mInfo;
-  std::atomic<int> mBeats{ 0 };
+  std::atomic<int> mHeartbeats{ 0 };
 };
 
 class NewInstance : public ::testing::Test
 {
 protected:
-  void Meet(int aMembers)
+  void AddPeers(int aMembers)
   {
     std::vector<InstanceInfo> list;
     for (int i = 0; i < aMembers; ++i) {
@@ -49,13 +49,13 @@
     }
     mMembers.UpdateFromList(list);
   }
-  int Beats() const
+  int HeartbeatsReceived() const
   {
-    int beats = 0;
-    for (const Listener& other : mOthers) {
-      beats += other.mBeats;
+    int heartbeats = 0;
+    for (const CountingPeer& other : mOthers) {
+      heartbeats += other.mHeartbeats;
     }
-    return beats;
+    return heartbeats;
   }
 
   PausedClock mClock;
@@ -67,7 +67,7 @@
   ConfigWatcher mWatcher{ mStore, mHolder, mPeers, Millis(100), mClock };
   Heartbeat mHeartbeat{ mMembers, mPeers, mPlatform, mHolder,
                         mWatcher, {},     mClock };
-  std::list<Listener> mOthers;
+  std::list<CountingPeer> mOthers;
 };
 
 } // namespace
@@ -77,25 +77,25 @@
 // gates before the weight store, two queues for one model.
 TEST_F(NewInstance, IsKnownToAllAfterOneRound)
 {
-  Meet(5);
+  AddPeers(5);
   mHeartbeat.Round();
-  for (const Listener& other : mOthers) {
-    EXPECT_GE(other.mBeats, 1) << other.mInfo.mId;
+  for (const CountingPeer& other : mOthers) {
+    EXPECT_GE(other.mHeartbeats, 1) << other.mInfo.mId;
   }
-  int greeted = Beats();
+  int afterFirstRound = HeartbeatsReceived();
   mHeartbeat.Round();
-  EXPECT_EQ(Beats(), greeted + 1); // the usual one
+  EXPECT_EQ(HeartbeatsReceived(), afterFirstRound + 1); // the usual one
 }
 
 // In a large fleet that is replaced whole, each greeting all would be the
 // square of its size.
 TEST_F(NewInstance, GreetsNoMoreThanSixteen)
 {
-  Meet(20);
+  AddPeers(20);
   for (int round = 0; round < 3; ++round) {
     mHeartbeat.Round();
   }
-  EXPECT_LE(Beats(), 16 + 3);
+  EXPECT_LE(HeartbeatsReceived(), 16 + 3);
 }
 
 } // namespace caraway
--- a/tests/unit/RequestStoryTest.cpp
+++ b/tests/unit/RequestStoryTest.cpp
@@ -17,10 +17,10 @@
 }
 
 std::vector<std::string>
-EventsOf(const RequestTrace& aStory)
+EventsOf(const RequestTrace& aTrace)
 {
   std::vector<std::string> events;
-  for (const TraceLine& line : aStory.Lines()) {
+  for (const TraceLine& line : aTrace.Lines()) {
     events.push_back(line.mLine["event"].asString());
   }
   return events;
@@ -32,15 +32,15 @@
 // after the request that waited for it was sent.
 TEST(RequestTrace, OrdersCausesBeforeEffectsDespiteClockSkew)
 {
-  RequestTrace story("r1");
-  story.Read(Line("a", 0, "request_waits", ",\"id\":\"r1\",\"model\":\"m\"") +
+  RequestTrace trace("r1");
+  trace.Read(Line("a", 0, "request_waits", ",\"id\":\"r1\",\"model\":\"m\"") +
              Line("a",
                   400,
                   "request_sent",
                   ",\"id\":\"r1\",\"model\":\"m\",\"server\":\"s\"") +
              Line("a", 500, "request_done", ",\"id\":\"r1\",\"status\":200") +
              Line("a", 100, "request_sent", ",\"id\":\"r2\",\"model\":\"m\""));
-  story.Read(
+  trace.Read(
     Line("b", 710, "place_decided", ",\"model\":\"m\",\"server\":\"s\"") +
     Line("b", 1090, "place_ended", ",\"model\":\"m\",\"server\":\"s\"") +
     Line("b", 720, "place_decided", ",\"model\":\"other\"") +
@@ -50,13 +50,13 @@
                                         "place_ended",
                                         "request_sent",
                                         "request_done" };
-  EXPECT_EQ(expected, EventsOf(story));
+  EXPECT_EQ(expected, EventsOf(trace));
 }
 
 TEST(RequestTrace, ShowsOnlyRelatedLines)
 {
-  RequestTrace story("r1");
-  story.Read(
+  RequestTrace trace("r1");
+  trace.Read(
     Line("a",
          0,
          "request_sent",
@@ -68,7 +68,7 @@
   std::vector<std::string> expected = { "request_sent",
                                         "server_broke",
                                         "server_broke" };
-  EXPECT_EQ(expected, EventsOf(story));
+  EXPECT_EQ(expected, EventsOf(trace));
   EXPECT_NE(std::string::npos, RequestTrace("r7").Text().find("no line"));
 }
 
--- a/tests/unit/SettingsTest.cpp
+++ b/tests/unit/SettingsTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const std::string kGood = R"([instance]
+const std::string kValidSettings = R"([instance]
 id = "m1"
 zone = "a"
 zones = ["a", "b"]
@@ -23,7 +23,7 @@
 )";
 
 std::string
-Trouble(const std::string& aText)
+ErrorOf(const std::string& aText)
 {
   auto read = Outcome([&] { return SettingsParse(aText, "f.toml"); });
   auto* failure = std::get_if<Failure>(&read);
@@ -34,23 +34,25 @@
 
 TEST(Settings, ValidSettingsAreAccepted)
 {
-  EXPECT_EQ(Trouble(kGood), "");
+  EXPECT_EQ(ErrorOf(kValidSettings), "");
 }
 
 // An operator's slip is told with file, line and what was expected, before
 // anything starts. Taken in silence, it would run with a default instead.
 TEST(Settings, InvalidSettingsAreReportedWithTheirLine)
 {
-  EXPECT_EQ(Trouble(kGood + "[keys]\nmax_age = 3\n"),
+  EXPECT_EQ(ErrorOf(kValidSettings + "[keys]\nmax_age = 3\n"),
             "f.toml:16: keys.max_age: unknown field");
-  EXPECT_EQ(Trouble(kGood + "[keys]\nmax_age_s = \"3s\"\n"),
+  EXPECT_EQ(ErrorOf(kValidSettings + "[keys]\nmax_age_s = \"3s\"\n"),
             "f.toml:16: keys.max_age_s: expected a whole number >= 1, without "
             "a unit");
-  EXPECT_EQ(Trouble(kGood + "[extra]\n"),
+  EXPECT_EQ(ErrorOf(kValidSettings + "[extra]\n"),
             "f.toml:15: extra: unknown table or field");
-  std::string without = kGood.substr(0, kGood.find("[platform]"));
-  EXPECT_EQ(Trouble(without), "f.toml:1: platform.address: is missing");
-  EXPECT_NE(Trouble(kGood + "[keys\n").find("f.toml:15"), std::string::npos);
+  std::string without =
+    kValidSettings.substr(0, kValidSettings.find("[platform]"));
+  EXPECT_EQ(ErrorOf(without), "f.toml:1: platform.address: is missing");
+  EXPECT_NE(ErrorOf(kValidSettings + "[keys\n").find("f.toml:15"),
+            std::string::npos);
 }
 
 // A zone that shares models with one that doesn't exist, or not with itself,
@@ -58,10 +60,11 @@
 TEST(Settings, NearZonesAreKnownAndIncludeOwnZone)
 {
   auto near = [](const std::string& aZones) {
-    std::string text = kGood;
-    std::string mark = "zones = [\"a\", \"b\"]\n";
-    text.insert(text.find(mark) + mark.size(), "near = " + aZones + "\n");
-    return Trouble(text);
+    std::string text = kValidSettings;
+    std::string zonesLine = "zones = [\"a\", \"b\"]\n";
+    text.insert(text.find(zonesLine) + zonesLine.size(),
+                "near = " + aZones + "\n");
+    return ErrorOf(text);
   };
   EXPECT_EQ(near("[\"a\"]"), "");
   EXPECT_EQ(near("[\"b\"]"),
