--- a/tests/process/AtMostOnceTest.cpp
+++ b/tests/process/AtMostOnceTest.cpp
@@ -56,9 +56,9 @@
   Fleet mFleet{ Plan() };
 };
 
-// The caller sends one order to three instances in the same moment, while the
-// service is slow. All three get the one run's answer: the claim is created
-// once, and the others wait on its creator.
+// One order is sent to three instances at the same moment while the service is
+// slow. Guards against each instance running it: the claim is created once, the
+// other two wait for its creator, and all return the answer of the one run.
 TEST_F(AtMostOnce, SentToAllInstancesAtOnce)
 {
   SetServiceFault("delay_ms", 400);
@@ -73,9 +73,9 @@
   EXPECT_EQ(mFleet.Runs("close"), 1);
 }
 
-// The instance is killed while the service works. The caller, whose
-// connection broke, asks elsewhere: nobody alive knows the outcome, so it is
-// told "may have run" and the order isn't sent again to find out.
+// The instance is killed while the service runs the order, and the caller
+// retries at another instance. Nobody alive knows the outcome, so the reply
+// must be "may have run", and the order must not be sent again to find out.
 TEST_F(AtMostOnce, InstanceKilledAfterHandingOn)
 {
   SetServiceFault("delay_ms", 700);
@@ -91,8 +91,8 @@
   EXPECT_EQ(mFleet.Runs("close"), 1);
 }
 
-// The caller gives up waiting and asks another instance: it gets the answer
-// of the run that is still under way.
+// The caller times out and retries at another instance while the first run is
+// still in flight. It must get that run's answer, not a second run.
 TEST_F(AtMostOnce, CallerTimesOutAndRetriesElsewhere)
 {
   SetServiceFault("delay_ms", 900);
@@ -106,9 +106,9 @@
   EXPECT_EQ(mFleet.Runs("close"), 1);
 }
 
-// The platform takes the claim and its answer is lost; later it loses the
-// answer's record too. The write id found by writing again tells that it was
-// ours.
+// The platform stores the claim and its answer is lost; later it loses the
+// write of the answer's record. Guards against taking its own claim for
+// another's: resending the write finds the write id.
 TEST_F(AtMostOnce, PlatformAnswersLost)
 {
   mFleet.PlatformFault("lose_answers", 1);
@@ -119,9 +119,9 @@
   EXPECT_EQ(mFleet.Runs("two"), 1);
 }
 
-// While the platform is out no order is handed on, and the refusal comes at
-// once. It can't say "not run": an earlier try may have. Once the platform is
-// back the same order runs.
+// During a platform outage no order is sent to a service, and the refusal comes
+// at once. It must not say "not run", since an earlier attempt may have run.
+// After the outage the same order runs.
 TEST_F(AtMostOnce, PlatformOutage)
 {
   EXPECT_TRUE(Send(0, "k1", "before").Ok());
@@ -137,8 +137,8 @@
   EXPECT_EQ(mFleet.Runs("before"), 1);
 }
 
-// An answer is cut off between service and instance: it ran, the caller is
-// told that it may have, here and elsewhere, now and later.
+// The answer is lost between service and instance. The order ran, so every
+// instance must report "may have run", also after the fault has ended.
 TEST_F(AtMostOnce, AnswerLostOnTheWayBack)
 {
   for (auto& proxy : mFleet.mServiceProxies) {
@@ -153,8 +153,8 @@
   EXPECT_EQ(mFleet.Runs("close"), 1);
 }
 
-// No service can be reached: "not run" is true and the key isn't used up.
-// With one of two gone, the order goes to the other.
+// With one of two services down, the order goes to the other. With both down,
+// "not run" is correct and the key can be used again.
 TEST_F(AtMostOnce, ServicesUnreachable)
 {
   mFleet.mServiceProxies[0]->Kill();
@@ -174,9 +174,9 @@
   EXPECT_EQ(mFleet.Runs("two"), 1);
 }
 
-// Another body under a used key is refused and not run; two tenants' equal
-// keys have nothing to do with each other; an answer too large to keep isn't
-// run again for its sake.
+// A used key with another body is refused and not run; equal keys of two
+// tenants are independent; an answer too large to keep doesn't cause a second
+// run.
 TEST_F(AtMostOnce, KeysBelongToTenantAndBody)
 {
   EXPECT_TRUE(Send(0, "k", "close").Ok());
@@ -191,10 +191,10 @@
   EXPECT_EQ(mFleet.Runs("large"), 1);
 }
 
-// An order ran, its answer was lost on the way, and the caller sends it again
-// when its tenant is over its rate. "Over its rate, not run" would have it
-// send the order once more under another key: the order is looked up first,
-// and the kept answer costs no tokens.
+// An order ran, its answer was lost, and the caller retries when its tenant is
+// over its rate. The answer "over the rate, not run" would make it send the
+// order again under another key. The claim is therefore looked up first, and
+// the kept answer costs no tokens.
 TEST(AtMostOnceRate, OrderThatRanIsAnsweredOverTheRate)
 {
   FleetPlan plan;
@@ -218,10 +218,10 @@
   EXPECT_EQ(fleet.Runs("close"), 1);
 }
 
-// Sixteen orders, each tried up to four times at changing instances, while
-// answers are lost at every hop, the platform goes out and instances are
-// killed and replaced, by a fixed seed. Whatever the callers saw: no order
-// ran twice, and none that was said not to have run had.
+// Sixteen orders, each tried up to four times at varying instances, while
+// answers are lost at every hop, the platform fails and instances are killed
+// and replaced, from a fixed seed. No order may run twice, and none that was
+// reported as "not run" may have run.
 TEST_F(AtMostOnce, NoOrderRunsTwiceUnderFaults)
 {
   std::mt19937 random(20261203);
@@ -261,7 +261,7 @@
       }
     }
   }
-  EXPECT_GE(answered, 8); // the trouble doesn't simply stop everything
+  EXPECT_GE(answered, 8); // the faults must not stop everything
 }
 
 } // namespace caraway
--- a/tests/process/BadInputTest.cpp
+++ b/tests/process/BadInputTest.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-// Whatever is sent, the answer is clear, and the next caller is served.
+// Invalid requests get a specific error, and the next caller is still served.
 TEST(BadInput, CallersGetAClearAnswer)
 {
   Fleet fleet({});
@@ -62,8 +62,9 @@
   EXPECT_TRUE(fleet.Chat(0, key, "chat-m0", 1).Ok());
 }
 
-// Eighty connections that say nothing, or half a request, are held open. Others
-// are served all the same; the bound is on connections, not on patience.
+// Eighty connections that send nothing, or half a request, are held open.
+// Guards against idle connections that use up the port: others must still be
+// served.
 TEST(BadInput, IdleConnectionsDontBlockOthers)
 {
   Fleet fleet({});
@@ -81,7 +82,8 @@
   EXPECT_LT(std::chrono::steady_clock::now() - begun, Seconds(3));
 }
 
-// Peers and administration are not open to whoever can reach the port.
+// Guards against peer and administration ports that answer anyone who can reach
+// them.
 TEST(BadInput, PeerAndAdminPortsRequireAKey)
 {
   Fleet fleet({});
@@ -97,7 +99,7 @@
       .mStatus,
     401);
   EXPECT_TRUE(fleet.Call(admin, "GET", "/healthz").Ok());
-  // With the secret, nonsense is an error and no more.
+  // With the secret, a malformed call must only cause an error.
   Json::Value nonsense(Json::arrayValue);
   fleet.Call(peer, "POST", "/rpc", nonsense, "0123456789abcdef");
   Json::Value wrong;
--- a/tests/process/BriefingTest.cpp
+++ b/tests/process/BriefingTest.cpp
@@ -40,9 +40,9 @@
 
 } // namespace
 
-// A planner submits briefings while no engine can serve, and is told that they
-// are accepted. Then every instance dies. New ones find what is owed, run it,
-// and the results are there for the planner, and for nobody else.
+// Briefings are accepted while no engine can serve them, then all instances are
+// killed. Guards against losing accepted briefings: new instances must find and
+// run them, and only the tenant that submitted them may read the results.
 TEST(Briefings, SurviveAllInstances)
 {
   FleetPlan plan;
@@ -73,9 +73,10 @@
   }
 }
 
-// The platform can't keep a briefing: it isn't acknowledged. An answer of the
-// platform that is lost is found again, and the briefing acknowledged. One
-// whose key is withdrawn before it ran ends with a refusal that can be read.
+// A briefing that the platform can't store must not be acknowledged. If only
+// the platform's answer is lost, the write is found again and the briefing is
+// acknowledged. A briefing whose key is withdrawn before it runs ends with a
+// refusal that can be fetched.
 TEST(Briefings, AcknowledgedOnlyWhenKept)
 {
   FleetPlan plan;
--- a/tests/process/CompleteAnswerTest.cpp
+++ b/tests/process/CompleteAnswerTest.cpp
@@ -29,10 +29,10 @@
 class CompleteAnswer : public testing::TestWithParam<const char*>
 {};
 
-// The engine cuts the stream, sends another request's token, leaves one out,
-// sends one twice, or ends early as if all were said. The caller sees the whole
-// answer, each token once: what was good is kept, and the rest is generated
-// elsewhere or again, after it.
+// The engine cuts the stream, sends another request's token, skips one, sends
+// one twice, or ends early with an end marker. The caller must get the complete
+// answer with each token once: correct tokens are kept and generation resumes
+// after them.
 TEST_P(CompleteAnswer, BrokenStreamsAreResumed)
 {
   FleetPlan plan;
@@ -62,8 +62,9 @@
                            return std::string(aInfo.param);
                          });
 
-// Both engines die in the middle of a stream. The caller gets what came, then
-// an error event, and no end marker: a short answer never looks complete.
+// The only engine dies during a stream. The caller must get the tokens so far
+// and an error event, and no end marker: a short answer must never look
+// complete.
 TEST(CompleteAnswerLost, ErrorEventInPlaceOfTheEnd)
 {
   FleetPlan plan;
--- a/tests/process/ConfigTest.cpp
+++ b/tests/process/ConfigTest.cpp
@@ -39,9 +39,9 @@
 
 } // namespace
 
-// A key is withdrawn while its caller is being streamed to. The stream ends
-// with an error event within seconds, and new requests are refused on every
-// instance; other keys go on.
+// A key is withdrawn during a stream. The stream must end with an error event
+// within seconds, and every instance must refuse new requests; other keys still
+// work.
 TEST(Keys, WithdrawnWhileStreaming)
 {
   FleetPlan plan;
@@ -69,9 +69,9 @@
   }
 }
 
-// A key is withdrawn while its caller waits for a model to be loaded. The
-// caller is refused within seconds and not at the load's end, and nothing runs
-// for it; another tenant's caller, who waits for the same load, is served.
+// A key is withdrawn while its caller waits for a model load. The caller must
+// be refused within seconds instead of at the end of the load, and nothing may
+// run for it; another tenant's caller waiting for the same load is served.
 TEST(Keys, WithdrawnWhileWaiting)
 {
   FleetPlan plan;
@@ -102,8 +102,8 @@
   EXPECT_EQ(fleet.EngineState(0)["audit"]["generated"].asInt(), 1);
 }
 
-// One zone can't reach the platform; its peers in the other zone can. A change
-// gets there all the same, by them.
+// One zone can't reach the platform, but its peers in the other zone can. A
+// change must reach it through them.
 TEST(Config, ReachesAZoneCutOffFromThePlatform)
 {
   Fleet fleet(Plan());
@@ -113,9 +113,9 @@
   EXPECT_TRUE(fleet.AwaitRevision(revision, Seconds(9)));
 }
 
-// The platform gives reads from before the change for a while, and an instance
-// is started anew in the middle. Seen from outside, no instance ever goes back
-// to an earlier revision, and all get to the newest.
+// The platform answers reads with the state before a change for a while, and an
+// instance is restarted in between. Guards against a return to an earlier
+// revision; all instances must reach the newest.
 TEST(Config, NeverGoesBack)
 {
   Fleet fleet({});
@@ -134,8 +134,9 @@
   fleet.PlatformFault("stale_ms", 700);
   int64_t revision = 1;
   for (int i = 0; i < 4; ++i) {
-    // The administration reads what is in force: it may be shown a stale one
-    // and is then refused, which is what a second operator would be.
+    // The administration port reads the configuration from the platform and may
+    // get a stale one; its change is then refused, as a second operator's would
+    // be.
     Eventually(Seconds(5), [&] {
       try {
         revision = fleet.Configure([&](Json::Value& aConfig) {
@@ -159,8 +160,8 @@
   EXPECT_EQ(reverts, 0);
 }
 
-// An instance is started while the platform is out. It takes the configuration
-// from a peer and is not ready before that; it then knows every key.
+// An instance starts during a platform outage. It must take the configuration
+// from a peer, and then knows every key.
 TEST(Config, NewInstanceStartsInAnOutage)
 {
   Fleet fleet({});
@@ -176,8 +177,8 @@
   EXPECT_EQ(fleet.Call(caller, "GET", "/v1/models", {}, "wrong").mStatus, 401);
 }
 
-// A zone cut off from everything goes on serving the keys it knows, for the
-// time the operator set, and then refuses and says why; mended, it serves
+// A zone isolated from everything keeps serving the keys it knows for the
+// configured time and then refuses with a reason; after the partition it serves
 // again.
 TEST(Keys, CutZoneServesForAsLongAsIsSet)
 {
@@ -202,8 +203,8 @@
   EXPECT_TRUE(Eventually(Seconds(9), [&] { return status() == 200; }));
 }
 
-// Two operators change the same revision. One is told what the other did, and
-// nothing of the first one's change is lost.
+// Two operators change the same revision. The second must be refused with the
+// first one's note, and the first change must not be lost.
 TEST(Config, OperatorsRacing)
 {
   Fleet fleet({});
--- a/tests/process/HomeZoneTest.cpp
+++ b/tests/process/HomeZoneTest.cpp
@@ -20,7 +20,7 @@
   return plan;
 }
 
-// Profiles of models whose home is aZone.
+// Profiles of models whose home zone is aZone.
 std::vector<std::string>
 ProfilesWithHomeIn(const Fleet& aFleet, const std::string& aZone)
 {
@@ -36,9 +36,9 @@
 
 } // namespace
 
-// First requests for one cold model burst in both zones. Each zone's owner
-// would load it, and both replicas would idle afterwards; the home loads it,
-// and all wait for that.
+// First requests for one cold model arrive in both zones at once. Guards
+// against a load in each zone, one of which would then be idle: the home zone
+// loads the model and all requests wait for it.
 TEST(HomeZones, BurstInAllZonesMakesOneLoad)
 {
   Fleet fleet(Plan());
@@ -54,11 +54,10 @@
   EXPECT_EQ(fleet.EngineAudit("loads"), 1);
 }
 
-// The home zone is cut off. Callers elsewhere get their answers from a replica
-// in their own zone. Were each model and each instance to find out for itself
-// that the home is silent, each would be late by an owner's time; the one that
-// found it and the model's owner both know, so that with three instances it is
-// found twice at most.
+// The home zone is unreachable, and callers elsewhere are served by a replica
+// in their own zone. Guards against each model and each instance finding out
+// separately, each at the cost of an owner's timeout. The instance that found
+// it and the model's owner both know, so three instances find it twice at most.
 TEST(HomeZones, PartitionedHomeZoneIsDetectedOnce)
 {
   FleetPlan plan = Plan();
@@ -83,8 +82,8 @@
   EXPECT_EQ(fleet.EngineAudit("loads"), static_cast<int>(homeProfiles.size()));
 }
 
-// A replica that the home has is used from everywhere until the home is lost;
-// its engine's process dies with requests to come.
+// A replica in the home zone serves all zones until it is lost: its engine is
+// killed before the next request.
 TEST(HomeZones, WarmReplicaInHomeZoneServesOtherZones)
 {
   Fleet fleet(Plan());
@@ -100,9 +99,9 @@
   EXPECT_EQ(fleet.EngineState(1)["audit"]["loads"].asInt(), 1);
 }
 
-// The instance that owns the model at its home dies. The other one there is
-// asked; taken for the loss of the zone, one death would make the home's models
-// cold for everyone else.
+// The instance that owns the model in its home zone dies. Guards against
+// treating one death as the loss of the zone, which would make all its models
+// cold for other zones: the other instance there must be asked.
 TEST(HomeZones, OneInstanceDeathDoesNotLoseTheHomeZone)
 {
   Fleet fleet(Plan());
@@ -115,10 +114,10 @@
   EXPECT_EQ(fleet.EngineState(1)["audit"]["loads"].asInt(), 0);
 }
 
-// A zone is busy with a model that is at home elsewhere, and its own models
-// were used seconds ago. A replica of its own would evict one of them, which
-// would be cold a moment later and evict in turn; without room it is done
-// without.
+// A zone gets many requests for a model whose home is elsewhere, while its own
+// models were used seconds ago. Guards against evicting one of those for an
+// optional replica: they would evict each other in turn. Without free memory
+// the replica must not be loaded.
 TEST(HomeZones, BusyZoneEvictsNothingInUse)
 {
   FleetPlan plan = Plan();
@@ -132,7 +131,7 @@
        { ownProfiles[0], ownProfiles[1], busyProfile }) {
     EXPECT_TRUE(fleet.Chat(2, fleet.mKeys["acme"], profile, 1).Ok());
   }
-  std::this_thread::sleep_for(Millis(2200)); // else none could be evicted
+  std::this_thread::sleep_for(Millis(2200)); // before that, none may be evicted
   for (int i = 0; i < 80; ++i) {
     EXPECT_TRUE(fleet.Chat(2, fleet.mKeys["acme"], busyProfile, 1).Ok());
   }
@@ -142,8 +141,7 @@
   EXPECT_EQ(fleet.EngineAudit("loads"), 3);
 }
 
-// A zone whose engines have all been taken out serves its callers from the
-// other.
+// A zone whose engines were all removed serves its callers from the other zone.
 TEST(HomeZones, ZoneWithoutEnginesServesFromTheOther)
 {
   Fleet fleet(Plan());
--- a/tests/process/InTimeTest.cpp
+++ b/tests/process/InTimeTest.cpp
@@ -7,11 +7,10 @@
 
 namespace caraway {
 
-// One large tenant floods the model with briefings from all instances, far
-// more than the engine can serve. Bulletins of a small tenant for the same
-// model keep being served in their time: they pass the queue, and a place is
-// kept from the briefings. What is refused of the flood is refused with when
-// to come back.
+// One large tenant floods a model with briefings from all instances, far more
+// than the engine can serve. A small tenant's bulletins for the same model must
+// be served within their deadline: they pass the queue, and an engine slot is
+// reserved from briefings. Refused briefings must carry a retry-after time.
 TEST(InTime, BulletinsAreServedDuringABriefingFlood)
 {
   FleetPlan plan;
@@ -72,8 +71,8 @@
   RecordProperty("worst_ms", static_cast<int>(worst * 1000));
 }
 
-// All engines are gone. Every request is refused at once and says when to come
-// back; none waits for its deadline, half a minute away.
+// All engines are down. Every request must be refused at once with a
+// retry-after time instead of waiting for its deadline half a minute later.
 TEST(InTime, RefusedAtOnceWhenAllEnginesAreDown)
 {
   FleetPlan plan;
@@ -113,10 +112,10 @@
 
 } // namespace
 
-// A large tenant's chat fills the engine, which then slows to a tenth. What it
-// has begun goes on for seconds and can't be put aside. Bulletins of a small
-// tenant are served in their time or refused at once, with when to come back;
-// none is held until its time is over, and most are served.
+// A large tenant's chat fills the engine, which then slows to a tenth, and
+// requests already running can't be interrupted. A small tenant's bulletins
+// must be served within their deadline or refused at once with a retry-after
+// time; none may be held until the deadline, and most must be served.
 TEST(InTime, BulletinsOnASlowedEngine)
 {
   Fleet fleet(OneEngine());
@@ -149,7 +148,7 @@
       EXPECT_FALSE(reply.Header("retry-after").empty()) << reply.mBody;
       EXPECT_EQ(JsonParseOrEmpty(reply.mBody)["run"].asString(), "not_run");
     }
-    EXPECT_LT(took, 1.4 + 0.3) << reply.mStatus; // and one slow token
+    EXPECT_LT(took, 1.4 + 0.3) << reply.mStatus; // plus one slow token
     std::this_thread::sleep_for(Millis(60));
   }
   ending = true;
@@ -161,9 +160,10 @@
   std::printf("served %d, refused %d of 40\n", served, refused);
 }
 
-// A burst of chat, several times what can be served in time. Those refused
-// come back when they were told, once, and most are served then. Told the
-// length of the queue as it stands, all would come back at one moment.
+// A burst of chat is several times what can be served in time. Refused requests
+// retry once at their retry-after time, and most must be served then. Guards
+// against a retry-after time equal to the length of the queue, which would make
+// all of them retry at the same moment.
 TEST(InTime, MostOfABurstAreServedOnRetry)
 {
   Fleet fleet(OneEngine());
@@ -176,7 +176,7 @@
   std::vector<std::thread> burst;
   for (size_t i = 0; i < 150; ++i) {
     burst.emplace_back([&, i] {
-      // Another length each: what comes back is known by what it asks.
+      // Lengths differ, because a retry is recognised by its content.
       int tokens = 30 + static_cast<int>(i % 20);
       std::string key = fleet.mKeys[i % 2 ? "acme" : "globex"];
       HttpReply reply = fleet.Chat(i % 3, key, "chat-m0", tokens);
@@ -193,7 +193,7 @@
   for (std::thread& thread : burst) {
     thread.join();
   }
-  std::printf("first %d, back %d, then %d\n",
+  std::printf("served at first %d, retried %d, served on retry %d\n",
               first.load(),
               retried.load(),
               servedOnRetry.load());
--- a/tests/process/LeavingTest.cpp
+++ b/tests/process/LeavingTest.cpp
@@ -15,8 +15,9 @@
 
 namespace {
 
-// Callers behind a balancer: they go to instances that are ready, and on when
-// a connection is refused. Whatever was sent must be answered whole.
+// Callers behind a balancer: they use instances that are ready and go to
+// another one if a connection is refused. Whatever was sent must get a complete
+// answer.
 class Callers
 {
 public:
@@ -59,7 +60,7 @@
                                        : mFleet.OrderCall(at, key, body, body);
       mAnswered += reply.Ok() ? 1 : 0;
       mCut += !reply.Ok() && reply.mStage != HttpStage::NotSent ? 1 : 0;
-      // Within an instance's budget of platform calls.
+      // Stays within an instance's budget of platform calls.
       std::this_thread::sleep_for(Millis(20));
     }
   }
@@ -69,7 +70,7 @@
   std::vector<std::thread> mThreads;
 };
 
-// Two instances and slow engines; the second one will leave.
+// Two instances and slow engines; the second instance is shut down.
 FleetPlan
 SlowPlan(std::vector<std::string> aSettings)
 {
@@ -93,7 +94,7 @@
   }
 }
 
-// Whether the answer to a caller that would keep its connection lets it.
+// True if the answer to a keep-alive request leaves its connection open.
 bool
 KeepsConnection(Fleet& aFleet, const std::string& aKey)
 {
@@ -130,7 +131,7 @@
          << aBody[0];
     Send(head.str());
   }
-  // The rest of it, and all that comes back.
+  // Sends the rest and returns everything that is received.
   std::string Finish()
   {
     std::string answer;
@@ -166,9 +167,9 @@
 
 } // namespace
 
-// An instance is told to end while it streams, has requests waiting and
-// orders running. It becomes unready, finishes all of it, hands its slots on,
-// and ends with code 0. No caller loses anything.
+// An instance is shut down while it streams, has requests waiting and runs
+// orders. It must report not ready, finish all of it, hand over its share slots
+// and exit with code 0. No caller may lose a request.
 TEST(Leaving, ShutdownUnderLoadCutsNothing)
 {
   FleetPlan plan;
@@ -193,8 +194,8 @@
   EXPECT_EQ(slots, 16);
 }
 
-// A guest is being streamed to when the instance is told to end. The stream
-// ends whole, though nothing new is let in meanwhile.
+// An instance is shut down during a stream. The stream must complete although
+// new requests are refused.
 TEST(Leaving, InFlightStreamCompletes)
 {
   FleetPlan plan;
@@ -216,8 +217,8 @@
   EXPECT_NE(reply.mBody.find("[DONE]"), std::string::npos) << reply.mBody;
 }
 
-// The balancer goes on sending until it has seen that an instance isn't ready.
-// Whatever it sends in that time is served.
+// The balancer keeps sending until it has seen that an instance isn't ready.
+// Requests that arrive in this time must be served.
 TEST(Leaving, ServesDuringTheBalancerLag)
 {
   FleetPlan plan;
@@ -236,11 +237,11 @@
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 0);
 }
 
-// An instance leaves; a long answer keeps it for seconds after the balancer's
-// lag. A caller that still comes isn't served any more. Left in the listener's
-// backlog it would wait for the end and then be reset, with its request sent;
-// it is told at once to ask another. Of an order that may have been sent
-// before, the refusal doesn't say that it never ran.
+// A long answer keeps a leaving instance running for seconds after the
+// balancer's lag. A caller that still connects must be told at once to use
+// another instance. Left in the listen backlog it would wait for the exit and
+// then be reset, with its request sent. The refusal of an order that may have
+// been sent before must not say "not run".
 TEST(Leaving, NewRequestsAreRefusedWhileDraining)
 {
   FleetPlan plan;
@@ -264,14 +265,14 @@
   EXPECT_FALSE(reply.Header("retry-after").empty());
   reply = fleet.OrderCall(1, key, "k1", "sent before, elsewhere");
   EXPECT_EQ(JsonParseOrEmpty(reply.mBody)["run"].asString(), "may_have_run");
-  EXPECT_TRUE(fleet.mInstances[1]->Running()); // with the slow one
+  EXPECT_TRUE(fleet.mInstances[1]->Running()); // serving the slow request
   caller.join();
   EXPECT_TRUE(slow.Ok()) << slow.mError;
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 0);
 }
 
-// An engine is taken out of the configuration while it serves. What it is
-// serving ends whole; a second later it gets nothing new.
+// An engine is removed from the configuration while it serves. Its current
+// request must complete, and one second later it must get no new ones.
 TEST(Leaving, RemovedEndpointGetsNoNewWork)
 {
   FleetPlan plan;
@@ -307,7 +308,8 @@
   EXPECT_EQ(fleet.EngineState(leaving)["audit"]["generated"].asInt(), before);
 }
 
-// Guards against: what the time limit cuts gets no last answer, or a late one.
+// Guards against requests cut off by the time limit that get no last answer, or
+// a late one.
 TEST(Leaving, RequestsCutByTheLimitAreAnswered)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 200", "limit_s = 2" }));
@@ -332,7 +334,7 @@
   }
   EXPECT_LT(std::chrono::steady_clock::now() - begun, Millis(2200));
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 1);
-  // The platform's timeout more: handing the shares on takes a call.
+  // Plus the platform's timeout, since handing over the shares takes a call.
   EXPECT_LT(std::chrono::steady_clock::now() - begun, Millis(3200));
   EXPECT_EQ(whole.mStatus, 503) << whole.mError;
   EXPECT_EQ(RunOf(whole), "may_have_run");
@@ -342,7 +344,8 @@
   EXPECT_NE(stream.mBody.find("event: error"), std::string::npos);
 }
 
-// Guards against: a kept connection is closed under its caller's next request.
+// Guards against closing a kept connection while its caller sends the next
+// request.
 TEST(Leaving, AnswersCloseTheirConnections)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 3000" }));
@@ -356,7 +359,7 @@
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 0);
 }
 
-// Guards against: a signal other than the first SIGTERM ends it at once.
+// Guards against an immediate exit on a signal other than the first SIGTERM.
 TEST(Leaving, OtherSignalsCutNothing)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 200" }));
@@ -377,8 +380,8 @@
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 0);
 }
 
-// Guards against: a request that is whole only late is begun, for the end to
-// cut.
+// Guards against starting a request that was received completely only shortly
+// before the time limit, which would cut it off.
 TEST(Leaving, LateCompletedRequestIsNotStarted)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 500", "limit_s = 2" }));
@@ -399,7 +402,7 @@
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 0);
 }
 
-// Guards against: peers that don't answer hold up the last answers.
+// Guards against unresponsive peers that delay the last answers.
 TEST(Leaving, FrozenPeersDontDelayShutdown)
 {
   FleetPlan plan = SlowPlan({ "[shutdown]", "lag_ms = 200", "limit_s = 2" });
@@ -423,7 +426,7 @@
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 1);
 }
 
-// Guards against: an operator's request under way is dropped at the end.
+// Guards against dropping an operator's request in flight at shutdown.
 TEST(Leaving, InFlightAdminRequestIsAnswered)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 200" }));
@@ -439,7 +442,7 @@
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 0);
 }
 
-// Guards against: a call is sent again so late that the end cuts the repeat.
+// Guards against a retry so late that the shutdown would cut it off.
 TEST(Leaving, RetryPastTheLimitIsNotSent)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 200", "limit_s = 3" }));
--- a/tests/process/PlacementTest.cpp
+++ b/tests/process/PlacementTest.cpp
@@ -40,8 +40,8 @@
   return names;
 }
 
-// Watches from outside while a test runs: counts replicas that an engine held
-// before and after a look at the record that didn't have them.
+// Checks from outside while a test runs: counts replicas that an engine held
+// both before and after the placement record was read without them.
 class Auditor
 {
 public:
@@ -102,7 +102,8 @@
 } // namespace
 
 // First requests for one cold model reach all instances of a zone at once.
-// Each asks the model's owner; one load is decided, and all wait on it.
+// Guards against one load per instance: each asks the model's owner, which
+// decides on one load, and all wait for it.
 TEST(Placement, BurstMakesOneLoad)
 {
   FleetPlan plan;
@@ -122,9 +123,9 @@
   EXPECT_EQ(fleet.EngineAudit("loads"), 1);
 }
 
-// The instance that decided a load is killed while the engine is loading. The
-// decision stands at the platform; whoever asks next finishes it and doesn't
-// decide a second time.
+// The instance that decided a load is killed while the engine loads. The
+// decision is stored at the platform, so the next instance must finish this
+// load instead of deciding on a second one.
 TEST(Placement, DeciderKilledWhileLoading)
 {
   FleetPlan plan;
@@ -148,9 +149,9 @@
   first.wait();
 }
 
-// The owner is frozen after it decided. The others give up on it, load and go
-// on; when it thaws it finds its decision old and orders nothing by it. The
-// engine's memory was never overcommitted.
+// The owner is frozen after it decided a load, and the others take over and
+// load models. When it resumes, it must find its decision outdated and order
+// nothing. The engine's memory must never be overcommitted.
 TEST(Placement, FrozenOwnerOrdersNothingAfterThaw)
 {
   FleetPlan plan;
@@ -184,11 +185,11 @@
 class PlacementUnderFaults : public testing::TestWithParam<bool>
 {};
 
-// Four models want the memory of two engines of a zone, from three instances
-// at once, while order answers are lost, the platform loses answers or goes
-// out, and instances are killed and frozen, by a fixed seed. At no look from
-// outside does an engine hold what isn't decided, and never more bytes than
-// its memory, whether it checks fencing numbers or not.
+// Four models compete for the memory of two engines, from three instances at
+// once, while answers to orders are lost, the platform fails or loses answers,
+// and instances are killed and frozen, from a fixed seed. At no time may an
+// engine hold what wasn't decided or more bytes than its memory, whether it
+// checks fencing numbers or not.
 TEST_P(PlacementUnderFaults, NeverMoreThanDecided)
 {
   FleetPlan plan;
--- a/tests/process/ShareTest.cpp
+++ b/tests/process/ShareTest.cpp
@@ -12,8 +12,9 @@
 
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-// Callers at the given instances, each once in aPeriod or as fast as it is
-// answered; counts what was let in. Each call costs one token.
+// Callers at the given instances, each sending one request per aPeriod or as
+// fast as it is answered; counts admitted requests. Each request costs one
+// token.
 class Load
 {
 public:
@@ -80,10 +81,10 @@
 
 } // namespace
 
-// One tenant calls at several times its rate at all instances, while a zone is
-// cut off and mended, the platform goes out, one instance is frozen and thawed
-// and one is killed and started again. Over the whole time it is let in no
-// more often than burst + rate x time, and it is let in throughout.
+// One tenant sends several times its rate to all instances while a zone is
+// partitioned, the platform fails, one instance is frozen and resumed and one
+// is killed. Over the whole time no more than burst + rate x time may be
+// admitted, and some must be admitted throughout.
 TEST(Share, RateAndBurstHoldUnderFaults)
 {
   const double rate = 40;
@@ -105,7 +106,7 @@
             0);
   EXPECT_GT(admittedDuring([&] {
               fleet.PlatformFault("outage", "refuse");
-              std::this_thread::sleep_for(Millis(5000)); // beyond a lease
+              std::this_thread::sleep_for(Millis(5000)); // longer than a lease
               EXPECT_GT(admittedDuring(wait), 0);
               fleet.PlatformFault("outage", "");
             }),
@@ -120,14 +121,14 @@
   EXPECT_GT(load.mRefused, load.mAdmitted);
 }
 
-// All of a tenant's calls reach one instance of one zone, at well under its
-// rate. Its part there runs dry, the other zone's lies idle: the tokens are
-// fetched from there, and nothing is refused.
+// All calls of a tenant reach one instance of one zone, well below its rate.
+// This zone's share runs out while the other zone's is unused; tokens must be
+// borrowed from there, and nothing may be refused.
 TEST(Share, LoadAtOneInstanceIsNotRefused)
 {
   Fleet fleet(Plan(320, 320));
-  // At most 270 a second, however fast the machine is: of 160 that are the
-  // zone's and 320 in all.
+  // Limited to 270 per second on any machine: above the zone's 160 and below
+  // the total of 320.
   Load load(fleet, { 2 }, Micros(3700));
   std::this_thread::sleep_for(Millis(4000));
   load.Stop();
--- a/tests/process/StoreGateTest.cpp
+++ b/tests/process/StoreGateTest.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A zone's loss in small: many models wake at once in both zones, and a
-// bulletin's model after them.
+// A zone's loss on a small scale: many models are requested at once in both
+// zones, and a bulletin's model after them.
 class ColdStartFleet : public ::testing::Test
 {
 protected:
@@ -56,9 +56,9 @@
 
 } // namespace
 
-// Fourteen loads begin at once; the store would slow all of them, and the
-// bulletin that comes a moment later with them. Four go at a time, and the
-// bulletin's model before all that still wait.
+// Fourteen loads are requested at once and would slow each other, and the
+// bulletin's load that comes next, at the store. Four may run at a time, and
+// the bulletin's model must load before all that still wait.
 TEST_F(ColdStartFleet, UrgentModelLoadsBeforeWaitingOnes)
 {
   StartColdRequests();
@@ -78,9 +78,10 @@
   EXPECT_LT(at, 10u) << store["order"];
 }
 
-// The zones can't reach each other, only the platform. Each goes on with its
-// part of the store's limit instead of waiting for a gate it can't ask. Until
-// all have noticed the cut there may be two gates with the whole limit.
+// The zones can reach the platform but not each other. Each must continue with
+// its part of the store's limit instead of waiting for a gate that it can't
+// reach. Until all have noticed the partition there may be two gates with the
+// full limit.
 TEST_F(ColdStartFleet, PartitionedZonesUseTheirParts)
 {
   mFleet.CutZone("uspallata-b", true);
--- a/tests/support/Child.cpp
+++ b/tests/support/Child.cpp
@@ -40,7 +40,7 @@
   arguments.push_back(nullptr);
   int pipeEnds[2];
   if (pipe2(pipeEnds, O_CLOEXEC) != 0) {
-    throw std::runtime_error("no pipe");
+    throw std::runtime_error("can't create a pipe");
   }
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
--- a/tests/support/Child.h
+++ b/tests/support/Child.h
@@ -1,4 +1,4 @@
-// Child.h: a process under test.
+// Child.h: a child process under test.
 #ifndef caraway_tests_Child_h
 #define caraway_tests_Child_h
 
@@ -9,8 +9,8 @@
 
 namespace caraway {
 
-// Started in the constructor, which waits for its line of addresses. Ended by
-// id in the destructor.
+// The constructor starts the process and waits for its line of addresses; the
+// destructor kills it by its id.
 class Child
 {
 public:
@@ -23,11 +23,11 @@
 
   const Json::Value& Addresses() const { return mAddresses; }
   std::string Address(const char* aName = "address") const;
-  void Kill();      // SIGKILL, and waits
+  void Kill();      // SIGKILL; waits for the exit
   void Stop();      // SIGSTOP
   void Continue();  // SIGCONT
   void Terminate(); // SIGTERM; see Wait
-  int Wait();       // exit code; -1 = by a signal
+  int Wait();       // exit code; -1 if killed by a signal
   bool Running() const { return mPid > 0; }
   pid_t Pid() const { return mPid; }
 
--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -23,7 +23,7 @@
 {
   char name[] = "/tmp/caraway-fleet-XXXXXX";
   if (!mkdtemp(name)) {
-    throw std::runtime_error("no temporary folder");
+    throw std::runtime_error("can't create a temporary folder");
   }
   return name;
 }
@@ -81,15 +81,16 @@
                              reply.mError);
   }
   if (!AwaitRevision(1, kStartTime)) {
-    throw std::runtime_error("the first revision doesn't get everywhere");
+    throw std::runtime_error("the first revision did not reach every instance");
   }
-  // What a balancer would wait for, and every slot has its holder.
+  // Waits until all instances are ready, as a balancer would, and every share
+  // slot has a holder.
   bool slotsHeld = Eventually(kStartTime, [&] {
     int slots = 0;
     for (size_t i = 0; i < mInstances.size(); ++i) {
       Json::Value status = Status(i);
-      // Every one has its part: the first one's view of the table, in which it
-      // is alone and holds all, doesn't count.
+      // Each instance must hold slots. This excludes the first instance's early
+      // view of the table, in which it is alone and holds all of them.
       if (!status["ready"].asBool() || !status["share_settled"].asBool() ||
           (mZoneOf.size() <= 16 && status["share_slots"].asInt() == 0)) {
         return false;
@@ -99,10 +100,11 @@
     return slots == 16 * static_cast<int>(mPlan.mZones.size());
   });
   if (!slotsHeld) {
-    throw std::runtime_error("the shares aren't held; see " + mFolder);
+    throw std::runtime_error("not all share slots are held; see " + mFolder);
   }
-  // Until all know all, two of them may hold themselves for the owner of one
-  // key. Tests of a fleet that is still meeting start instances themselves.
+  // Until all instances know each other, two of them may both act as the owner
+  // of one key. Tests of a fleet that is still forming start instances
+  // themselves.
   bool allKnown = Eventually(kStartTime, [&] {
     for (size_t i = 0; i < mInstances.size(); ++i) {
       if (Status(i)["fit_instances"].asUInt64() != mInstances.size()) {
@@ -112,13 +114,14 @@
     return true;
   });
   if (!allKnown) {
-    throw std::runtime_error("not all know all; see " + mFolder);
+    throw std::runtime_error("not all instances know each other; see " +
+                             mFolder);
   }
 }
 
 Fleet::~Fleet()
 {
-  // Logs stay only when asked for.
+  // Logs are kept only on request.
   if (!std::getenv("CARAWAY_KEEP_LOGS")) {
     mInstances.clear();
     std::string command = "rm -rf " + mFolder;
@@ -278,8 +281,8 @@
     std::vector<std::string>{ "--config", stem + ".toml" },
     stem + ".log");
   if (mPlan.mProxies) {
-    // The instance says the proxy's address; its own is only in its log of
-    // what it bound.
+    // The instance reports the proxy's address; its own bound address is in
+    // "peer_bound".
     Json::Value mode;
     mode["mode"] = "pass";
     mode["target"] = child->Address("peer_bound");
@@ -332,7 +335,8 @@
   aChange(body["config"]);
   HttpReply reply = Call(admin, "POST", "/admin/v1/config", body, mAdminKey);
   if (!reply.Ok()) {
-    throw std::runtime_error("not accepted: " + reply.mBody + reply.mError);
+    throw std::runtime_error("configuration refused: " + reply.mBody +
+                             reply.mError);
   }
   return JsonParseOrEmpty(reply.mBody)["revision"].asInt64();
 }
--- a/tests/support/Fleet.h
+++ b/tests/support/Fleet.h
@@ -1,4 +1,4 @@
-// Fleet.h: a small fleet of real processes with stand-ins around it.
+// Fleet.h: a small fleet of real processes and the stand-ins around it.
 #ifndef caraway_tests_Fleet_h
 #define caraway_tests_Fleet_h
 
@@ -17,19 +17,19 @@
 struct FleetPlan
 {
   std::vector<std::string> mZones = { "mendoza-a", "uspallata-b" };
-  std::vector<int> mInstances = { 2, 1 }; // by zone
-  int mEngines = 1;                       // a zone
-  int64_t mMemory = 100;                  // of an engine
-  bool mFencing = true;                   // engines check it
-  int mServices = 1;                      // a zone
-  bool mProxies = false;                  // before platform and peer ports
-  bool mServiceProxies = false;           // before services
-  double mRate = 100000;                  // of tenants acme and globex
+  std::vector<int> mInstances = { 2, 1 }; // per zone
+  int mEngines = 1;                       // per zone
+  int64_t mMemory = 100;                  // bytes per engine
+  bool mFencing = true;                   // engines check fencing numbers
+  int mServices = 1;                      // per zone
+  bool mProxies = false;                  // proxies at platform and peer ports
+  bool mServiceProxies = false;           // proxies at services
+  double mRate = 100000;                  // tokens/s of tenants acme and globex
   double mBurst = 100000;
-  int mModels = 4;                       // m0…, of 40 bytes
-  int mWeightsMs = 200;                  // of a load at full speed
-  std::vector<std::string> mEngineFlags; // more flags for engines
-  std::vector<std::string> mSettings;    // more TOML lines, by table
+  int mModels = 4;                       // named m0…, of 40 bytes each
+  int mWeightsMs = 200;                  // duration of a load at full speed
+  std::vector<std::string> mEngineFlags; // additional flags for engines
+  std::vector<std::string> mSettings;    // additional TOML lines for instances
 };
 
 // Tenants acme and globex with keys; profiles chat-mN (models, interactive),
@@ -41,8 +41,8 @@
   explicit Fleet(FleetPlan aPlan);
   ~Fleet();
 
-  // Administration: changes the configuration by aChange and returns the new
-  // revision; waits until it is in force on every running instance.
+  // Changes the configuration by aChange through the administration port and
+  // returns the new revision.
   int64_t Configure(const std::function<void(Json::Value&)>& aChange);
   bool AwaitRevision(int64_t aRevision, Millis aWithin);
   Json::Value Status(size_t aInstance);
@@ -65,15 +65,16 @@
                  const Json::Value& aBody = Json::Value(Json::objectValue),
                  const std::string& aKey = "");
 
-  // Runs of a body, over all services.
+  // Number of runs of a body, over all services.
   int Runs(const std::string& aBody);
   Json::Value EngineState(size_t aEngine);
-  // "loads", "overcommits" and the like, over all engines.
+  // Sum over all engines of a counter such as "loads" or "overcommits".
   int EngineAudit(const char* aCount);
   void PlatformFault(const std::string& aName, const Json::Value& aValue);
   Json::Value PlatformCounters();
   void ProxyMode(Child& aProxy, const Json::Value& aMode);
-  // Cuts zone aZone from the platform and the other zones, or mends it.
+  // Partitions zone aZone from the platform and the other zones, or ends the
+  // partition.
   void CutZone(const std::string& aZone, bool aCut);
 
   std::unique_ptr<Child> StartInstance(size_t aIndex);
@@ -82,7 +83,7 @@
   FleetPlan mPlan;
   std::string mFolder;
   std::string mAdminKey;
-  std::map<std::string, std::string> mKeys; // tenant: key
+  std::map<std::string, std::string> mKeys; // by tenant
   std::unique_ptr<Child> mPlatform;
   std::unique_ptr<Child> mStore;
   std::map<std::string, std::unique_ptr<Child>> mPlatformProxies; // by zone
@@ -99,8 +100,8 @@
   std::string SettingsText(size_t aIndex);
 };
 
-// Looks again every few milliseconds until aTrue holds; false when it doesn't
-// within aWithin. A bound on waiting, never a proof by itself.
+// Polls aTrue every few milliseconds; false if it doesn't hold within aWithin.
+// A limit on waiting only: that it holds in time proves nothing by itself.
 bool
 Eventually(Millis aWithin, const std::function<bool()>& aTrue);
 
--- a/tests/unit/ConfigCodecTest.cpp
+++ b/tests/unit/ConfigCodecTest.cpp
@@ -29,7 +29,8 @@
 
 } // namespace
 
-// An operator's slip is refused whole, with the place, before it is accepted.
+// Guards against accepting an invalid configuration: it must be refused as a
+// whole, with the path of the wrong field.
 TEST(ConfigCodec, InvalidConfigIsReportedWithItsLocation)
 {
   EXPECT_EQ(ErrorAfter("{}"), "");
@@ -49,9 +50,9 @@
             "tenants.acme.rate: expected a number >= 0");
 }
 
-// A model's profile said that its calls must not be repeated, and they were
-// all the same: claims are made for services only. Refused, rather than
-// accepted and not kept.
+// Guards against a model profile that declares its calls non-repeatable and is
+// accepted: claims are made for services only, so the calls would still be
+// repeated.
 TEST(ConfigCodec, NonRepeatableModelProfileIsRejected)
 {
   EXPECT_EQ(ErrorAfter(R"({"profiles":{"repeatable":false}})"),
--- a/tests/unit/EventLogTest.cpp
+++ b/tests/unit/EventLogTest.cpp
@@ -1,4 +1,4 @@
-// Logs never block and stay bounded.
+// The event log never blocks and its memory is bounded.
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -26,7 +26,8 @@
   EXPECT_TRUE(line["f"].asBool());
 }
 
-// One event floods: the others keep their lines, and what was left out is told.
+// Guards against one frequent event that displaces others; the dropped lines
+// must be counted in a line of their own.
 TEST(EventLog, FloodOfOneEventDoesNotDropOthers)
 {
   PausedClock clock;
@@ -42,8 +43,8 @@
   EXPECT_NE(std::string::npos, log.Gathered().find("\"lines\":800"));
 }
 
-// Nobody reads the pipe: writing returns at once, memory stays bounded, and
-// lines flow again when somebody reads.
+// Guards against a pipe that nobody reads: writes must return at once, memory
+// must stay bounded, and lines must flow again after a read.
 TEST(EventLog, FullPipeDoesNotBlock)
 {
   int pipeEnds[2];
@@ -70,8 +71,8 @@
   close(pipeEnds[1]);
 }
 
-// Guards against half a line of a process that ended while nobody read, with
-// the first line of its successor behind it.
+// Guards against a partial line from a process that exited while nobody read,
+// followed by the first line of its successor.
 TEST(EventLog, ExitingProcessLeavesNoPartialLine)
 {
   int pipeEnds[2];
--- a/tests/unit/EventTableTest.cpp
+++ b/tests/unit/EventTableTest.cpp
@@ -1,4 +1,5 @@
-// The operators' page lists every event with its fields, and none besides.
+// docs/OPERATIONS.md must list exactly the events that the code writes, with
+// their fields.
 
 #include <filesystem>
 #include <fstream>
@@ -36,7 +37,7 @@
   return words;
 }
 
-// Every statement that writes a line.
+// Finds every statement that writes a line.
 EventFields
 WrittenEvents()
 {
@@ -78,7 +79,7 @@
       events[event] = MatchesIn(match[2], "([a-z_]+)");
     }
   }
-  events.erase("log_left_out"); // written by the log itself
+  events.erase("log_left_out"); // written by EventLog itself
   return events;
 }
 
@@ -90,11 +91,13 @@
   EventFields listed = ListedEvents();
   ASSERT_GT(written.size(), 20u);
   for (const auto& [event, fields] : written) {
-    EXPECT_EQ(1u, listed.count(event)) << event << " isn't on the page";
+    EXPECT_EQ(1u, listed.count(event))
+      << event << " isn't listed in docs/OPERATIONS.md";
     EXPECT_EQ(fields, listed[event]) << event;
   }
   for (const auto& [event, fields] : listed) {
-    EXPECT_EQ(1u, written.count(event)) << event << " isn't written";
+    EXPECT_EQ(1u, written.count(event))
+      << event << " is listed but never written";
   }
 }
 
--- a/tests/unit/HeartbeatTest.cpp
+++ b/tests/unit/HeartbeatTest.cpp
@@ -13,7 +13,7 @@
 
 const std::string kSecret = "0123456789abcdef";
 
-// A member that counts the beats it gets.
+// A peer that counts the heartbeats it receives.
 struct CountingPeer
 {
   explicit CountingPeer(const std::string& aId)
@@ -72,9 +72,10 @@
 
 } // namespace
 
-// An instance that starts reads the list; the others read it seconds later.
-// Until then they took another for the owner of what the newcomer owns: two
-// gates before the weight store, two queues for one model.
+// A new instance reads the list at once, the others seconds later. Guards
+// against the others taking another instance for the owner of its keys until
+// then, which made two gates in front of the weight store and two queues for
+// one model.
 TEST_F(NewInstance, IsKnownToAllAfterOneRound)
 {
   AddPeers(5);
@@ -84,11 +85,11 @@
   }
   int afterFirstRound = HeartbeatsReceived();
   mHeartbeat.Round();
-  EXPECT_EQ(HeartbeatsReceived(), afterFirstRound + 1); // the usual one
+  EXPECT_EQ(HeartbeatsReceived(), afterFirstRound + 1); // the regular one
 }
 
-// In a large fleet that is replaced whole, each greeting all would be the
-// square of its size.
+// Guards against a cost that grows with the square of the fleet when a large
+// fleet is replaced as a whole and each new instance contacts all others.
 TEST_F(NewInstance, GreetsNoMoreThanSixteen)
 {
   AddPeers(20);
--- a/tests/unit/LossReportTest.cpp
+++ b/tests/unit/LossReportTest.cpp
@@ -1,4 +1,4 @@
-// Where requests were lost, from recorded lines.
+// Lost requests are reported from recorded log lines.
 
 #include <gtest/gtest.h>
 
@@ -57,7 +57,7 @@
     report.Text().find("acme: 1 s, admitted 0.50 of the rate, requested 2.00"));
 }
 
-// Guards against a report that ends at a torn or foreign line.
+// Guards against a report that stops at an incomplete or foreign line.
 TEST(LossReport, UnreadableLinesAreCountedAndSkipped)
 {
   LossReport report;
--- a/tests/unit/RequestStoryTest.cpp
+++ b/tests/unit/RequestTraceTest.cpp
@@ -1,4 +1,4 @@
-// One request's story from the logs of several instances, whose clocks differ.
+// One request is traced through the logs of instances whose clocks differ.
 
 #include <gtest/gtest.h>
 
@@ -28,8 +28,8 @@
 
 } // namespace
 
-// The holder's clock is 700 ms ahead: by time alone the load would have ended
-// after the request that waited for it was sent.
+// The lease holder's clock is 700 ms ahead. Ordered by time alone, the load
+// would end after the request that waited for it was sent.
 TEST(RequestTrace, OrdersCausesBeforeEffectsDespiteClockSkew)
 {
   RequestTrace trace("r1");
--- a/tests/unit/SettingsTest.cpp
+++ b/tests/unit/SettingsTest.cpp
@@ -37,8 +37,9 @@
   EXPECT_EQ(ErrorOf(kValidSettings), "");
 }
 
-// An operator's slip is told with file, line and what was expected, before
-// anything starts. Taken in silence, it would run with a default instead.
+// Guards against invalid settings that are ignored, so that the instance runs
+// with defaults: the error must name file, line and what was expected before
+// anything starts.
 TEST(Settings, InvalidSettingsAreReportedWithTheirLine)
 {
   EXPECT_EQ(ErrorOf(kValidSettings + "[keys]\nmax_age = 3\n"),
@@ -55,8 +56,8 @@
             std::string::npos);
 }
 
-// A zone that shares models with one that doesn't exist, or not with itself,
-// would load nothing where it is sent.
+// Guards against a list of near zones that names an unknown zone or omits the
+// instance's own: models would be requested where nothing loads them.
 TEST(Settings, NearZonesAreKnownAndIncludeOwnZone)
 {
   auto near = [](const std::string& aZones) {
