--- a/tests/soak/EntryProcess.cpp
+++ b/tests/soak/EntryProcess.cpp
@@ -31,16 +31,16 @@
 EntryProcess::Start()
 {
   std::string settings = "--settings=" + mSettings;
-  char* words[] = { mProgram.data(), settings.data(), nullptr };
+  char* arguments[] = { mProgram.data(), settings.data(), nullptr };
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
   posix_spawn_file_actions_addopen(
     &actions, 1, mLog.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   posix_spawn_file_actions_adddup2(&actions, 1, 2);
-  int failed =
-    posix_spawn(&mPid, mProgram.c_str(), &actions, nullptr, words, environ);
+  int spawnError =
+    posix_spawn(&mPid, mProgram.c_str(), &actions, nullptr, arguments, environ);
   posix_spawn_file_actions_destroy(&actions);
-  if (failed != 0) {
+  if (spawnError != 0) {
     mPid = -1;
     throw std::runtime_error("can't start " + mProgram);
   }
--- a/tests/soak/SoakCall.h
+++ b/tests/soak/SoakCall.h
@@ -26,9 +26,9 @@
   TimePoint mSent{};
   TimePoint mEnded{}; // whole answer, or end of the connection
   int mStatus = 0;    // 0 = no head came
-  bool mWhole = false;
+  bool mComplete = false;
   bool mConnected = false;
-  bool mLeft = false; // its caller closed the connection
+  bool mCallerLeft = false; // its caller closed the connection
   std::string mBody;
 };
 
--- a/tests/soak/SoakCaller.cpp
+++ b/tests/soak/SoakCaller.cpp
@@ -37,10 +37,10 @@
 }
 
 void
-SoakCaller::Next(Millis aWait)
+SoakCaller::Next(Millis aDelay)
 {
   std::weak_ptr<SoakCaller> weak = weak_from_this();
-  mSite.World().mReactor.After(aWait, [weak] {
+  mSite.TestFleet().mReactor.After(aDelay, [weak] {
     auto self = weak.lock();
     if (self && !self->mSite.Ending() && !self->mCall) {
       self->Send();
@@ -53,9 +53,9 @@
 {
   mInstance = aInstance;
   mRequestsOnConnection = 0;
-  EntryTestFleet& world = mSite.World();
+  EntryTestFleet& testFleet = mSite.TestFleet();
   mChannel = Channel::Connect(
-    world.mReactor, world.CallerAddress(aInstance), Seconds(1));
+    testFleet.mReactor, testFleet.CallerAddress(aInstance), Seconds(1));
   std::weak_ptr<SoakCaller> weak = weak_from_this();
   Channel::Events events;
   events.mConnected = [weak] {
@@ -90,15 +90,15 @@
       { wire::kModel, "m" + std::to_string(model(mSite.Random())) });
     fields.push_back({ wire::kTokens, "20,30" });
   }
-  return mSite.World().RequestText(PathOf(aCall.mKind), aCall.mId, fields);
+  return mSite.TestFleet().RequestText(PathOf(aCall.mKind), aCall.mId, fields);
 }
 
 void
 SoakCaller::Send()
 {
-  bool kept = mChannel && mChannel->Open();
+  bool reuses = mChannel && mChannel->Open();
   std::optional<size_t> instance =
-    kept ? std::optional<size_t>(mInstance) : mSite.Pick();
+    reuses ? std::optional<size_t>(mInstance) : mSite.Pick();
   if (!instance) {
     Next(Millis(200));
     return;
@@ -108,16 +108,16 @@
   call.mInstance = *instance;
   call.mKind = static_cast<SoakKind>(
     std::uniform_int_distribution<int>(0, 3)(mSite.Random()));
-  call.mSent = mSite.World().mClock.Now();
-  if (!kept) {
+  call.mSent = mSite.TestFleet().mClock.Now();
+  if (!reuses) {
     Connect(*instance);
   }
-  call.mConnected = kept;
+  call.mConnected = reuses;
   call.mRequestsOnConnection = mRequestsOnConnection++;
   mCall = &call;
   mChannel->Write(TextOf(call));
   std::weak_ptr<SoakCaller> weak = weak_from_this();
-  mSite.World().mReactor.After(kDeadline + kOverdue, [weak, sent = &call] {
+  mSite.TestFleet().mReactor.After(kDeadline + kOverdue, [weak, sent = &call] {
     if (auto self = weak.lock()) {
       self->OnTimeUp(sent);
     }
@@ -143,7 +143,7 @@
     mCall->mStatus = mHead->mStatus;
   }
   if (mReader->Take(input, mCall->mBody) && mReader->Done()) {
-    mCall->mWhole = true;
+    mCall->mComplete = true;
     Finish(*mCall, mHead->mKeepAlive);
   }
 }
@@ -151,7 +151,7 @@
 void
 SoakCaller::Finish(SoakCall& aCall, bool aKeep)
 {
-  aCall.mEnded = mSite.World().mClock.Now();
+  aCall.mEnded = mSite.TestFleet().mClock.Now();
   mCall = nullptr;
   mHead.reset();
   mReader.reset();
@@ -175,7 +175,7 @@
 SoakCaller::OnTimeUp(const SoakCall* aCall)
 {
   if (mCall == aCall) {
-    mCall->mLeft = true;
+    mCall->mCallerLeft = true;
     Finish(*mCall, false);
   }
 }
--- a/tests/soak/SoakCaller.h
+++ b/tests/soak/SoakCaller.h
@@ -21,7 +21,7 @@
   virtual ~SoakSite() = default;
   // An instance that the balancer takes for ready; none = no such instance.
   virtual std::optional<size_t> Pick() = 0;
-  virtual EntryTestFleet& World() = 0;
+  virtual EntryTestFleet& TestFleet() = 0;
   virtual std::mt19937& Random() = 0;
   virtual SoakCall& NewCall() = 0; // stays where it is
   virtual bool Ending() const = 0;
@@ -31,8 +31,8 @@
 {
 public:
   SoakCaller(SoakSite& aSite, std::string aTenant);
-  // Sends the next request within aWait.
-  void Next(Millis aWait);
+  // Sends the next request within aDelay.
+  void Next(Millis aDelay);
 
 private:
   void Send();
--- a/tests/soak/SoakChecks.cpp
+++ b/tests/soak/SoakChecks.cpp
@@ -10,10 +10,10 @@
 
 // A request that was sent as its connection was being closed, and that nobody
 // read, got its close within this.
-constexpr Millis kCrossing{ 200 };
+constexpr Millis kMaxCloseDelay{ 200 };
 
 // Requests of the first part of a leave may be cut in its last sixth.
-constexpr Millis kEarly{ 3000 };
+constexpr Millis kEarlyRequest{ 3000 };
 
 constexpr int kLastPart = 6;
 
@@ -27,10 +27,10 @@
 
 constexpr Millis kWindow{ 8000 };
 
-constexpr double kOverage = 1.1;
+constexpr double kAllowedOverage = 1.1;
 
 // Of those sent once all is calm.
-constexpr double kLeastServed = 0.75;
+constexpr double kMinServedShare = 0.75;
 
 class Checks
 {
@@ -42,25 +42,25 @@
   std::vector<std::string> All()
   {
     for (const SoakCall& call : mRecord.mCalls) {
-      Answered(call);
-      Once(call);
-      RefusalNotRun(call);
-      OwnAnswer(call);
-      OwnTenant(call);
+      CheckAnswered(call);
+      CheckRunsOnce(call);
+      CheckRefusalNotRun(call);
+      CheckOwnAnswer(call);
+      CheckOwnTenant(call);
     }
-    Limit();
-    Recovered();
-    return mBroken;
+    CheckLimit();
+    CheckRecovered();
+    return mViolations;
   }
 
 private:
-  void Break(const char* aRule, const SoakCall& aCall)
+  void AddViolation(const char* aRule, const SoakCall& aCall)
   {
     auto at = [&](TimePoint aTime) {
       auto since = std::chrono::duration_cast<Millis>(aTime - mRecord.mBegan);
       return std::to_string(since.count());
     };
-    mBroken.push_back(
+    mViolations.push_back(
       std::string(aRule) + ": " + aCall.mId + " kind " +
       std::to_string(static_cast<int>(aCall.mKind)) + " at instance " +
       std::to_string(aCall.mInstance) + ", request " +
@@ -76,123 +76,127 @@
     return found == mRecord.mRuns.end() ? kNone : found->second;
   }
   // A trouble of aKind came between a call's sending and its end.
-  bool Met(const SoakCall& aCall, SoakFaultKind aKind, bool aAnywhere) const
+  bool FaultDuring(const SoakCall& aCall,
+                   SoakFaultKind aKind,
+                   bool aAnywhere) const
   {
-    return std::any_of(mRecord.mTroubles.begin(),
-                       mRecord.mTroubles.end(),
-                       [&](const SoakFault& aTomlErrors) {
-                         return aTomlErrors.mKind == aKind &&
+    return std::any_of(mRecord.mInjectedFaults.begin(),
+                       mRecord.mInjectedFaults.end(),
+                       [&](const SoakFault& aFault) {
+                         return aFault.mKind == aKind &&
                                 (aAnywhere ||
-                                 aTomlErrors.mInstance == aCall.mInstance) &&
-                                aTomlErrors.mFrom <= aCall.mEnded + kSlack &&
-                                aTomlErrors.mUntil + kSlack >= aCall.mSent;
+                                 aFault.mInstance == aCall.mInstance) &&
+                                aFault.mFrom <= aCall.mEnded + kSlack &&
+                                aFault.mUntil + kSlack >= aCall.mSent;
                        });
   }
   bool CutByShutdown(const SoakCall& aCall) const
   {
-    for (const SoakFault& trouble : mRecord.mTroubles) {
-      if (trouble.mKind == SoakFaultKind::Terminate &&
-          trouble.mInstance == aCall.mInstance &&
-          aCall.mSent <= trouble.mFrom + kEarly &&
+    for (const SoakFault& fault : mRecord.mInjectedFaults) {
+      if (fault.mKind == SoakFaultKind::Terminate &&
+          fault.mInstance == aCall.mInstance &&
+          aCall.mSent <= fault.mFrom + kEarlyRequest &&
           aCall.mEnded >=
-            trouble.mFrom + kSoakGrace - kSoakGrace / kLastPart - kSlack) {
+            fault.mFrom + kSoakGrace - kSoakGrace / kLastPart - kSlack) {
         return true;
       }
     }
     return false;
   }
   // Whoever sent a whole request to an instance that runs gets an answer.
-  void Answered(const SoakCall& aCall)
+  void CheckAnswered(const SoakCall& aCall)
   {
-    bool crossed = aCall.mStatus == 0 && Runs(aCall).empty() && !aCall.mLeft &&
-                   aCall.mEnded - aCall.mSent <= kCrossing;
-    if (aCall.mWhole || !aCall.mConnected || crossed ||
+    bool closedWhileSending = aCall.mStatus == 0 && Runs(aCall).empty() &&
+                              !aCall.mCallerLeft &&
+                              aCall.mEnded - aCall.mSent <= kMaxCloseDelay;
+    if (aCall.mComplete || !aCall.mConnected || closedWhileSending ||
         aCall.mEnded == TimePoint()) {
       return;
     }
     bool serverBroke =
-      !Runs(aCall).empty() && Met(aCall, SoakFaultKind::Servers, true);
-    bool excused = Met(aCall, SoakFaultKind::Kill, false) ||
-                   Met(aCall, SoakFaultKind::Freeze, false) || serverBroke ||
-                   CutByShutdown(aCall);
-    if (!excused) {
-      Break("lost", aCall);
+      !Runs(aCall).empty() && FaultDuring(aCall, SoakFaultKind::Servers, true);
+    bool explained = FaultDuring(aCall, SoakFaultKind::Kill, false) ||
+                     FaultDuring(aCall, SoakFaultKind::Freeze, false) ||
+                     serverBroke || CutByShutdown(aCall);
+    if (!explained) {
+      AddViolation("lost", aCall);
     }
   }
-  void Once(const SoakCall& aCall)
+  void CheckRunsOnce(const SoakCall& aCall)
   {
-    bool once =
+    bool atMostOnce =
       aCall.mKind == SoakKind::Order || aCall.mKind == SoakKind::Stream;
-    if (once && Runs(aCall).size() > 1) {
-      Break("run twice", aCall);
+    if (atMostOnce && Runs(aCall).size() > 1) {
+      AddViolation("run twice", aCall);
     }
   }
-  void RefusalNotRun(const SoakCall& aCall)
+  void CheckRefusalNotRun(const SoakCall& aCall)
   {
-    bool promised = aCall.mStatus == 429 || aCall.mStatus == 503 ||
-                    aCall.mStatus == 408 || aCall.mStatus == 421;
-    if (promised && !Runs(aCall).empty()) {
-      Break("refused and run", aCall);
+    bool refusedUnrun = aCall.mStatus == 429 || aCall.mStatus == 503 ||
+                        aCall.mStatus == 408 || aCall.mStatus == 421;
+    if (refusedUnrun && !Runs(aCall).empty()) {
+      AddViolation("refused and run", aCall);
     }
   }
-  void OwnAnswer(const SoakCall& aCall)
+  void CheckOwnAnswer(const SoakCall& aCall)
   {
-    if (!aCall.mWhole || aCall.mStatus != 200) {
+    if (!aCall.mComplete || aCall.mStatus != 200) {
       return;
     }
-    std::string due;
+    std::string expected;
     if (aCall.mKind == SoakKind::Order || aCall.mKind == SoakKind::Read) {
-      due = "answer to " + aCall.mId + " of body";
+      expected = "answer to " + aCall.mId + " of body";
     } else {
       for (int i = 1; i <= 5; ++i) {
         std::string number = std::to_string(i);
-        due += "id: " + number + "\ndata: piece " + number + "\n\n";
+        expected += "id: " + number + "\ndata: piece " + number + "\n\n";
       }
     }
-    if (aCall.mBody != due) {
-      Break("not its own whole answer", aCall);
+    if (aCall.mBody != expected) {
+      AddViolation("not its own whole answer", aCall);
     }
   }
-  void OwnTenant(const SoakCall& aCall)
+  void CheckOwnTenant(const SoakCall& aCall)
   {
     for (const ServerRun& run : Runs(aCall)) {
       if (run.mTenant != aCall.mTenant || !run.mKey.empty()) {
-        Break("run for another tenant, or with its key", aCall);
+        AddViolation("run for another tenant, or with its key", aCall);
       }
     }
   }
   // Over all instances, in any window.
-  void Limit()
+  void CheckLimit()
   {
-    std::vector<std::pair<TimePoint, double>> spent;
+    std::vector<std::pair<TimePoint, double>> spending;
     for (const SoakCall& call : mRecord.mCalls) {
       if (call.mTenant == kLimitedTenant && !Runs(call).empty()) {
         bool plain =
           call.mKind == SoakKind::Order || call.mKind == SoakKind::Read;
-        spent.emplace_back(Runs(call).front().mAt,
-                           plain ? kPlainTokens : kStreamTokens);
+        spending.emplace_back(Runs(call).front().mAt,
+                              plain ? kPlainTokens : kStreamTokens);
       }
     }
-    std::sort(spent.begin(), spent.end());
-    double most = (kLimitedRate * static_cast<double>(kWindow.count()) / 1000 +
-                   kLimitedBurst) *
-                  kOverage;
+    std::sort(spending.begin(), spending.end());
+    double allowed =
+      (kLimitedRate * static_cast<double>(kWindow.count()) / 1000 +
+       kLimitedBurst) *
+      kAllowedOverage;
     double inWindow = 0;
     size_t first = 0;
-    for (const auto& [at, tokens] : spent) {
+    for (const auto& [at, tokens] : spending) {
       inWindow += tokens;
-      while (spent[first].first + kWindow < at) {
-        inWindow -= spent[first++].second;
+      while (spending[first].first + kWindow < at) {
+        inWindow -= spending[first++].second;
       }
-      if (inWindow > most) {
-        mBroken.push_back("over the limit: " + std::to_string(inWindow) +
-                          " tokens in a window, " + std::to_string(most) +
-                          " allowed");
+      if (inWindow > allowed) {
+        mViolations.push_back("over the limit: " + std::to_string(inWindow) +
+                              " tokens in a window, " +
+                              std::to_string(allowed) + " allowed");
         return;
       }
     }
   }
-  void Recovered()
+  void CheckRecovered()
   {
     int sent = 0;
     int served = 0;
@@ -200,17 +204,17 @@
       if (call.mTenant != kLimitedTenant &&
           call.mSent >= mRecord.mFaultFreeFrom && call.mEnded != TimePoint()) {
         ++sent;
-        served += call.mWhole && call.mStatus == 200 ? 1 : 0;
+        served += call.mComplete && call.mStatus == 200 ? 1 : 0;
       }
     }
-    if (served < kLeastServed * sent || sent == 0) {
-      mBroken.push_back("not recovered: " + std::to_string(served) + " of " +
-                        std::to_string(sent) + " served");
+    if (served < kMinServedShare * sent || sent == 0) {
+      mViolations.push_back("not recovered: " + std::to_string(served) +
+                            " of " + std::to_string(sent) + " served");
     }
   }
 
   const SoakRecord& mRecord;
-  std::vector<std::string> mBroken;
+  std::vector<std::string> mViolations;
 };
 
 } // namespace
--- a/tests/soak/SoakChecks.h
+++ b/tests/soak/SoakChecks.h
@@ -16,7 +16,7 @@
 struct SoakRecord
 {
   std::deque<SoakCall> mCalls;
-  std::vector<SoakFault> mTroubles;
+  std::vector<SoakFault> mInjectedFaults;
   std::map<std::string, std::vector<ServerRun>> mRuns; // by request id
   TimePoint mBegan{};
   TimePoint mFaultFreeFrom{}; // no trouble any more
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -15,7 +15,7 @@
 
 constexpr int kMaxMissedProbes = 2;
 
-constexpr Millis kLook{ 20 };
+constexpr Millis kPollInterval{ 20 };
 
 // Within it a process has ended by itself, and with no SIGKILL.
 constexpr Millis kGraceSlack{ 300 };
@@ -26,7 +26,7 @@
 constexpr Millis kFaultFreePeriod{ 4000 };
 
 EntryFleetOptions
-WorldPlan(const SoakPlan& aPlan)
+TestFleetPlan(const SoakPlan& aPlan)
 {
   EntryFleetOptions plan;
   plan.mZones = { "a", "b" };
@@ -39,11 +39,11 @@
 
 SoakRun::SoakRun(SoakPlan aPlan)
   : mPlan(std::move(aPlan))
-  , mWorld(std::make_unique<EntryTestFleet>(WorldPlan(mPlan)))
+  , mTestFleet(std::make_unique<EntryTestFleet>(TestFleetPlan(mPlan)))
   , mRandom(mPlan.mSeed)
-  , mPool(mWorld->mReactor)
+  , mPool(mTestFleet->mReactor)
 {
-  Prepare();
+  ConfigureFleet();
 }
 
 int
@@ -53,9 +53,9 @@
 }
 
 void
-SoakRun::Prepare()
+SoakRun::ConfigureFleet()
 {
-  Json::Value& config = mWorld->mConfig;
+  Json::Value& config = mTestFleet->mConfig;
   for (Json::Value& route : config["routes"]) {
     route["timeoutMs"] = 12000;
     route["targetLatencyMs"] = 3000;
@@ -67,30 +67,31 @@
     }
   }
   config["limits"]["idleTimeoutMs"] = 10000;
-  mWorld->Configure();
+  mTestFleet->Configure();
   // Some answers take most of what a leaving instance is granted.
-  for (auto& engine : mWorld->mEngines) {
+  for (auto& engine : mTestFleet->mEngines) {
     engine->mEventGap = Millis(Draw(50, 1200));
   }
-  mWorld->mPlain[0]->mWork = Millis(60);
-  mWorld->mPlain[1]->mWork = Millis(Draw(60, 4000));
+  mTestFleet->mPlain[0]->mWork = Millis(60);
+  mTestFleet->mPlain[1]->mWork = Millis(Draw(60, 4000));
 }
 
 void
 SoakRun::StartInstances()
 {
   std::filesystem::create_directories(mPlan.mFolder);
-  for (size_t i = 0; i < mWorld->Instances(); ++i) {
+  for (size_t i = 0; i < mTestFleet->Instances(); ++i) {
     std::string name = (mPlan.mFolder / ("i" + std::to_string(i))).string();
-    std::ofstream(name + ".toml") << mWorld->SettingsText(i);
+    std::ofstream(name + ".toml") << mTestFleet->SettingsText(i);
     Instance instance;
     instance.mProcess = std::make_unique<EntryProcess>(
       mPlan.mProgram, name + ".toml", name + ".log");
     instance.mProcess->Start();
     mInstances.push_back(std::move(instance));
-    mWorld->mReactor.Every(kReadinessProbeInterval,
-                           [this, i] { ProbeReadiness(i); });
-    mWorld->mReactor.Every(kLook, [this, i] { SuperviseInstance(i); });
+    mTestFleet->mReactor.Every(kReadinessProbeInterval,
+                               [this, i] { ProbeReadiness(i); });
+    mTestFleet->mReactor.Every(kPollInterval,
+                               [this, i] { SuperviseInstance(i); });
   }
 }
 
@@ -98,12 +99,12 @@
 SoakRun::ProbeReadiness(size_t aIndex)
 {
   OutboundRequest request;
-  request.mAddress = mWorld->ReadinessAddress(aIndex);
+  request.mAddress = mTestFleet->ReadinessAddress(aIndex);
   request.mHead =
     WriteHead(std::string("GET ") + wire::kReadyPath + " HTTP/1.1",
               { { "Host", "host" } });
   request.mFresh = true;
-  StartBufferedCall(mWorld->mReactor,
+  StartBufferedCall(mTestFleet->mReactor,
                     mPool,
                     std::move(request),
                     kReadinessProbeInterval / 2,
@@ -172,14 +173,14 @@
 SoakRun::OnExit(Instance& aInstance, size_t aIndex)
 {
   int code = aInstance.mProcess->Code();
-  bool told = aInstance.mTerminatedAt != TimePoint();
+  bool terminated = aInstance.mTerminatedAt != TimePoint();
   bool killed = code == -SIGKILL;
-  if ((told && !killed && code != 0) || (!told && !killed)) {
-    mBroken.push_back("instance " + std::to_string(aIndex) +
-                      " ended by itself with " + std::to_string(code));
+  if ((terminated && !killed && code != 0) || (!terminated && !killed)) {
+    mViolations.push_back("instance " + std::to_string(aIndex) +
+                          " ended by itself with " + std::to_string(code));
   }
   if (aInstance.mEndingFault != SIZE_MAX) {
-    mRecord.mTroubles[aInstance.mEndingFault].mUntil = Now();
+    mRecord.mInjectedFaults[aInstance.mEndingFault].mUntil = Now();
   }
   aInstance.mStartAt = Now() + Millis(Draw(200, 1500));
 }
@@ -192,7 +193,8 @@
     return;
   }
   instance.mTerminatedAt = Now();
-  instance.mEndingFault = Note(SoakFaultKind::Terminate, aIndex, kSoakGrace);
+  instance.mEndingFault =
+    RecordFault(SoakFaultKind::Terminate, aIndex, kSoakGrace);
   instance.mProcess->Signal(SIGTERM);
 }
 
@@ -204,10 +206,10 @@
   bool late = instance.mTerminatedAt != TimePoint() &&
               Now() > instance.mTerminatedAt + kSoakGrace;
   if (late && !frozen) {
-    mBroken.push_back("instance " + std::to_string(aIndex) +
-                      " still runs when its granted time is over");
+    mViolations.push_back("instance " + std::to_string(aIndex) +
+                          " still runs when its granted time is over");
   }
-  instance.mEndingFault = Note(SoakFaultKind::Kill, aIndex, Millis(0));
+  instance.mEndingFault = RecordFault(SoakFaultKind::Kill, aIndex, Millis(0));
   instance.mProcess->Signal(SIGKILL);
 }
 
@@ -216,7 +218,7 @@
 {
   Instance& instance = mInstances[aIndex];
   if (instance.mProcess->Running() && instance.mFrozenUntil == TimePoint()) {
-    Note(SoakFaultKind::Freeze, aIndex, aFor);
+    RecordFault(SoakFaultKind::Freeze, aIndex, aFor);
     instance.mFrozenUntil = Now() + aFor;
     instance.mProcess->Signal(SIGSTOP);
   }
@@ -225,10 +227,10 @@
 // ---- Troubles
 
 size_t
-SoakRun::Note(SoakFaultKind aKind, size_t aInstance, Millis aFor)
+SoakRun::RecordFault(SoakFaultKind aKind, size_t aInstance, Millis aFor)
 {
-  mRecord.mTroubles.push_back({ aKind, aInstance, Now(), Now() + aFor });
-  return mRecord.mTroubles.size() - 1;
+  mRecord.mInjectedFaults.push_back({ aKind, aInstance, Now(), Now() + aFor });
+  return mRecord.mInjectedFaults.size() - 1;
 }
 
 void
@@ -247,16 +249,17 @@
     SoakFaultKind::Freeze,    SoakFaultKind::Store,
     SoakFaultKind::Servers,   SoakFaultKind::Drain,
   };
-  Do(kKinds[static_cast<size_t>(Draw(0, std::size(kKinds) - 1))]);
-  mWorld->mReactor.After(Millis(Draw(50, 2200)), [this] { InjectNextFault(); });
+  Inject(kKinds[static_cast<size_t>(Draw(0, std::size(kKinds) - 1))]);
+  mTestFleet->mReactor.After(Millis(Draw(50, 2200)),
+                             [this] { InjectNextFault(); });
 }
 
 void
-SoakRun::Do(SoakFaultKind aKind)
+SoakRun::Inject(SoakFaultKind aKind)
 {
   size_t index =
     static_cast<size_t>(Draw(0, static_cast<int>(mInstances.size()) - 1));
-  Millis lasts(Draw(200, 4000));
+  Millis duration(Draw(200, 4000));
   switch (aKind) {
     case SoakFaultKind::Terminate:
       Terminate(index);
@@ -265,23 +268,23 @@
       Kill(index);
       break;
     case SoakFaultKind::Freeze:
-      Freeze(index, lasts);
+      Freeze(index, duration);
       break;
     case SoakFaultKind::Reload:
-      Note(aKind, index, Millis(0));
+      RecordFault(aKind, index, Millis(0));
       mInstances[index].mProcess->Signal(SIGHUP);
       break;
     case SoakFaultKind::Configure:
       ChangeConfiguration();
       break;
     case SoakFaultKind::Store:
-      InjectStoreFault(lasts);
+      InjectStoreFault(duration);
       break;
     case SoakFaultKind::Servers:
-      InjectServerFault(lasts / 2);
+      InjectServerFault(duration / 2);
       break;
     case SoakFaultKind::Drain:
-      DrainServer(lasts);
+      DrainServer(duration);
       break;
   }
 }
@@ -289,8 +292,8 @@
 void
 SoakRun::ChangeConfiguration()
 {
-  Note(SoakFaultKind::Configure, 0, Millis(0));
-  Json::Value& config = mWorld->mConfig;
+  RecordFault(SoakFaultKind::Configure, 0, Millis(0));
+  Json::Value& config = mTestFleet->mConfig;
   switch (Draw(0, 3)) {
     case 0:
       config["limits"]["idleTimeoutMs"] = Draw(0, 1) ? 1000 : 10000;
@@ -306,47 +309,49 @@
       config["routes"][2]["targetLatencyMs"] = Draw(300, 3000);
       break;
   }
-  mWorld->Configure();
+  mTestFleet->Configure();
 }
 
 void
 SoakRun::InjectStoreFault(Millis aFor)
 {
-  constexpr StandInStore::FaultMode kMoods[] = {
+  constexpr StandInStore::FaultMode kFaultModes[] = {
     StandInStore::FaultMode::Silent,
     StandInStore::FaultMode::Busy,
     StandInStore::FaultMode::Loses
   };
-  Note(SoakFaultKind::Store, 0, aFor);
-  mWorld->mStore->SetFaultModeOfAll(kMoods[static_cast<size_t>(Draw(0, 2))]);
-  mWorld->mReactor.After(aFor, [this] {
-    mWorld->mStore->SetFaultModeOfAll(StandInStore::FaultMode::Serves);
+  RecordFault(SoakFaultKind::Store, 0, aFor);
+  mTestFleet->mStore->SetFaultModeOfAll(
+    kFaultModes[static_cast<size_t>(Draw(0, 2))]);
+  mTestFleet->mReactor.After(aFor, [this] {
+    mTestFleet->mStore->SetFaultModeOfAll(StandInStore::FaultMode::Serves);
   });
 }
 
 void
 SoakRun::InjectServerFault(Millis aFor)
 {
-  constexpr ServerBehaviour kManners[] = { ServerBehaviour::RunsThenCloses,
-                                           ServerBehaviour::StopsMidway,
-                                           ServerBehaviour::Fails,
-                                           ServerBehaviour::Refuses };
-  Note(SoakFaultKind::Servers, 0, aFor);
-  auto& servers = Draw(0, 1) ? mWorld->mEngines : mWorld->mPlain;
+  constexpr ServerBehaviour kBehaviours[] = { ServerBehaviour::RunsThenCloses,
+                                              ServerBehaviour::StopsMidway,
+                                              ServerBehaviour::Fails,
+                                              ServerBehaviour::Refuses };
+  RecordFault(SoakFaultKind::Servers, 0, aFor);
+  auto& servers = Draw(0, 1) ? mTestFleet->mEngines : mTestFleet->mPlain;
   StandInServer* server = servers[static_cast<size_t>(Draw(0, 1))].get();
-  server->mBehaviour = kManners[static_cast<size_t>(Draw(0, 3))];
-  mWorld->mReactor.After(
+  server->mBehaviour = kBehaviours[static_cast<size_t>(Draw(0, 3))];
+  mTestFleet->mReactor.After(
     aFor, [server] { server->mBehaviour = ServerBehaviour::Proper; });
 }
 
 void
 SoakRun::DrainServer(Millis aFor)
 {
-  Note(SoakFaultKind::Drain, 0, aFor);
-  StandInServer* server = mWorld->mPlain[static_cast<size_t>(Draw(0, 1))].get();
-  mWorld->List(*server, "plain", "a", "draining");
-  mWorld->mReactor.After(
-    aFor, [this, server] { mWorld->List(*server, "plain", "a"); });
+  RecordFault(SoakFaultKind::Drain, 0, aFor);
+  StandInServer* server =
+    mTestFleet->mPlain[static_cast<size_t>(Draw(0, 1))].get();
+  mTestFleet->List(*server, "plain", "a", "draining");
+  mTestFleet->mReactor.After(
+    aFor, [this, server] { mTestFleet->List(*server, "plain", "a"); });
 }
 
 // ---- The run
@@ -355,48 +360,49 @@
 SoakRun::Run()
 {
   StartInstances();
-  mWorld->Until([this] { return Pick().has_value(); }, Seconds(10));
+  mTestFleet->Until([this] { return Pick().has_value(); }, Seconds(10));
   mRecord.mBegan = Now();
   for (int i = 0; i < mPlan.mCallers; ++i) {
     const char* tenant = i % 4 == 0 ? kLimitedTenant : "acme";
     mCallers.push_back(std::make_shared<SoakCaller>(*this, tenant));
     mCallers.back()->Next(Millis(Draw(0, 1000)));
   }
-  mWorld->mReactor.After(Seconds(2), [this] { InjectNextFault(); });
-  mWorld->For(mPlan.mLength);
+  mTestFleet->mReactor.After(Seconds(2), [this] { InjectNextFault(); });
+  mTestFleet->For(mPlan.mLength);
   mFaultsStopped = true;
-  mWorld->For(kRecovery);
+  mTestFleet->For(kRecovery);
   mRecord.mFaultFreeFrom = Now();
-  mWorld->For(kFaultFreePeriod);
+  mTestFleet->For(kFaultFreePeriod);
   mEnding = true;
-  mWorld->For(Seconds(14)); // every call has its end
+  mTestFleet->For(Seconds(14)); // every call has its end
   mRecord.mEnded = Now();
-  for (const auto* servers : { &mWorld->mEngines, &mWorld->mPlain }) {
+  for (const auto* servers : { &mTestFleet->mEngines, &mTestFleet->mPlain }) {
     for (const auto& server : *servers) {
       for (const ServerRun& run : server->mRuns) {
         mRecord.mRuns[run.mId].push_back(run);
       }
     }
   }
-  std::vector<std::string> broken = SoakViolations(mRecord);
-  broken.insert(broken.end(), mBroken.begin(), mBroken.end());
-  return broken;
+  std::vector<std::string> violations = SoakViolations(mRecord);
+  violations.insert(violations.end(), mViolations.begin(), mViolations.end());
+  return violations;
 }
 
 std::string
 SoakRun::Summary() const
 {
-  std::map<std::string, int> ends;
+  std::map<std::string, int> outcomes;
   for (const SoakCall& call : mRecord.mCalls) {
-    std::string name = call.mWhole       ? std::to_string(call.mStatus)
+    std::string name = call.mComplete    ? std::to_string(call.mStatus)
                        : call.mConnected ? "no answer"
                                          : "not connected";
-    ++ends[name];
+    ++outcomes[name];
   }
   std::string text = "seed " + std::to_string(mPlan.mSeed) + ": " +
                      std::to_string(mRecord.mCalls.size()) + " requests, " +
-                     std::to_string(mRecord.mTroubles.size()) + " troubles;";
-  for (const auto& [name, count] : ends) {
+                     std::to_string(mRecord.mInjectedFaults.size()) +
+                     " troubles;";
+  for (const auto& [name, count] : outcomes) {
     text += " " + name + " " + std::to_string(count);
   }
   return text;
--- a/tests/soak/SoakRun.h
+++ b/tests/soak/SoakRun.h
@@ -30,7 +30,7 @@
   std::string Summary() const;
 
   std::optional<size_t> Pick() override;
-  EntryTestFleet& World() override { return *mWorld; }
+  EntryTestFleet& TestFleet() override { return *mTestFleet; }
   std::mt19937& Random() override { return mRandom; }
   SoakCall& NewCall() override;
   bool Ending() const override { return mEnding; }
@@ -42,16 +42,16 @@
     TimePoint mTerminatedAt{}; // by SIGTERM
     TimePoint mStartAt{};      // when it isn't running
     TimePoint mFrozenUntil{};
-    size_t mEndingFault = SIZE_MAX; // of mTroubles: what it ends by
+    size_t mEndingFault = SIZE_MAX; // of mInjectedFaults: what it ends by
     int mMissedProbes = 2;          // of the balancer's questions
   };
-  void Prepare();
+  void ConfigureFleet();
   void StartInstances();
   void ProbeReadiness(size_t aIndex);
   void SuperviseInstance(size_t aIndex);
   void OnExit(Instance& aInstance, size_t aIndex);
   void InjectNextFault();
-  void Do(SoakFaultKind aKind);
+  void Inject(SoakFaultKind aKind);
   void Terminate(size_t aIndex);
   void Kill(size_t aIndex);
   void Freeze(size_t aIndex, Millis aFor);
@@ -59,18 +59,18 @@
   void InjectStoreFault(Millis aFor);
   void InjectServerFault(Millis aFor);
   void DrainServer(Millis aFor);
-  size_t Note(SoakFaultKind aKind, size_t aInstance, Millis aFor);
+  size_t RecordFault(SoakFaultKind aKind, size_t aInstance, Millis aFor);
   int Draw(int aFrom, int aTo);
-  TimePoint Now() const { return mWorld->mClock.Now(); }
+  TimePoint Now() const { return mTestFleet->mClock.Now(); }
 
   SoakPlan mPlan;
-  std::unique_ptr<EntryTestFleet> mWorld;
+  std::unique_ptr<EntryTestFleet> mTestFleet;
   std::mt19937 mRandom;
   ChannelPool mPool;
   std::vector<Instance> mInstances;
   std::vector<std::shared_ptr<SoakCaller>> mCallers;
   SoakRecord mRecord;
-  std::vector<std::string> mBroken; // seen while it ran
+  std::vector<std::string> mViolations; // seen while it ran
   bool mFaultsStopped = false;
   bool mEnding = false;
 };
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -35,22 +35,22 @@
   plan.mCallers = FLAGS_callers;
   plan.mProgram = FLAGS_program;
   plan.mFolder = base / ("seed-" + std::to_string(aSeed));
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
   {
     caraway::SoakRun run(plan);
-    broken = run.Run();
+    violations = run.Run();
     std::printf("%s\n", run.Summary().c_str());
   }
-  for (const std::string& line : broken) {
+  for (const std::string& line : violations) {
     std::printf("  BROKEN %s\n", line.c_str());
   }
-  if (broken.empty()) {
+  if (violations.empty()) {
     fs::remove_all(plan.mFolder);
   } else {
     std::printf("  logs: %s\n", plan.mFolder.c_str());
   }
   std::fflush(stdout);
-  return broken.empty();
+  return violations.empty();
 }
 
 } // namespace
@@ -60,10 +60,10 @@
 {
   gflags::SetUsageMessage("soaks entry instances under faults");
   gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
-  unsigned bad = 0;
+  unsigned failedSeeds = 0;
   for (unsigned i = 0; i < FLAGS_seeds; ++i) {
-    bad += RunSeed(FLAGS_first + i) ? 0 : 1;
+    failedSeeds += RunSeed(FLAGS_first + i) ? 0 : 1;
   }
-  std::printf("%u of %u seeds broken\n", bad, FLAGS_seeds);
-  return bad == 0 ? 0 : 1;
+  std::printf("%u of %u seeds broken\n", failedSeeds, FLAGS_seeds);
+  return failedSeeds == 0 ? 0 : 1;
 }
