--- a/tests/soak/EntryProcess.h
+++ b/tests/soak/EntryProcess.h
@@ -1,5 +1,5 @@
-// EntryProcess.h: one carawayd-entry as a process of its own, started,
-// signalled and awaited by its id.
+// EntryProcess.h: runs one carawayd-entry as a child process, controlled by its
+// process id.
 #ifndef caraway_soak_EntryProcess_h
 #define caraway_soak_EntryProcess_h
 
@@ -11,7 +11,7 @@
 class EntryProcess
 {
 public:
-  // aLog takes what it writes; appended to.
+  // aLog: file to which its output is appended.
   EntryProcess(std::string aProgram, std::string aSettings, std::string aLog);
   ~EntryProcess(); // kills it
   EntryProcess(const EntryProcess&) = delete;
@@ -19,9 +19,9 @@
 
   void Start();
   void Signal(int aSignal) const;
-  // Looks whether it has ended; never waits.
+  // Polls whether the process still runs; never blocks.
   bool Running();
-  // Of the last end: the exit code, or -signal.
+  // The last exit code, or -signal if it was killed by a signal.
   int Code() const { return mCode; }
 
 private:
--- a/tests/soak/SoakCall.h
+++ b/tests/soak/SoakCall.h
@@ -11,7 +11,7 @@
 enum class SoakKind
 {
   Order,  // at most once
-  Read,   // may be repeated
+  Read,   // idempotent
   Stream, // at most once
   Resume, // a stream that may be resumed
 };
@@ -22,13 +22,13 @@
   SoakKind mKind = SoakKind::Order;
   std::string mTenant;
   size_t mInstance = 0;
-  int mRequestsOnConnection = 0; // requests before it on its connection
+  int mRequestsOnConnection = 0; // earlier requests on its connection
   TimePoint mSent{};
-  TimePoint mEnded{}; // whole answer, or end of the connection
-  int mStatus = 0;    // 0 = no head came
+  TimePoint mEnded{}; // complete answer, or end of the connection
+  int mStatus = 0;    // 0 if no response head was received
   bool mComplete = false;
   bool mConnected = false;
-  bool mCallerLeft = false; // its caller closed the connection
+  bool mCallerLeft = false; // the caller closed the connection
   std::string mBody;
 };
 
--- a/tests/soak/SoakCaller.cpp
+++ b/tests/soak/SoakCaller.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// How long callers wait for an answer, as they tell the instance.
+// Deadline of a request, as sent to the instance.
 constexpr Millis kDeadline{ 12000 };
 
-// A whole answer is due so long after the deadline at the latest.
+// A complete answer must arrive at most this long after the deadline.
 constexpr Millis kOverdue{ 1000 };
 
 const char*
@@ -129,7 +129,7 @@
 {
   std::string& input = mChannel->Input();
   if (!mCall) {
-    return; // the checks read what is left over
+    return; // the checks report the unread input
   }
   if (!mHead) {
     HttpHead head;
@@ -158,7 +158,7 @@
   if (!aKeep) {
     mChannel->Close();
   }
-  // Many send the next one at once, as one stream ends.
+  // Negative draws send at once: many next requests are sent as a stream ends.
   std::uniform_int_distribution<int> wait(-400, 800);
   Next(Millis(std::max(0, wait(mSite.Random()))));
 }
--- a/tests/soak/SoakCaller.h
+++ b/tests/soak/SoakCaller.h
@@ -1,4 +1,4 @@
-// SoakCaller.h: a caller that keeps its connection as long as it is let.
+// SoakCaller.h: a caller that keeps its connection open as long as possible.
 #ifndef caraway_soak_SoakCaller_h
 #define caraway_soak_SoakCaller_h
 
@@ -14,16 +14,16 @@
 
 namespace caraway {
 
-// Where callers are sent, and where their calls are kept.
+// Tells callers which instance to use and records their calls.
 class SoakSite
 {
 public:
   virtual ~SoakSite() = default;
-  // An instance that the balancer takes for ready; none = no such instance.
+  // Returns an instance that the balancer considers ready, if there is one.
   virtual std::optional<size_t> Pick() = 0;
   virtual EntryTestFleet& TestFleet() = 0;
   virtual std::mt19937& Random() = 0;
-  virtual SoakCall& NewCall() = 0; // stays where it is
+  virtual SoakCall& NewCall() = 0; // the reference stays valid
   virtual bool Ending() const = 0;
 };
 
@@ -31,7 +31,7 @@
 {
 public:
   SoakCaller(SoakSite& aSite, std::string aTenant);
-  // Sends the next request within aDelay.
+  // Sends the next request after aDelay.
   void Next(Millis aDelay);
 
 private:
@@ -48,7 +48,7 @@
   std::shared_ptr<Channel> mChannel;
   size_t mInstance = 0;
   int mRequestsOnConnection = 0;
-  SoakCall* mCall = nullptr; // under way
+  SoakCall* mCall = nullptr; // in flight
   std::optional<HttpHead> mHead;
   std::optional<BodyReader> mReader;
 };
--- a/tests/soak/SoakChecks.cpp
+++ b/tests/soak/SoakChecks.cpp
@@ -8,19 +8,20 @@
 
 namespace {
 
-// A request that was sent as its connection was being closed, and that nobody
-// read, got its close within this.
+// A request that was sent while its connection was being closed, and was never
+// read, sees the close within this time.
 constexpr Millis kMaxCloseDelay{ 200 };
 
-// Requests of the first part of a leave may be cut in its last sixth.
+// Requests sent within kEarlyRequest after SIGTERM may be cut off in the last
+// 1/kLastPart of the grace period.
 constexpr Millis kEarlyRequest{ 3000 };
 
 constexpr int kLastPart = 6;
 
-// For signals and clocks to arrive.
+// Tolerance for the delivery of signals and for clock reads.
 constexpr Millis kSlack{ 100 };
 
-// Tokens by kind, as the configuration and the callers say.
+// Tokens per request kind; equal to the configuration and the callers' headers.
 constexpr double kPlainTokens = 10;
 
 constexpr double kStreamTokens = 50;
@@ -29,7 +30,7 @@
 
 constexpr double kAllowedOverage = 1.1;
 
-// Of those sent once all is calm.
+// Minimum share of served requests among those sent after the last fault.
 constexpr double kMinServedShare = 0.75;
 
 class Checks
@@ -75,7 +76,8 @@
     auto found = mRecord.mRuns.find(aCall.mId);
     return found == mRecord.mRuns.end() ? kNone : found->second;
   }
-  // A trouble of aKind came between a call's sending and its end.
+  // True if a fault of aKind overlaps with the call; at its instance unless
+  // aAnywhere.
   bool FaultDuring(const SoakCall& aCall,
                    SoakFaultKind aKind,
                    bool aAnywhere) const
@@ -103,7 +105,7 @@
     }
     return false;
   }
-  // Whoever sent a whole request to an instance that runs gets an answer.
+  // A complete request sent to a running instance must get an answer.
   void CheckAnswered(const SoakCall& aCall)
   {
     bool closedWhileSending = aCall.mStatus == 0 && Runs(aCall).empty() &&
@@ -153,7 +155,7 @@
       }
     }
     if (aCall.mBody != expected) {
-      AddViolation("not its own whole answer", aCall);
+      AddViolation("not its own complete answer", aCall);
     }
   }
   void CheckOwnTenant(const SoakCall& aCall)
@@ -164,7 +166,7 @@
       }
     }
   }
-  // Over all instances, in any window.
+  // The limited tenant's rate must hold over all instances in any window.
   void CheckLimit()
   {
     std::vector<std::pair<TimePoint, double>> spending;
--- a/tests/soak/SoakChecks.h
+++ b/tests/soak/SoakChecks.h
@@ -1,4 +1,5 @@
-// SoakChecks.h: what must hold, judged by what callers and servers saw.
+// SoakChecks.h: checks what callers and servers recorded against the
+// guarantees.
 #ifndef caraway_soak_SoakChecks_h
 #define caraway_soak_SoakChecks_h
 
@@ -19,21 +20,22 @@
   std::vector<SoakFault> mInjectedFaults;
   std::map<std::string, std::vector<ServerRun>> mRuns; // by request id
   TimePoint mBegan{};
-  TimePoint mFaultFreeFrom{}; // no trouble any more
+  TimePoint mFaultFreeFrom{}; // no fault is active from here on
   TimePoint mEnded{};
 };
 
 // The tenant whose limit is checked, and that limit.
 inline constexpr char kLimitedTenant[] = "globex";
 
-inline constexpr double kLimitedRate = 120; // tokens a second
+inline constexpr double kLimitedRate = 120; // tokens/s
 
 inline constexpr double kLimitedBurst = 400; // tokens
 
-// From SIGTERM to SIGKILL, as the instances' settings say.
+// From SIGTERM to SIGKILL; equal to the grace period in the instances'
+// settings.
 inline constexpr Millis kSoakGrace{ 8000 };
 
-// A line for each thing that doesn't hold; empty = all holds.
+// Returns one line per violation; empty if there is none.
 std::vector<std::string>
 SoakViolations(const SoakRecord& aRecord);
 
--- a/tests/soak/SoakFault.h
+++ b/tests/soak/SoakFault.h
@@ -1,5 +1,4 @@
-// SoakFault.h: what was done to an instance or to what it depends on, and
-// when.
+// SoakFault.h: a fault injected into an instance or one of its dependencies.
 #ifndef caraway_soak_SoakFault_h
 #define caraway_soak_SoakFault_h
 
@@ -16,17 +15,17 @@
   Freeze,    // SIGSTOP, then SIGCONT
   Reload,    // SIGHUP
   Configure, // a configuration with other limits, rates or times
-  Store,     // the store is silent, busy, or loses answers
-  Servers,   // servers break off, fail, or refuse
-  Drain,     // a server leaves, and comes back
+  Store,     // the store doesn't answer, is busy, or loses answers
+  Servers,   // servers cut answers off, fail, or refuse
+  Drain,     // a server leaves and comes back
 };
 
 struct SoakFault
 {
   SoakFaultKind mKind = SoakFaultKind::Configure;
-  size_t mInstance = 0; // of the first four
+  size_t mInstance = 0; // for the first four kinds
   TimePoint mFrom{};
-  TimePoint mUntil{}; // of a process that was told to end: it is gone
+  TimePoint mUntil{}; // for a terminated or killed process: when it exited
 };
 
 } // namespace caraway
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -10,17 +10,19 @@
 
 namespace {
 
-// The balancer's.
+// Interval of the balancer's readiness probes.
 constexpr Millis kReadinessProbeInterval{ 1000 };
 
 constexpr int kMaxMissedProbes = 2;
 
 constexpr Millis kPollInterval{ 20 };
 
-// Within it a process has ended by itself, and with no SIGKILL.
+// Time beyond the grace period for a process to exit by itself, without
+// SIGKILL.
 constexpr Millis kGraceSlack{ 300 };
 
-// After the last trouble, before all must be served again; and how long then.
+// Time after the last fault until requests must be served again, and how long
+// served requests are then measured.
 constexpr Millis kRecovery{ 12000 };
 
 constexpr Millis kFaultFreePeriod{ 4000 };
@@ -68,7 +70,7 @@
   }
   config["limits"]["idleTimeoutMs"] = 10000;
   mTestFleet->Configure();
-  // Some answers take most of what a leaving instance is granted.
+  // Some answers take most of the grace period of a leaving instance.
   for (auto& engine : mTestFleet->mEngines) {
     engine->mEventGap = Millis(Draw(50, 1200));
   }
@@ -177,7 +179,8 @@
   bool killed = code == -SIGKILL;
   if ((terminated && !killed && code != 0) || (!terminated && !killed)) {
     mViolations.push_back("instance " + std::to_string(aIndex) +
-                          " ended by itself with " + std::to_string(code));
+                          " exited unexpectedly with code " +
+                          std::to_string(code));
   }
   if (aInstance.mEndingFault != SIZE_MAX) {
     mRecord.mInjectedFaults[aInstance.mEndingFault].mUntil = Now();
@@ -207,7 +210,7 @@
               Now() > instance.mTerminatedAt + kSoakGrace;
   if (late && !frozen) {
     mViolations.push_back("instance " + std::to_string(aIndex) +
-                          " still runs when its granted time is over");
+                          " still runs after its grace period");
   }
   instance.mEndingFault = RecordFault(SoakFaultKind::Kill, aIndex, Millis(0));
   instance.mProcess->Signal(SIGKILL);
@@ -224,7 +227,7 @@
   }
 }
 
-// ---- Troubles
+// ---- Faults
 
 size_t
 SoakRun::RecordFault(SoakFaultKind aKind, size_t aInstance, Millis aFor)
@@ -239,8 +242,8 @@
   if (mFaultsStopped) {
     return;
   }
-  // Most often what changes processes and configurations: in series, over one
-  // another.
+  // Faults that restart processes or change configurations are the most
+  // frequent, so that they come in series and overlap.
   constexpr SoakFaultKind kKinds[] = {
     SoakFaultKind::Terminate, SoakFaultKind::Terminate,
     SoakFaultKind::Terminate, SoakFaultKind::Configure,
@@ -374,7 +377,7 @@
   mRecord.mFaultFreeFrom = Now();
   mTestFleet->For(kFaultFreePeriod);
   mEnding = true;
-  mTestFleet->For(Seconds(14)); // every call has its end
+  mTestFleet->For(Seconds(14)); // until every call has ended
   mRecord.mEnded = Now();
   for (const auto* servers : { &mTestFleet->mEngines, &mTestFleet->mPlain }) {
     for (const auto& server : *servers) {
@@ -401,7 +404,7 @@
   std::string text = "seed " + std::to_string(mPlan.mSeed) + ": " +
                      std::to_string(mRecord.mCalls.size()) + " requests, " +
                      std::to_string(mRecord.mInjectedFaults.size()) +
-                     " troubles;";
+                     " faults;";
   for (const auto& [name, count] : outcomes) {
     text += " " + name + " " + std::to_string(count);
   }
--- a/tests/soak/SoakRun.h
+++ b/tests/soak/SoakRun.h
@@ -1,4 +1,5 @@
-// SoakRun.h: one seed: instances as processes, callers, troubles, checks.
+// SoakRun.h: one seed's run: instances as processes, callers, faults and
+// checks.
 #ifndef caraway_soak_SoakRun_h
 #define caraway_soak_SoakRun_h
 
@@ -13,9 +14,9 @@
 struct SoakPlan
 {
   unsigned mSeed = 1;
-  Millis mLength{ 30000 };       // of the troubles
+  Millis mLength{ 30000 };       // how long faults are injected
   int mInstances = 2;            // in each of two zones
-  int mCallers = 24;             // a quarter of them of the limited tenant
+  int mCallers = 24;             // a quarter of them use the limited tenant
   std::filesystem::path mFolder; // for settings and logs
   std::string mProgram;          // the entry daemon
 };
@@ -24,9 +25,9 @@
 {
 public:
   explicit SoakRun(SoakPlan aPlan);
-  // Lines of what doesn't hold.
+  // Returns one line per violation.
   std::vector<std::string> Run();
-  // What happened, in a line.
+  // Returns the run's numbers in one line.
   std::string Summary() const;
 
   std::optional<size_t> Pick() override;
@@ -39,11 +40,11 @@
   struct Instance
   {
     std::unique_ptr<EntryProcess> mProcess;
-    TimePoint mTerminatedAt{}; // by SIGTERM
-    TimePoint mStartAt{};      // when it isn't running
+    TimePoint mTerminatedAt{}; // when SIGTERM was sent
+    TimePoint mStartAt{};      // when to start it again, if it isn't running
     TimePoint mFrozenUntil{};
-    size_t mEndingFault = SIZE_MAX; // of mInjectedFaults: what it ends by
-    int mMissedProbes = 2;          // of the balancer's questions
+    size_t mEndingFault = SIZE_MAX; // index of the fault that ends it
+    int mMissedProbes = 2;          // consecutive, by the balancer
   };
   void ConfigureFleet();
   void StartInstances();
@@ -70,7 +71,7 @@
   std::vector<Instance> mInstances;
   std::vector<std::shared_ptr<SoakCaller>> mCallers;
   SoakRecord mRecord;
-  std::vector<std::string> mViolations; // seen while it ran
+  std::vector<std::string> mViolations; // found during the run
   bool mFaultsStopped = false;
   bool mEnding = false;
 };
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,6 +1,6 @@
-// caraway-soak: instances as processes under signals, configurations and
-// faults, judged by what callers and servers see. A seed draws the same
-// troubles again.
+// caraway-soak: runs instances as processes under signals, configuration
+// changes and faults, and checks what callers and servers see. Equal seeds
+// inject equal faults.
 
 #include <cstdio>
 #include <gflags/gflags.h>
@@ -9,8 +9,8 @@
 #include "soak/SoakRun.h"
 
 DEFINE_uint32(first, 1, "first seed");
-DEFINE_uint32(seeds, 1, "how many seeds, one after the other");
-DEFINE_int32(seconds, 30, "how long each seed's troubles last");
+DEFINE_uint32(seeds, 1, "number of seeds, run one after the other");
+DEFINE_int32(seconds, 30, "duration of fault injection per seed");
 DEFINE_int32(instances, 2, "instances in each of two zones");
 DEFINE_int32(callers, 40, "callers");
 DEFINE_string(program,
