--- a/tests/demo/main.cpp
+++ b/tests/demo/main.cpp
@@ -20,7 +20,7 @@
 int sFailed = 0;
 
 void
-Step(bool aDone, const std::string& aText)
+ReportStep(bool aDone, const std::string& aText)
 {
   std::printf("%s %s\n", aDone ? "  ok  " : "FAILED", aText.c_str());
   std::fflush(stdout);
@@ -59,20 +59,21 @@
       reply.wait();
     }
   });
-  int whole = 0;
+  int complete = 0;
   for (auto& reply : burst) {
     HttpReply got = reply.get();
-    whole += Content(got) == "w0 w1 w2 w3 w4 w5 w6 w7 " ? 1 : 0;
+    complete += Content(got) == "w0 w1 w2 w3 w4 w5 w6 w7 " ? 1 : 0;
   }
-  Step(whole == 6,
-       "a burst of 6 first requests at 2 instances: " + std::to_string(whole) +
-         " whole answers");
-  Step(aFleet.EngineAudit("loads") == 1,
-       "loads made for it: " + std::to_string(aFleet.EngineAudit("loads")));
+  ReportStep(complete == 6,
+             "a burst of 6 first requests at 2 instances: " +
+               std::to_string(complete) + " whole answers");
+  ReportStep(aFleet.EngineAudit("loads") == 1,
+             "loads made for it: " +
+               std::to_string(aFleet.EngineAudit("loads")));
   int64_t warm = MillisOf([&] { aFleet.Chat(1, key, "chat-m0", 8); });
-  Step(warm < cold,
-       "cold start " + std::to_string(cold) + " ms, warm " +
-         std::to_string(warm) + " ms for the whole answer");
+  ReportStep(warm < cold,
+             "cold start " + std::to_string(cold) + " ms, warm " +
+               std::to_string(warm) + " ms for the whole answer");
   HttpReply stream = aFleet.Chat(0, key, "chat-m0", 4, true);
   (void)stream;
 }
@@ -83,14 +84,14 @@
   std::string key = aFleet.mKeys["acme"];
   HttpReply first = aFleet.OrderCall(0, key, "closure-17", "close km 12");
   HttpReply second = aFleet.OrderCall(2, key, "closure-17", "close km 12");
-  Step(first.Ok() && second.Ok() && first.mBody == second.mBody,
-       "a closure order sent twice, at two zones: the same answer");
-  Step(aFleet.Runs("close km 12") == 1,
-       "runs of it at the service: " +
-         std::to_string(aFleet.Runs("close km 12")));
-  HttpReply bare = aFleet.OrderCall(0, key, "", "close km 13");
-  Step(bare.mStatus == 400 && aFleet.Runs("close km 13") == 0,
-       "the same order without an Idempotency-Key: refused, not run");
+  ReportStep(first.Ok() && second.Ok() && first.mBody == second.mBody,
+             "a closure order sent twice, at two zones: the same answer");
+  ReportStep(aFleet.Runs("close km 12") == 1,
+             "runs of it at the service: " +
+               std::to_string(aFleet.Runs("close km 12")));
+  HttpReply withoutKey = aFleet.OrderCall(0, key, "", "close km 13");
+  ReportStep(withoutKey.mStatus == 400 && aFleet.Runs("close km 13") == 0,
+             "the same order without an Idempotency-Key: refused, not run");
 }
 
 void
@@ -106,15 +107,17 @@
     return std::system((ctl + aArguments).c_str()) == 0;
   };
   bool changed = run("set profile chat-m0 max_tokens=3");
-  Step(changed && aFleet.AwaitRevision(2, Seconds(9)),
-       "an operator changes a profile: revision 2 in force on every instance");
+  ReportStep(
+    changed && aFleet.AwaitRevision(2, Seconds(9)),
+    "an operator changes a profile: revision 2 in force on every instance");
   HttpReply reply = aFleet.Chat(2, aFleet.mKeys["acme"], "chat-m0", 50);
-  Step(Content(reply) == "w0 w1 w2 ", "and it holds: answers have 3 tokens");
+  ReportStep(Content(reply) == "w0 w1 w2 ",
+             "and it holds: answers have 3 tokens");
   bool withdrawn = run("withdraw key-acme");
   aFleet.AwaitRevision(3, Seconds(9));
   HttpReply refused = aFleet.Chat(2, aFleet.mKeys["acme"], "chat-m0", 5);
-  Step(withdrawn && refused.mStatus == 401, "a withdrawn key is refused");
-  Step(run("status") && run("history"), "status and history");
+  ReportStep(withdrawn && refused.mStatus == 401, "a withdrawn key is refused");
+  ReportStep(run("status") && run("history"), "status and history");
 }
 
 void
@@ -127,11 +130,11 @@
   while (at < text.size()) {
     size_t end = text.find('\n', at);
     std::string line = text.substr(at, end - at);
-    bool wanted = line.find("acme") != std::string::npos &&
-                  (line.find("cold_start") != std::string::npos ||
-                   line.find("whole") != std::string::npos) &&
-                  line.find("bucket") == std::string::npos;
-    if (wanted) {
+    bool shown = line.find("acme") != std::string::npos &&
+                 (line.find("cold_start") != std::string::npos ||
+                  line.find("whole") != std::string::npos) &&
+                 line.find("bucket") == std::string::npos;
+    if (shown) {
       std::printf("        %s\n", line.c_str());
     }
     at = end + 1;
--- a/tests/standin/Engine.cpp
+++ b/tests/standin/Engine.cpp
@@ -96,12 +96,12 @@
       mOvercommits += bytes > FLAGS_memory ? 1 : 0;
       std::thread([this, aOrder] { Load(aOrder); }).detach();
     }
-    bool lose = mFaults["lose_order_answers"].asInt() > 0;
-    if (lose) {
+    bool loseAnswer = mFaults["lose_order_answers"].asInt() > 0;
+    if (loseAnswer) {
       mFaults["lose_order_answers"] = mFaults["lose_order_answers"].asInt() - 1;
     }
     lock.unlock();
-    if (!lose) {
+    if (!loseAnswer) {
       StandInSend(aOut, 200, answer);
     }
   }
@@ -172,19 +172,20 @@
   }
 
   // Waits for a place in the batch, by priority and then by arrival.
-  void Enter(int aPriority)
+  void EnterBatch(int aPriority)
   {
     std::unique_lock<std::mutex> lock(mLock);
-    auto turn = std::make_pair(aPriority, mNext++);
-    mWaiting.insert(turn);
-    mFree.wait(
-      lock, [&] { return mActive < FLAGS_batch && *mWaiting.begin() == turn; });
-    mWaiting.erase(turn);
+    auto position = std::make_pair(aPriority, mNext++);
+    mWaiting.insert(position);
+    mFree.wait(lock, [&] {
+      return mActive < FLAGS_batch && *mWaiting.begin() == position;
+    });
+    mWaiting.erase(position);
     ++mActive;
     mFree.notify_all();
   }
 
-  void Leave(const std::string& aKey)
+  void LeaveBatch(const std::string& aKey)
   {
     std::lock_guard<std::mutex> lock(mLock);
     --mActive;
@@ -217,58 +218,58 @@
       }
       ++found->second.mActive;
     }
-    Enter(aCall["priority"].asInt());
-    bool whole = Stream(aCall, aOut);
-    Leave(key);
+    EnterBatch(aCall["priority"].asInt());
+    bool complete = Stream(aCall, aOut);
+    LeaveBatch(key);
     std::lock_guard<std::mutex> lock(mLock);
-    (whole ? mGenerated : mCancelled) += 1;
+    (complete ? mGenerated : mCancelled) += 1;
   }
 
   // Faults: cut after N tokens, another request's id, a token left out or
   // doubled at N, an end marker that comes too early.
   bool Stream(const Json::Value& aCall, StandInResponse& aOut)
   {
-    int cut = TakeFault("cut_after");
-    int crossed = TakeFault("crossed_at");
-    int skip = TakeFault("skip_at");
-    int twice = TakeFault("double_at");
-    int early = TakeFault("early_end_at");
-    Millis pace(FLAGS_token_ms);
+    int cutAfter = TakeFault("cut_after");
+    int crossedAt = TakeFault("crossed_at");
+    int skipAt = TakeFault("skip_at");
+    int doubleAt = TakeFault("double_at");
+    int earlyEndAt = TakeFault("early_end_at");
+    Millis tokenInterval(FLAGS_token_ms);
     {
       std::lock_guard<std::mutex> lock(mLock);
       if (mFaults["token_ms"].isInt()) {
-        pace = Millis(mFaults["token_ms"].asInt());
+        tokenInterval = Millis(mFaults["token_ms"].asInt());
       }
     }
-    int most = aCall["max_tokens"].asInt();
+    int maxTokens = aCall["max_tokens"].asInt();
     aOut.setChunkedTransferEncoding(true);
     std::ostream& out = aOut.send();
     Json::Value line;
-    for (int i = static_cast<int>(aCall["so_far"].size()); i < most; ++i) {
-      std::this_thread::sleep_for(pace);
-      if ((cut && i >= cut) || (early && i >= early)) {
+    for (int i = static_cast<int>(aCall["so_far"].size()); i < maxTokens; ++i) {
+      std::this_thread::sleep_for(tokenInterval);
+      if ((cutAfter && i >= cutAfter) || (earlyEndAt && i >= earlyEndAt)) {
         break;
       }
-      line["id"] =
-        crossed && i == crossed ? Json::Value("another") : aCall["request_id"];
-      line["i"] = skip && i >= skip ? i + 1 : i;
+      line["id"] = crossedAt && i == crossedAt ? Json::Value("another")
+                                               : aCall["request_id"];
+      line["i"] = skipAt && i >= skipAt ? i + 1 : i;
       line["t"] = "w" + std::to_string(i) + " ";
       out << JsonWrite(line) << "\n" << std::flush;
-      if (twice && i == twice) {
+      if (doubleAt && i == doubleAt) {
         out << JsonWrite(line) << "\n" << std::flush;
       }
       if (!out.good()) {
         return false;
       }
     }
-    if (cut) {
+    if (cutAfter) {
       aOut.setKeepAlive(false);
       throw Poco::IOException("cut");
     }
     Json::Value end;
     end["id"] = aCall["request_id"];
     end["end"] = true;
-    end["n"] = most;
+    end["n"] = maxTokens;
     end["reason"] = "stop";
     out << JsonWrite(end) << "\n" << std::flush;
     return out.good();
--- a/tests/standin/Platform.cpp
+++ b/tests/standin/Platform.cpp
@@ -58,7 +58,7 @@
   bool Available(StandInResponse& aOut)
   {
     std::unique_lock<std::mutex> lock(mLock);
-    Millis slow(mFaults["slow_ms"].asInt64());
+    Millis delay(mFaults["slow_ms"].asInt64());
     std::string outage = mFaults["outage"].asString();
     lock.unlock();
     if (outage == "hang") {
@@ -69,8 +69,8 @@
       StandInSend(aOut, 503, Json::Value(Json::objectValue));
       return false;
     }
-    if (slow > Millis(0)) {
-      std::this_thread::sleep_for(slow);
+    if (delay > Millis(0)) {
+      std::this_thread::sleep_for(delay);
     }
     return true;
   }
@@ -100,11 +100,11 @@
   void Count(const char* aOp) { mCounters[aOp] = mCounters[aOp].asInt64() + 1; }
 
   // A stale read gives what stood before, for a while after a change.
-  Json::Value Seen(const Stored& aStored)
+  Json::Value VisibleState(const Stored& aStored)
   {
     Millis stale(mFaults["stale_ms"].asInt64());
-    bool old = std::chrono::steady_clock::now() - aStored.mChanged < stale;
-    return old ? aStored.mBefore : aStored.mJson;
+    bool isStale = std::chrono::steady_clock::now() - aStored.mChanged < stale;
+    return isStale ? aStored.mBefore : aStored.mJson;
   }
 
   void Get(const std::string& aKey, StandInResponse& aOut)
@@ -112,10 +112,10 @@
     std::unique_lock<std::mutex> lock(mLock);
     Count("reads");
     auto found = mObjects.find(aKey);
-    Json::Value seen =
-      found == mObjects.end() ? Json::Value() : Seen(found->second);
+    Json::Value visible =
+      found == mObjects.end() ? Json::Value() : VisibleState(found->second);
     lock.unlock();
-    StandInSend(aOut, seen.isNull() ? 404 : 200, seen);
+    StandInSend(aOut, visible.isNull() ? 404 : 200, visible);
   }
 
   void Put(const std::string& aKey, StandInRequest& aIn, StandInResponse& aOut)
@@ -149,13 +149,13 @@
     stored.mChanged = std::chrono::steady_clock::now();
     Json::Value answer = stored.mJson;
     answer.removeMember("value");
-    bool lose = mFaults["lose_answers"].asInt() > 0;
-    if (lose) {
+    bool loseAnswer = mFaults["lose_answers"].asInt() > 0;
+    if (loseAnswer) {
       mFaults["lose_answers"] = mFaults["lose_answers"].asInt() - 1;
     }
     mChanged.notify_all();
     lock.unlock();
-    if (!lose) {
+    if (!loseAnswer) {
       StandInSend(aOut, 200, answer);
     }
   }
@@ -169,18 +169,18 @@
     std::unique_lock<std::mutex> lock(mLock);
     Count("watches");
     auto until = std::chrono::steady_clock::now() + within;
-    Json::Value seen;
+    Json::Value visible;
     for (;;) {
       auto found = mObjects.find(aKey);
       if (found != mObjects.end()) {
-        seen = Seen(found->second);
+        visible = VisibleState(found->second);
       }
-      bool changed = seen["version"].asInt64() > after;
-      bool out = !mFaults["outage"].asString().empty();
-      if (changed || out || std::chrono::steady_clock::now() >= until) {
+      bool changed = visible["version"].asInt64() > after;
+      bool outage = !mFaults["outage"].asString().empty();
+      if (changed || outage || std::chrono::steady_clock::now() >= until) {
         lock.unlock();
-        if (!out) {
-          StandInSend(aOut, changed ? 200 : 204, seen);
+        if (!outage) {
+          StandInSend(aOut, changed ? 200 : 204, visible);
         }
         return;
       }
@@ -198,9 +198,9 @@
          entry != mObjects.end() &&
          entry->first.compare(0, aPrefix.size(), aPrefix) == 0;
          ++entry) {
-      Json::Value seen = Seen(entry->second);
-      if (!seen.isNull()) {
-        answer["objects"].append(seen);
+      Json::Value visible = VisibleState(entry->second);
+      if (!visible.isNull()) {
+        answer["objects"].append(visible);
       }
     }
     lock.unlock();
--- a/tests/standin/Proxy.cpp
+++ b/tests/standin/Proxy.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-constexpr Millis kLook{ 20 };
+constexpr Millis kPollInterval{ 20 };
 
 class Proxy
 {
@@ -46,8 +46,8 @@
   void Accept(Poco::Net::ServerSocket& aServer)
   {
     for (;;) {
-      Poco::Net::StreamSocket near = aServer.acceptConnection();
-      std::thread([this, near]() mutable { Join(near); }).detach();
+      Poco::Net::StreamSocket caller = aServer.acceptConnection();
+      std::thread([this, caller]() mutable { Forward(caller); }).detach();
     }
   }
 
@@ -59,11 +59,11 @@
   }
 
   // Zone of the instance that connected, by the header its calls carry.
-  static std::string ZoneOf(Poco::Net::StreamSocket& aNear)
+  static std::string ZoneOf(Poco::Net::StreamSocket& aCaller)
   {
     static const std::string sHeader = "X-Caraway-From: ";
     char buffer[4096];
-    int got = aNear.receiveBytes(buffer, sizeof buffer, MSG_PEEK);
+    int got = aCaller.receiveBytes(buffer, sizeof buffer, MSG_PEEK);
     std::string text(buffer, static_cast<size_t>(std::max(got, 0)));
     size_t at = text.find(sHeader);
     if (at == std::string::npos) {
@@ -73,12 +73,12 @@
     return text.substr(at, text.find('/', at) - at);
   }
 
-  void Join(Poco::Net::StreamSocket& aNear)
+  void Forward(Poco::Net::StreamSocket& aCaller)
   {
     try {
-      std::string from = ZoneOf(aNear);
+      std::string from = ZoneOf(aCaller);
       if (Mode(from) == "cut") {
-        aNear.close();
+        aCaller.close();
         return;
       }
       std::string target;
@@ -86,16 +86,17 @@
         std::lock_guard<std::mutex> lock(mLock);
         target = FLAGS_target;
       }
-      Poco::Net::StreamSocket far;
-      far.connect(Poco::Net::SocketAddress(target), Poco::Timespan(1, 0));
-      far.setNoDelay(true);
-      aNear.setNoDelay(true);
-      std::thread back(
-        [this, far, aNear, from]() mutable { Pump(far, aNear, true, from); });
-      Pump(aNear, far, false, from);
-      back.join();
+      Poco::Net::StreamSocket server;
+      server.connect(Poco::Net::SocketAddress(target), Poco::Timespan(1, 0));
+      server.setNoDelay(true);
+      aCaller.setNoDelay(true);
+      std::thread answers([this, server, aCaller, from]() mutable {
+        Pump(server, aCaller, true, from);
+      });
+      Pump(aCaller, server, false, from);
+      answers.join();
     } catch (const Poco::Exception&) {
-      aNear.close();
+      aCaller.close();
     }
   }
 
@@ -111,10 +112,11 @@
         if (mode == "cut") {
           break;
         }
-        Poco::Timespan look(Micros(kLook).count());
+        Poco::Timespan pollTimeout(Micros(kPollInterval).count());
         if (mode == "freeze" ||
-            !aFrom.poll(look, Poco::Net::Socket::SELECT_READ)) {
-          std::this_thread::sleep_for(mode == "freeze" ? kLook : Millis(0));
+            !aFrom.poll(pollTimeout, Poco::Net::Socket::SELECT_READ)) {
+          std::this_thread::sleep_for(mode == "freeze" ? kPollInterval
+                                                       : Millis(0));
           continue;
         }
         int got = aFrom.receiveBytes(buffer, sizeof buffer);
--- a/tests/standin/Service.cpp
+++ b/tests/standin/Service.cpp
@@ -41,8 +41,8 @@
     mReceivedKey = mReceivedKey || aIn.has("Authorization");
     mRuns[body] = mRuns[body].asInt() + 1;
     Millis delay(mFaults["delay_ms"].asInt64());
-    bool lose = mFaults["lose_answers"].asInt() > 0;
-    if (lose) {
+    bool loseAnswer = mFaults["lose_answers"].asInt() > 0;
+    if (loseAnswer) {
       mFaults["lose_answers"] = mFaults["lose_answers"].asInt() - 1;
     }
     int padding = mFaults["padding"].asInt();
@@ -54,7 +54,7 @@
     if (delay > Millis(0)) {
       std::this_thread::sleep_for(delay);
     }
-    if (!lose) {
+    if (!loseAnswer) {
       if (padding > 0) {
         answer["padding"] = std::string(static_cast<size_t>(padding), 'x');
       }
--- a/tests/standin/Store.cpp
+++ b/tests/standin/Store.cpp
@@ -34,13 +34,13 @@
       order.append(aIn.getURI());
     }
     peak = std::max(peak.load(), ++active);
-    constexpr double kStep = 5;
-    double left = static_cast<double>(FLAGS_weights_ms);
-    while (left > 0) {
-      std::this_thread::sleep_for(Millis(static_cast<int>(kStep)));
-      double crowd =
+    constexpr double kStepMs = 5;
+    double leftMs = static_cast<double>(FLAGS_weights_ms);
+    while (leftMs > 0) {
+      std::this_thread::sleep_for(Millis(static_cast<int>(kStepMs)));
+      double slowdown =
         std::max(1.0, static_cast<double>(active) / FLAGS_full_speed);
-      left -= kStep / crowd;
+      leftMs -= kStepMs / slowdown;
     }
     --active;
     StandInSend(aOut, 200, Json::Value(Json::objectValue));
--- a/tests/standin/main.cpp
+++ b/tests/standin/main.cpp
@@ -86,20 +86,20 @@
   sigaddset(&signals, SIGINT);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
-  std::string what = aCount > 1 ? aArguments[1] : "";
-  if (what == "platform") {
+  std::string kind = aCount > 1 ? aArguments[1] : "";
+  if (kind == "platform") {
     return caraway::RunPlatform();
   }
-  if (what == "engine") {
+  if (kind == "engine") {
     return caraway::RunEngine();
   }
-  if (what == "service") {
+  if (kind == "service") {
     return caraway::RunService();
   }
-  if (what == "store") {
+  if (kind == "store") {
     return caraway::RunStore();
   }
-  if (what == "proxy") {
+  if (kind == "proxy") {
     return caraway::RunProxy();
   }
   std::fprintf(stderr,
