--- a/tests/demo/main.cpp
+++ b/tests/demo/main.cpp
@@ -1,6 +1,5 @@
-// caraway-demo: the whole path, as separate processes, told in a few lines.
-// Reads from top to bottom like a user's first hour. Exit 0 only if every
-// step did what it says.
+// caraway-demo: demonstrates the complete request path with separate processes
+// and prints one line per step. Exits with 0 only if every step succeeded.
 #include <cstdio>
 #include <cstdlib>
 #include <future>
@@ -66,14 +65,14 @@
   }
   ReportStep(complete == 6,
              "a burst of 6 first requests at 2 instances: " +
-               std::to_string(complete) + " whole answers");
+               std::to_string(complete) + " complete answers");
   ReportStep(aFleet.EngineAudit("loads") == 1,
-             "loads made for it: " +
+             "loads for this burst: " +
                std::to_string(aFleet.EngineAudit("loads")));
   int64_t warm = MillisOf([&] { aFleet.Chat(1, key, "chat-m0", 8); });
   ReportStep(warm < cold,
              "cold start " + std::to_string(cold) + " ms, warm " +
-               std::to_string(warm) + " ms for the whole answer");
+               std::to_string(warm) + " ms for the complete answer");
   HttpReply stream = aFleet.Chat(0, key, "chat-m0", 4, true);
   (void)stream;
 }
@@ -85,9 +84,9 @@
   HttpReply first = aFleet.OrderCall(0, key, "closure-17", "close km 12");
   HttpReply second = aFleet.OrderCall(2, key, "closure-17", "close km 12");
   ReportStep(first.Ok() && second.Ok() && first.mBody == second.mBody,
-             "a closure order sent twice, at two zones: the same answer");
+             "a closure order sent twice, to two zones: the same answer");
   ReportStep(aFleet.Runs("close km 12") == 1,
-             "runs of it at the service: " +
+             "runs of this order at the service: " +
                std::to_string(aFleet.Runs("close km 12")));
   HttpReply withoutKey = aFleet.OrderCall(0, key, "", "close km 13");
   ReportStep(withoutKey.mStatus == 400 && aFleet.Runs("close km 13") == 0,
@@ -112,7 +111,7 @@
     "an operator changes a profile: revision 2 in force on every instance");
   HttpReply reply = aFleet.Chat(2, aFleet.mKeys["acme"], "chat-m0", 50);
   ReportStep(Content(reply) == "w0 w1 w2 ",
-             "and it holds: answers have 3 tokens");
+             "the change is in effect: answers have 3 tokens");
   bool withdrawn = run("withdraw key-acme");
   aFleet.AwaitRevision(3, Seconds(9));
   HttpReply refused = aFleet.Chat(2, aFleet.mKeys["acme"], "chat-m0", 5);
@@ -123,7 +122,7 @@
 void
 Histograms(Fleet& aFleet)
 {
-  std::printf("      histogram of tenant acme's cold starts and whole times "
+  std::printf("      histogram of tenant acme's cold starts and complete times "
               "(instance i0):\n");
   std::string text = aFleet.Metrics(0);
   size_t at = 0;
@@ -150,7 +149,7 @@
   FleetPlan plan;
   Fleet fleet(plan);
   std::printf("3 instances in 2 zones, 2 engines, 2 services, a weight store "
-              "and the platform: all processes of their own\n");
+              "and the platform, each as its own process\n");
   ColdAndWarmStart(fleet);
   Orders(fleet);
   Operators(fleet);
@@ -165,7 +164,7 @@
                 fleet.mAdminKey.c_str());
     std::getchar();
   }
-  std::printf(
-    "%s\n", sFailed == 0 ? "every step did what it says" : "some steps FAILED");
+  std::printf("%s\n",
+              sFailed == 0 ? "all steps succeeded" : "some steps FAILED");
   return sFailed == 0 ? 0 : 1;
 }
--- a/tests/standin/Engine.cpp
+++ b/tests/standin/Engine.cpp
@@ -1,5 +1,5 @@
-// A model engine: loads on order, batches with priorities, streams tokens,
-// counts what it holds at every moment. POST /control sets its faults.
+// Stand-in for a model engine: loads models on order, batches requests by
+// priority, streams tokens and tracks what it holds. POST /control sets faults.
 #include <condition_variable>
 #include <gflags/gflags.h>
 #include <map>
@@ -15,12 +15,14 @@
 
 DECLARE_string(listen);
 DEFINE_int64(memory, 100, "bytes for models");
-DEFINE_bool(checks_fencing, true, "refuse orders with an old number");
-DEFINE_string(store, "", "weight store ip:port; loads take load_ms without");
-DEFINE_int64(load_ms, 200, "time of a load without a store");
-DEFINE_int64(adapter_ms, 5, "time of an adapter's load");
-DEFINE_int64(token_ms, 5, "time between tokens");
-DEFINE_int32(batch, 8, "requests served at a time");
+DEFINE_bool(checks_fencing,
+            true,
+            "refuse orders with an outdated fencing number");
+DEFINE_string(store, "", "weight store ip:port; without it loads take load_ms");
+DEFINE_int64(load_ms, 200, "duration of a load without a store, in ms");
+DEFINE_int64(adapter_ms, 5, "duration of an adapter load, in ms");
+DEFINE_int64(token_ms, 5, "time between tokens, in ms");
+DEFINE_int32(batch, 8, "requests served at the same time");
 
 namespace caraway {
 
@@ -87,8 +89,8 @@
       mReplicas[key].mOrder = aOrder;
       mReplicas[key].mUsed = std::chrono::steady_clock::now();
       ++mLoads;
-      // An engine takes what it is told to; that it never was too much is
-      // the account's business, and counted here.
+      // The engine loads whatever is ordered. That orders never exceed its
+      // memory is the caller's task; violations are counted here.
       int64_t bytes = Bytes();
       mPeakBytes = std::max(mPeakBytes, bytes);
       mPeakReplicas =
@@ -171,7 +173,7 @@
     return state;
   }
 
-  // Waits for a place in the batch, by priority and then by arrival.
+  // Waits for a slot in the batch, by priority and then by arrival.
   void EnterBatch(int aPriority)
   {
     std::unique_lock<std::mutex> lock(mLock);
@@ -225,8 +227,8 @@
     (complete ? mGenerated : mCancelled) += 1;
   }
 
-  // Faults: cut after N tokens, another request's id, a token left out or
-  // doubled at N, an end marker that comes too early.
+  // Faults: stream cut after N tokens, another request's id, a token skipped or
+  // doubled at N, an early end marker.
   bool Stream(const Json::Value& aCall, StandInResponse& aOut)
   {
     int cutAfter = TakeFault("cut_after");
--- a/tests/standin/Platform.cpp
+++ b/tests/standin/Platform.cpp
@@ -1,5 +1,5 @@
-// The platform: object API with versions, conditional updates and watches,
-// and the instance list. POST /control sets its faults.
+// Stand-in for the platform: object API with versions, conditional updates and
+// watches, and the instance list. POST /control sets faults.
 #include <condition_variable>
 #include <deque>
 #include <gflags/gflags.h>
@@ -54,7 +54,8 @@
   }
 
 private:
-  // An answer that isn't sent closes the connection: it is lost.
+  // Applies outages and delays. False if no regular answer may follow; an
+  // answer that isn't sent closes the connection and is lost.
   bool Available(StandInResponse& aOut)
   {
     std::unique_lock<std::mutex> lock(mLock);
@@ -99,7 +100,8 @@
 
   void Count(const char* aOp) { mCounters[aOp] = mCounters[aOp].asInt64() + 1; }
 
-  // A stale read gives what stood before, for a while after a change.
+  // A stale read returns the state before the last change for stale_ms after
+  // it.
   Json::Value VisibleState(const Stored& aStored)
   {
     Millis stale(mFaults["stale_ms"].asInt64());
@@ -134,7 +136,7 @@
       return;
     }
     if (mFaults["drop_writes"].asInt() > 0) {
-      // Lost on the way in: never takes effect.
+      // The request is lost on its way in and never takes effect.
       mFaults["drop_writes"] = mFaults["drop_writes"].asInt() - 1;
       if (version == 0) {
         mObjects.erase(aKey);
--- a/tests/standin/Proxy.cpp
+++ b/tests/standin/Proxy.cpp
@@ -1,8 +1,11 @@
-// A TCP fault proxy. POST /mode {"mode":M,"delay_ms":N} on its control port:
-// pass; cut (connections are closed, new ones refused); freeze (bytes wait
-// until the mode changes); drop_answer (requests go through, answers don't).
-// "cut_from":["zone"] cuts only connections whose first bytes say that they
-// come from an instance of that zone.
+// A TCP proxy that injects faults. POST /mode {"mode":M,"delay_ms":N} on its
+// control port sets the mode:
+//  pass         forwards everything
+//  cut          closes connections and refuses new ones
+//  freeze       holds bytes back until the mode changes
+//  drop_answer  forwards requests but no answers
+// "cut_from":["zone"] cuts only connections from instances of that zone, as the
+// first bytes on the connection show.
 #include <algorithm>
 #include <atomic>
 #include <gflags/gflags.h>
@@ -58,7 +61,7 @@
     return mCutFrom.count(aFrom) ? "cut" : mMode;
   }
 
-  // Zone of the instance that connected, by the header its calls carry.
+  // Zone of the connecting instance, from the header that its calls carry.
   static std::string ZoneOf(Poco::Net::StreamSocket& aCaller)
   {
     static const std::string sHeader = "X-Caraway-From: ";
--- a/tests/standin/Service.cpp
+++ b/tests/standin/Service.cpp
@@ -1,4 +1,4 @@
-// A plain service that counts how often it ran each body.
+// Stand-in for a plain service that counts its runs of each request body.
 #include <gflags/gflags.h>
 #include <map>
 #include <mutex>
--- a/tests/standin/StandIn.h
+++ b/tests/standin/StandIn.h
@@ -1,5 +1,5 @@
-// StandIn.h: what all stand-ins share. Each runs as a process of its own,
-// prints {"address":…} once it serves, and ends with SIGTERM.
+// StandIn.h: functions shared by all stand-ins. Each stand-in runs as a process
+// of its own, prints {"address":…} once it serves, and exits on SIGTERM.
 #ifndef caraway_tests_StandIn_h
 #define caraway_tests_StandIn_h
 
@@ -14,12 +14,12 @@
 using StandInRequest = Poco::Net::HTTPServerRequest;
 using StandInResponse = Poco::Net::HTTPServerResponse;
 
-// Body as JSON; an empty object when there is none.
+// The request's body as JSON; an empty object if it can't be parsed.
 Json::Value
 StandInBody(StandInRequest& aRequest);
 void
 StandInSend(StandInResponse& aResponse, int aStatus, const Json::Value& aJson);
-// "NAME=VALUE" of the query; aDefault without it.
+// Value of the query parameter aName, or aDefault if it is absent.
 std::string
 StandInQuery(const std::string& aUri,
              const std::string& aName,
@@ -39,7 +39,7 @@
 int
 RunProxy();
 
-// Prints aAddresses and waits for SIGTERM.
+// Prints aAddresses, waits for SIGTERM and exits.
 void
 StandInServe(const Json::Value& aAddresses);
 
--- a/tests/standin/Store.cpp
+++ b/tests/standin/Store.cpp
@@ -1,4 +1,5 @@
-// The weight store: a few loads at full speed, slower beyond that.
+// Stand-in for the weight store: a few loads run at full speed, more are
+// slower.
 #include <atomic>
 #include <gflags/gflags.h>
 #include <mutex>
@@ -8,8 +9,8 @@
 #include "standin/StandIn.h"
 
 DECLARE_string(listen);
-DEFINE_int64(weights_ms, 400, "a load at full speed");
-DEFINE_int32(full_speed, 4, "loads at full speed");
+DEFINE_int64(weights_ms, 400, "duration of a load at full speed, in ms");
+DEFINE_int32(full_speed, 4, "concurrent loads at full speed");
 
 namespace caraway {
 
@@ -19,7 +20,7 @@
   std::atomic<int> active{ 0 };
   std::atomic<int> peak{ 0 };
   std::mutex lock;
-  Json::Value order(Json::arrayValue); // paths, as their loads began
+  Json::Value order(Json::arrayValue); // paths, in order of loading
   HttpPort port(FLAGS_listen, StandInLimits(), [&](auto& aIn, auto& aOut) {
     if (aIn.getURI() == "/counters") {
       Json::Value counters;
--- a/tests/standin/main.cpp
+++ b/tests/standin/main.cpp
@@ -1,4 +1,5 @@
-// caraway-standin: platform, engine, service, weight store and fault proxy.
+// caraway-standin: stand-ins for platform, engine, service and weight store,
+// and a fault proxy.
 #include <csignal>
 #include <cstdio>
 #include <gflags/gflags.h>
@@ -8,7 +9,7 @@
 #include "base/JsonText.h"
 #include "standin/StandIn.h"
 
-DEFINE_string(listen, "127.0.0.1:0", "ip:port; port 0 takes a free one");
+DEFINE_string(listen, "127.0.0.1:0", "ip:port; port 0 selects a free port");
 
 namespace caraway {
 
@@ -27,7 +28,7 @@
     static_cast<Poco::Net::HTTPResponse::HTTPStatus>(aStatus));
   aResponse.setContentType("application/json");
   if (aStatus == Poco::Net::HTTPResponse::HTTP_NO_CONTENT) {
-    // A body after 204 would be taken for the start of the next answer.
+    // A body after status 204 would be parsed as the start of the next answer.
     aResponse.setContentLength(0);
     aResponse.send();
     return;
@@ -70,7 +71,7 @@
   sigaddset(&signals, SIGINT);
   int signal = 0;
   sigwait(&signals, &signal);
-  // Nothing to keep: connections end with the process.
+  // There is no state to save, and connections end with the process.
   std::_Exit(0);
 }
 
