--- a/bench/ColdBench.cpp
+++ b/bench/ColdBench.cpp
@@ -27,7 +27,7 @@
 constexpr int64_t kMemory = 80;         // units per engine
 constexpr double kSecondsPerUnit = 0.4; // load from the store at full speed
 constexpr int kFullSpeed = 4;           // concurrent loads at full speed
-constexpr size_t kDiskKeeps = 10;       // checkpoints kept on an engine's disk
+constexpr size_t kDiskCapacity = 10;    // checkpoints kept on an engine's disk
 constexpr double kStep = 0.1;           // s
 constexpr double kDay = 86400;          // s
 constexpr double kMaxWait = 60; // s; longest wait of a request for a load
@@ -300,7 +300,7 @@
       engine.mDisk.erase(disk);
     }
     engine.mDisk.push_front(model);
-    if (engine.mDisk.size() > kDiskKeeps) {
+    if (engine.mDisk.size() > kDiskCapacity) {
       engine.mDisk.pop_back();
     }
   }
--- a/src/admin/AdminPort.cpp
+++ b/src/admin/AdminPort.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr size_t kBodyLimit = 16 * 1024 * 1024;
-constexpr Millis kBodyTime{ 10000 };
+constexpr Millis kBodyTimeout{ 10000 };
 const std::string kBearer = "Bearer ";
 const std::string kRevisions = "/admin/v1/revisions/";
 
@@ -133,7 +133,7 @@
 Result<Json::Value>
 AdminPort::Body(Request& aRequest)
 {
-  BOOST_LEAF_AUTO(text, HttpReadBody(aRequest, kBodyLimit, kBodyTime));
+  BOOST_LEAF_AUTO(text, HttpReadBody(aRequest, kBodyLimit, kBodyTimeout));
   BOOST_LEAF_AUTO(json, JsonParse(text));
   if (!json.isObject()) {
     return Fail(ErrorKind::BadRequest, "expected a JSON object");
--- a/src/base/ErrorKind.cpp
+++ b/src/base/ErrorKind.cpp
@@ -8,41 +8,41 @@
 
 namespace {
 
-constexpr Millis kNever{ 0 };
-constexpr Millis kSoon{ 1000 };
-constexpr Millis kLater{ 5000 };
+constexpr Millis kNoRetry{ 0 };
+constexpr Millis kRetrySoon{ 1000 };
+constexpr Millis kRetryLater{ 5000 };
 
 // clang-format off
 constexpr ErrorAnswer kAnswers[] = {
-  { ErrorKind::BadRequest, "bad_request", "The request can't be understood.", 400, RunState::NotRun, kNever },
-  { ErrorKind::BodyTooLarge, "body_too_large", "The body is over the limit.", 413, RunState::NotRun, kNever },
-  { ErrorKind::KeyMissing, "key_missing", "No tenant key was shown.", 401, RunState::NotRun, kNever },
-  { ErrorKind::KeyUnknown, "key_unknown", "The key isn't granted.", 401, RunState::NotRun, kNever },
-  { ErrorKind::KeyStateStale, "key_state_stale", "This instance can't confirm its keys.", 503, RunState::NotRun, kLater },
-  { ErrorKind::ProfileUnknown, "profile_unknown", "No such profile for this key.", 404, RunState::NotRun, kNever },
-  { ErrorKind::IdempotencyKeyMissing, "idempotency_key_missing", "This profile's calls must not be repeated: send an Idempotency-Key.", 400, RunState::NotRun, kNever },
-  { ErrorKind::IdempotencyConflict, "idempotency_conflict", "The Idempotency-Key was used with another body.", 422, RunState::NotRun, kNever },
-  { ErrorKind::ClaimUnknown, "claim_unknown", "Whether this order ran before can't be looked up now.", 503, RunState::MayHaveRun, kLater },
-  { ErrorKind::OutcomeUnknown, "outcome_unknown", "The order was handed on and its outcome can't be known.", 502, RunState::MayHaveRun, kLater },
-  { ErrorKind::OutcomePending, "outcome_pending", "The same order is still running.", 409, RunState::MayHaveRun, kSoon },
-  { ErrorKind::AnswerNotKept, "answer_not_kept", "The order ran; its answer was too large to keep.", 409, RunState::Ran, kNever },
-  { ErrorKind::RateExceeded, "rate_exceeded", "The tenant is over its rate.", 429, RunState::NotRun, kSoon },
-  { ErrorKind::RateUnavailable, "rate_unavailable", "The tenant's share can't be reached.", 503, RunState::NotRun, kSoon },
-  { ErrorKind::CostAboveBurst, "cost_above_burst", "The request costs more than the tenant's burst.", 400, RunState::NotRun, kNever },
-  { ErrorKind::QueueFull, "queue_full", "Too much is waiting.", 503, RunState::NotRun, kSoon },
-  { ErrorKind::DeadlineUnmeetable, "deadline_unmeetable", "It can't be served in its time.", 503, RunState::NotRun, kSoon },
-  { ErrorKind::DeadlinePassed, "deadline_passed", "Its time has passed.", 504, RunState::NotRun, kSoon },
-  { ErrorKind::NoEndpoint, "no_endpoint", "No endpoint can be reached.", 503, RunState::NotRun, kSoon },
-  { ErrorKind::NoCapacity, "no_capacity", "No endpoint has memory for the model.", 503, RunState::NotRun, kLater },
-  { ErrorKind::EndpointFailed, "endpoint_failed", "The endpoint failed while it answered.", 502, RunState::MayHaveRun, kSoon },
-  { ErrorKind::PlatformUnavailable, "platform_unavailable", "The platform can't be reached.", 503, RunState::NotRun, kLater },
-  { ErrorKind::RevisionConflict, "revision_conflict", "The configuration has changed meanwhile.", 409, RunState::NotRun, kNever },
-  { ErrorKind::ConfigInvalid, "config_invalid", "The configuration isn't valid.", 422, RunState::NotRun, kNever },
-  { ErrorKind::NotReady, "not_ready", "This instance has no configuration yet.", 503, RunState::NotRun, kSoon },
-  { ErrorKind::ShuttingDown, "shutting_down", "This instance is leaving.", 503, RunState::NotRun, kSoon },
-  { ErrorKind::NotFound, "not_found", "No such thing.", 404, RunState::NotRun, kNever },
-  { ErrorKind::Forbidden, "forbidden", "The key doesn't allow this.", 403, RunState::NotRun, kNever },
-  { ErrorKind::Internal, "internal", "A fault of ours.", 500, RunState::MayHaveRun, kSoon },
+  { ErrorKind::BadRequest, "bad_request", "The request can't be understood.", 400, RunState::NotRun, kNoRetry },
+  { ErrorKind::BodyTooLarge, "body_too_large", "The body is over the limit.", 413, RunState::NotRun, kNoRetry },
+  { ErrorKind::KeyMissing, "key_missing", "No tenant key was shown.", 401, RunState::NotRun, kNoRetry },
+  { ErrorKind::KeyUnknown, "key_unknown", "The key isn't granted.", 401, RunState::NotRun, kNoRetry },
+  { ErrorKind::KeyStateStale, "key_state_stale", "This instance can't confirm its keys.", 503, RunState::NotRun, kRetryLater },
+  { ErrorKind::ProfileUnknown, "profile_unknown", "No such profile for this key.", 404, RunState::NotRun, kNoRetry },
+  { ErrorKind::IdempotencyKeyMissing, "idempotency_key_missing", "This profile's calls must not be repeated: send an Idempotency-Key.", 400, RunState::NotRun, kNoRetry },
+  { ErrorKind::IdempotencyConflict, "idempotency_conflict", "The Idempotency-Key was used with another body.", 422, RunState::NotRun, kNoRetry },
+  { ErrorKind::ClaimUnknown, "claim_unknown", "Whether this order ran before can't be looked up now.", 503, RunState::MayHaveRun, kRetryLater },
+  { ErrorKind::OutcomeUnknown, "outcome_unknown", "The order was handed on and its outcome can't be known.", 502, RunState::MayHaveRun, kRetryLater },
+  { ErrorKind::OutcomePending, "outcome_pending", "The same order is still running.", 409, RunState::MayHaveRun, kRetrySoon },
+  { ErrorKind::AnswerNotKept, "answer_not_kept", "The order ran; its answer was too large to keep.", 409, RunState::Ran, kNoRetry },
+  { ErrorKind::RateExceeded, "rate_exceeded", "The tenant is over its rate.", 429, RunState::NotRun, kRetrySoon },
+  { ErrorKind::RateUnavailable, "rate_unavailable", "The tenant's share can't be reached.", 503, RunState::NotRun, kRetrySoon },
+  { ErrorKind::CostAboveBurst, "cost_above_burst", "The request costs more than the tenant's burst.", 400, RunState::NotRun, kNoRetry },
+  { ErrorKind::QueueFull, "queue_full", "Too much is waiting.", 503, RunState::NotRun, kRetrySoon },
+  { ErrorKind::DeadlineUnmeetable, "deadline_unmeetable", "It can't be served in its time.", 503, RunState::NotRun, kRetrySoon },
+  { ErrorKind::DeadlinePassed, "deadline_passed", "Its time has passed.", 504, RunState::NotRun, kRetrySoon },
+  { ErrorKind::NoEndpoint, "no_endpoint", "No endpoint can be reached.", 503, RunState::NotRun, kRetrySoon },
+  { ErrorKind::NoCapacity, "no_capacity", "No endpoint has memory for the model.", 503, RunState::NotRun, kRetryLater },
+  { ErrorKind::EndpointFailed, "endpoint_failed", "The endpoint failed while it answered.", 502, RunState::MayHaveRun, kRetrySoon },
+  { ErrorKind::PlatformUnavailable, "platform_unavailable", "The platform can't be reached.", 503, RunState::NotRun, kRetryLater },
+  { ErrorKind::RevisionConflict, "revision_conflict", "The configuration has changed meanwhile.", 409, RunState::NotRun, kNoRetry },
+  { ErrorKind::ConfigInvalid, "config_invalid", "The configuration isn't valid.", 422, RunState::NotRun, kNoRetry },
+  { ErrorKind::NotReady, "not_ready", "This instance has no configuration yet.", 503, RunState::NotRun, kRetrySoon },
+  { ErrorKind::ShuttingDown, "shutting_down", "This instance is leaving.", 503, RunState::NotRun, kRetrySoon },
+  { ErrorKind::NotFound, "not_found", "No such thing.", 404, RunState::NotRun, kNoRetry },
+  { ErrorKind::Forbidden, "forbidden", "The key doesn't allow this.", 403, RunState::NotRun, kNoRetry },
+  { ErrorKind::Internal, "internal", "A fault of ours.", 500, RunState::MayHaveRun, kRetrySoon },
 };
 // clang-format on
 
--- a/src/ctl/RequestTrace.cpp
+++ b/src/ctl/RequestTrace.cpp
@@ -105,7 +105,7 @@
     TraceLine line;
     line.mInstance = TextOf(json, "instance");
     line.mAt = json["at"].asInt64();
-    line.mUp = json["up_ms"].isInt64() ? json["up_ms"].asInt64() : 0;
+    line.mUptimeMs = json["up_ms"].isInt64() ? json["up_ms"].asInt64() : 0;
     line.mOwn = TextOf(json, "id") == mId;
     line.mLine = std::move(json);
     mLines.push_back(std::move(line));
@@ -116,13 +116,13 @@
 RequestTrace::IsRelated(const TraceLine& aLine,
                         const std::vector<TraceLine>& aOwnLines) const
 {
-  bool near = std::any_of(
+  bool inWindow = std::any_of(
     aOwnLines.begin(), aOwnLines.end(), [&aLine](const TraceLine& aRequest) {
       int64_t after = aLine.mAt - aRequest.mAt;
       return after > -kBeforeMs && after < kAfterMs;
     });
   std::string event = TextOf(aLine.mLine, "event");
-  if (!near || aLine.mOwn) {
+  if (!inWindow || aLine.mOwn) {
     return false;
   }
   if (kModelEvents.count(event)) {
@@ -150,7 +150,7 @@
                [](const TraceLine& aLine) { return aLine.mOwn; });
   std::stable_sort(
     ownLines.begin(), ownLines.end(), [](const auto& aOne, const auto& aOther) {
-      return aOne.mUp < aOther.mUp;
+      return aOne.mUptimeMs < aOther.mUptimeMs;
     });
   std::map<std::string, std::vector<TraceLine>> linesByInstance;
   for (const TraceLine& line : mLines) {
@@ -165,15 +165,16 @@
     int64_t shift = sameInstance ? 0 : ShiftOf(ownLines, lines);
     for (TraceLine& line : lines) {
       line.mAt += shift;
-      line.mMoved = shift != 0;
+      line.mShifted = shift != 0;
       trace.push_back(std::move(line));
     }
   }
   std::stable_sort(
     trace.begin(), trace.end(), [](const auto& aOne, const auto& aOther) {
       bool sameInstance = aOne.mInstance == aOther.mInstance;
-      return sameInstance && aOne.mAt == aOther.mAt ? aOne.mUp < aOther.mUp
-                                                    : aOne.mAt < aOther.mAt;
+      return sameInstance && aOne.mAt == aOther.mAt
+               ? aOne.mUptimeMs < aOther.mUptimeMs
+               : aOne.mAt < aOther.mAt;
     });
   return trace;
 }
@@ -193,7 +194,7 @@
       rest.removeMember(name);
     }
     text << (line.mOwn ? "* " : "  ") << line.mAt - begin << " ms"
-         << (line.mMoved ? "~ " : " ") << line.mInstance << " "
+         << (line.mShifted ? "~ " : " ") << line.mInstance << " "
          << TextOf(line.mLine, "event") << " " << JsonWrite(rest) << "\n";
   }
   return text.str();
--- a/src/ctl/RequestTrace.h
+++ b/src/ctl/RequestTrace.h
@@ -12,11 +12,11 @@
 struct TraceLine
 {
   std::string mInstance;
-  int64_t mAt = 0; // the instance's wall clock, Unix ms
-  int64_t mUp = 0; // the instance's monotonic time; orders its own lines
+  int64_t mAt = 0;       // the instance's wall clock, Unix ms
+  int64_t mUptimeMs = 0; // the instance's monotonic time; orders its own lines
   Json::Value mLine;
-  bool mOwn = false;   // logged for the request itself
-  bool mMoved = false; // mAt was shifted to fit causes
+  bool mOwn = false;     // logged for the request itself
+  bool mShifted = false; // mAt was shifted to fit causes
 };
 
 class RequestTrace
--- a/src/daemon/Heartbeat.cpp
+++ b/src/daemon/Heartbeat.cpp
@@ -11,7 +11,7 @@
 constexpr int kOtherZoneInterval = 4; // in rounds
 // Covers all peers of a small fleet. In a large one the others learn of this
 // instance from the list.
-constexpr size_t kMaxGreetings = 16;
+constexpr size_t kMaxInitialContacts = 16;
 
 } // namespace
 
@@ -101,10 +101,10 @@
   for (const std::string& address : addresses) {
     // A peer that doesn't answer costs this round its time; the next round
     // continues.
-    if (mGreeted == kMaxGreetings || !SendHeartbeat(address)) {
+    if (mPeersContacted == kMaxInitialContacts || !SendHeartbeat(address)) {
       return;
     }
-    ++mGreeted;
+    ++mPeersContacted;
   }
 }
 
--- a/src/daemon/Heartbeat.h
+++ b/src/daemon/Heartbeat.h
@@ -55,7 +55,7 @@
   std::mt19937 mRandom{ std::random_device{}() };
   TimePoint mListRead{};
   int mRounds = 0;
-  size_t mGreeted = 0; // peers contacted at the start
+  size_t mPeersContacted = 0; // peers contacted at the start
 };
 
 } // namespace caraway
--- a/src/daemon/Instance.cpp
+++ b/src/daemon/Instance.cpp
@@ -43,8 +43,8 @@
 Millis
 WatchTime(const Settings& aSettings)
 {
-  constexpr Millis kMost{ 10000 };
-  return std::min(kMost, Millis(aSettings.mKeysMaxAge) / 8);
+  constexpr Millis kMaxWatch{ 10000 };
+  return std::min(kMaxWatch, Millis(aSettings.mKeysMaxAge) / 8);
 }
 
 LoaderSettings
@@ -107,7 +107,7 @@
   , mBriefingWorkers(kBriefingThreads)
   , mOwner(mConfig, mLoader, mLoadWorkers, mClock)
   , mKeys(mConfig, Millis(mSettings.mKeysMaxAge))
-  , mClaimBook(mClock)
+  , mClaimRegistry(mClock)
   , mBriefings(mPlatform)
 {
 }
@@ -159,7 +159,7 @@
   mShareClient = std::make_unique<ShareClient>(
     SharesOf(mSettings), mSettings.mZones, *mShares, mPeers, *mMembers, mClock);
   mClaims = std::make_unique<ClaimDriver>(
-    mIncarnation, mPlatform, mPeers, mClaimBook, mClaimWorkers, mClock);
+    mIncarnation, mPlatform, mPeers, mClaimRegistry, mClaimWorkers, mClock);
   mSlotFinder = std::make_unique<EngineSlotFinder>(
     mOwner, *mMembers, mPeers, mKeys, mMetrics);
   mModels = std::make_unique<ModelCalls>(
--- a/src/daemon/Instance.h
+++ b/src/daemon/Instance.h
@@ -75,7 +75,7 @@
   std::unique_ptr<ShareManager> mShares;
   std::unique_ptr<ShareClient> mShareClient;
   Authenticator mKeys;
-  ClaimRegistry mClaimBook;
+  ClaimRegistry mClaimRegistry;
   std::unique_ptr<ClaimDriver> mClaims;
   std::unique_ptr<EngineSlotFinder> mSlotFinder;
   std::unique_ptr<ModelCalls> mModels;
--- a/src/peer/PeerPort.cpp
+++ b/src/peer/PeerPort.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr size_t kBodyLimit = 4 * 1024 * 1024;
-constexpr Millis kBodyTime{ 2000 };
+constexpr Millis kBodyTimeout{ 2000 };
 const std::string kBearer = "Bearer ";
 
 } // namespace
@@ -62,7 +62,7 @@
     return;
   }
   auto body =
-    Outcome([&] { return HttpReadBody(aRequest, kBodyLimit, kBodyTime); });
+    Outcome([&] { return HttpReadBody(aRequest, kBodyLimit, kBodyTimeout); });
   if (auto* failure = std::get_if<Failure>(&body)) {
     aResponse.setKeepAlive(false);
     aResponse.setStatus(static_cast<HTTPResponse::HTTPStatus>(
--- a/src/platform/ConfigHolder.cpp
+++ b/src/platform/ConfigHolder.cpp
@@ -10,14 +10,14 @@
 // process start, an instance started in an isolated zone would report a peer's
 // stale configuration as fresh, its peers would believe that, and withdrawn
 // keys would stay valid for as long as instances are replaced.
-constexpr std::chrono::hours kNever{ 24 * 365 };
+constexpr std::chrono::hours kNeverConfirmedAge{ 24 * 365 };
 
 } // namespace
 
 ConfigHolder::ConfigHolder(const Clock& aClock)
   : mClock(aClock)
   , mCurrent(std::make_shared<const ConfigSnapshot>())
-  , mConfirmed(aClock.Now() - kNever)
+  , mConfirmed(aClock.Now() - kNeverConfirmedAge)
 {
 }
 
--- a/src/platform/PlatformClient.cpp
+++ b/src/platform/PlatformClient.cpp
@@ -84,8 +84,8 @@
   , mClock(aClock)
   , mPool(16)
   , mRandom(std::random_device{}())
-  , mBudget(mSettings.mCallsPerSecond)
-  , mBudgetAt(aClock.Now())
+  , mCallBudget(mSettings.mCallsPerSecond)
+  , mCallBudgetAt(aClock.Now())
 {
 }
 
@@ -104,15 +104,15 @@
 {
   std::lock_guard<std::mutex> lock(mLock);
   TimePoint now = mClock.Now();
-  double seconds = std::chrono::duration<double>(now - mBudgetAt).count();
-  mBudget = std::min(mSettings.mCallsPerSecond,
-                     mBudget + seconds * mSettings.mCallsPerSecond);
-  mBudgetAt = now;
-  if (mBudget < 1) {
+  double seconds = std::chrono::duration<double>(now - mCallBudgetAt).count();
+  mCallBudget = std::min(mSettings.mCallsPerSecond,
+                         mCallBudget + seconds * mSettings.mCallsPerSecond);
+  mCallBudgetAt = now;
+  if (mCallBudget < 1) {
     ++mCounts.mOverBudget;
     return false;
   }
-  mBudget -= 1;
+  mCallBudget -= 1;
   return true;
 }
 
--- a/src/platform/PlatformClient.h
+++ b/src/platform/PlatformClient.h
@@ -56,8 +56,8 @@
   PlatformCounts mCounts;
   mutable std::mutex mLock;
   std::mt19937 mRandom;
-  double mBudget;
-  TimePoint mBudgetAt;
+  double mCallBudget;
+  TimePoint mCallBudgetAt;
   TimePoint mLastAnswer{};
 };
 
--- a/src/serve/BriefingRunner.cpp
+++ b/src/serve/BriefingRunner.cpp
@@ -29,7 +29,7 @@
                                WorkerPool& aWorkers,
                                const Clock& aClock)
   : mStore(aStore)
-  , mTurns(aStore, aClock)
+  , mSteps(aStore, aClock)
   , mModels(aModels)
   , mMembers(aMembers)
   , mConfig(aConfig)
@@ -69,7 +69,7 @@
 void
 BriefingRunner::Run(const std::string& aId)
 {
-  bool ended = mTurns.Take(
+  bool ended = mSteps.Take(
     aId, [this](const Briefing& aBriefing) { return TryRun(aBriefing); });
   std::lock_guard<std::mutex> lock(mLock);
   mRunning.erase(aId);
--- a/src/serve/BriefingRunner.h
+++ b/src/serve/BriefingRunner.h
@@ -43,7 +43,7 @@
   std::optional<Briefing> TryRun(const Briefing& aBriefing);
 
   BriefingStore& mStore;
-  BriefingSteps mTurns;
+  BriefingSteps mSteps;
   ModelCalls& mModels;
   Members& mMembers;
   ConfigHolder& mConfig;
--- a/src/serve/CallerAnswer.cpp
+++ b/src/serve/CallerAnswer.cpp
@@ -40,7 +40,7 @@
 }
 
 bool
-CallerAnswer::Event(const char* aName, const std::string& aData)
+CallerAnswer::SendEvent(const char* aName, const std::string& aData)
 {
   std::lock_guard<std::timed_mutex> lock(mLock);
   return !mDone && WriteEvent(aName, aData);
--- a/src/serve/CallerAnswer.h
+++ b/src/serve/CallerAnswer.h
@@ -29,7 +29,7 @@
   bool Send(const std::function<void(Response&)>& aWrite);
   // Sends one event of a stream; the first one sends the response head. False
   // if the caller has disconnected or the port has ended the stream.
-  bool Event(const char* aName, const std::string& aData);
+  bool SendEvent(const char* aName, const std::string& aData);
   // Called after the last event of a stream.
   void EndEvents();
   bool Streaming() const;
--- a/src/serve/CallerPort.cpp
+++ b/src/serve/CallerPort.cpp
@@ -122,8 +122,8 @@
 int
 CallerPort::AnswerShuttingDown(TimePoint aUntil)
 {
-  constexpr Millis kSend{ 20 }; // per caller that doesn't read
-  mPort->LimitSendTime(kSend);
+  constexpr Millis kSendTimeout{ 20 }; // per caller that doesn't read
+  mPort->LimitSendTime(kSendTimeout);
   std::lock_guard<std::mutex> lock(mLock);
   int cut = 0;
   for (CallerAnswer* answer : mPendingAnswers) {
@@ -165,7 +165,7 @@
   // With the body unread, the connection would be reset before the caller sees
   // the response.
   Outcome([&] {
-    return HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTime);
+    return HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTimeout);
   });
   Failure failure = FailureOf(
     ErrorKind::ShuttingDown,
@@ -218,15 +218,15 @@
     return Chat(aRequest, aAnswer, aContext);
   }
   if (path == "/v1/models" && aRequest.getMethod() == "GET") {
-    List(aAnswer, aContext);
+    ListModels(aAnswer, aContext);
     return {};
   }
   if (path == "/v1/briefings" && aRequest.getMethod() == "POST") {
-    return Accept(aRequest, aAnswer, aContext);
+    return AcceptBriefing(aRequest, aAnswer, aContext);
   }
   if (path.compare(0, kBriefings.size(), kBriefings) == 0 &&
       aRequest.getMethod() == "GET") {
-    return Collect(aAnswer, aContext, path.substr(kBriefings.size()));
+    return FetchBriefing(aAnswer, aContext, path.substr(kBriefings.size()));
   }
   if (path.compare(0, kServices.size(), kServices) == 0) {
     return Service(aRequest, aAnswer, aContext, path.substr(kServices.size()));
@@ -236,7 +236,7 @@
 }
 
 void
-CallerPort::List(CallerAnswer& aAnswer, const RequestContext& aContext)
+CallerPort::ListModels(CallerAnswer& aAnswer, const RequestContext& aContext)
 {
   Json::Value json;
   json["object"] = "list";
@@ -274,7 +274,7 @@
                      bool& aStream) const
 {
   BOOST_LEAF_AUTO(
-    body, HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTime));
+    body, HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTimeout));
   BOOST_LEAF_AUTO(json, JsonParse(body));
   BOOST_LEAF_AUTO(call, ParseChat(json));
   BOOST_LEAF_CHECK(FindProfile(aContext, json["model"].asString()));
@@ -317,7 +317,7 @@
     if (!stream.Begun()) {
       return Fail(*failure);
     }
-    stream.Break(*failure);
+    stream.SendError(*failure);
     return Fail(*failure);
   }
   stream.Finish(std::get<ModelAnswer>(answer).mFinish);
@@ -327,9 +327,9 @@
 // Reports "accepted" only after the briefing is stored at the platform, where
 // it survives the loss of every instance.
 Result<void>
-CallerPort::Accept(Request& aRequest,
-                   CallerAnswer& aAnswer,
-                   RequestContext& aContext)
+CallerPort::AcceptBriefing(Request& aRequest,
+                           CallerAnswer& aAnswer,
+                           RequestContext& aContext)
 {
   bool wantsStream = false; // ignored: briefings are fetched, never streamed
   BOOST_LEAF_AUTO(call, ReadChat(aRequest, aContext, wantsStream));
@@ -357,9 +357,9 @@
 }
 
 Result<void>
-CallerPort::Collect(CallerAnswer& aAnswer,
-                    const RequestContext& aContext,
-                    const std::string& aId)
+CallerPort::FetchBriefing(CallerAnswer& aAnswer,
+                          const RequestContext& aContext,
+                          const std::string& aId)
 {
   bool validId = aId.size() == kIdDigits &&
                  aId.find_first_not_of("0123456789abcdef") == std::string::npos;
@@ -396,7 +396,7 @@
                 aContext.mProfile.mName + " is a model: /v1/chat/completions");
   }
   BOOST_LEAF_AUTO(
-    body, HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTime));
+    body, HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTimeout));
   ServiceCall call;
   call.mContext = aContext;
   call.mMethod = aRequest.getMethod();
--- a/src/serve/CallerPort.h
+++ b/src/serve/CallerPort.h
@@ -24,7 +24,7 @@
   std::string mListen;
   HttpPortLimits mLimits;
   size_t mBodyLimit = 1024 * 1024; // bytes
-  Millis mBodyTime{ 10000 };       // to receive the complete body
+  Millis mBodyTimeout{ 10000 };    // to receive the complete body
 };
 
 // POST /v1/chat/completions   a model profile; "stream": true for events
@@ -84,13 +84,13 @@
                        CallerAnswer& aAnswer,
                        RequestContext& aContext,
                        const std::string& aPath);
-  Result<void> Accept(Request& aRequest,
-                      CallerAnswer& aAnswer,
-                      RequestContext& aContext);
-  Result<void> Collect(CallerAnswer& aAnswer,
-                       const RequestContext& aContext,
-                       const std::string& aId);
-  void List(CallerAnswer& aAnswer, const RequestContext& aContext);
+  Result<void> AcceptBriefing(Request& aRequest,
+                              CallerAnswer& aAnswer,
+                              RequestContext& aContext);
+  Result<void> FetchBriefing(CallerAnswer& aAnswer,
+                             const RequestContext& aContext,
+                             const std::string& aId);
+  void ListModels(CallerAnswer& aAnswer, const RequestContext& aContext);
   Result<void> FindProfile(RequestContext& aContext,
                            const std::string& aName) const;
   void Refuse(CallerAnswer& aAnswer,
--- a/src/serve/ChatReply.cpp
+++ b/src/serve/ChatReply.cpp
@@ -48,7 +48,7 @@
 {
   Json::Value chunk = Chunk();
   chunk["choices"][0]["delta"]["content"] = aText;
-  return mAnswer.Event(nullptr, JsonWrite(chunk));
+  return mAnswer.SendEvent(nullptr, JsonWrite(chunk));
 }
 
 void
@@ -56,15 +56,16 @@
 {
   Json::Value chunk = Chunk();
   chunk["choices"][0]["finish_reason"] = aReason;
-  mAnswer.Event(nullptr, JsonWrite(chunk));
-  mAnswer.Event(nullptr, "[DONE]");
+  mAnswer.SendEvent(nullptr, JsonWrite(chunk));
+  mAnswer.SendEvent(nullptr, "[DONE]");
   mAnswer.EndEvents();
 }
 
 void
-ChatStream::Break(const Failure& aFailure)
+ChatStream::SendError(const Failure& aFailure)
 {
-  mAnswer.Event("error", JsonWrite(ProblemJson(aFailure, mCall.mContext.mId)));
+  mAnswer.SendEvent("error",
+                    JsonWrite(ProblemJson(aFailure, mCall.mContext.mId)));
   mAnswer.EndEvents();
 }
 
--- a/src/serve/ChatReply.h
+++ b/src/serve/ChatReply.h
@@ -24,7 +24,7 @@
   void Finish(const std::string& aReason);
   // Sends an error event instead of the end marker. A stream with neither was
   // cut off, so a short answer never looks complete.
-  void Break(const Failure& aFailure);
+  void SendError(const Failure& aFailure);
 
 private:
   Json::Value Chunk() const;
--- a/src/serve/EngineSlotFinder.cpp
+++ b/src/serve/EngineSlotFinder.cpp
@@ -84,10 +84,10 @@
 // as unreachable. In this instance's own zone it stops when this instance is
 // the owner.
 std::optional<Result<EngineSlotGrant>>
-EngineSlotFinder::AskZone(const EngineSlotRequest& aRequest,
-                          const std::string& aZone,
-                          const Caller& aCaller,
-                          InstanceInfo& aOwner)
+EngineSlotFinder::AcquireFromZoneOwners(const EngineSlotRequest& aRequest,
+                                        const std::string& aZone,
+                                        const Caller& aCaller,
+                                        InstanceInfo& aOwner)
 {
   for (int i = 0; i < kMaxOwners; ++i) {
     auto owner = mMembers.OwnerIn(aZone, OwnerKey(aRequest));
@@ -118,7 +118,7 @@
   }
   aRequest.mNoRedirect = true; // avoids a redirect loop
   auto answer = Outcome([&]() -> Result<EngineSlotGrant> {
-    auto answered = AskZone(aRequest, aZone, aCaller, aOwner);
+    auto answered = AcquireFromZoneOwners(aRequest, aZone, aCaller, aOwner);
     aSilent = !answered;
     return aSilent ? Fail(ErrorKind::NoEndpoint,
                           "no owner in the model's home zone answers")
@@ -151,7 +151,7 @@
                                 InstanceInfo& aOwner)
 {
   const std::string& zone = mMembers.Self().mZone;
-  if (auto answer = AskZone(aRequest, zone, aCaller, aOwner)) {
+  if (auto answer = AcquireFromZoneOwners(aRequest, zone, aCaller, aOwner)) {
     return std::move(*answer);
   }
   aOwner = mMembers.Self();
@@ -208,16 +208,16 @@
 
 void
 EngineSlotFinder::ReleaseSlot(const InstanceInfo& aOwner,
-                              const EngineSlotRelease& aReturn)
+                              const EngineSlotRelease& aRelease)
 {
   if (aOwner.mId == mMembers.Self().mId) {
-    mOwner.ReleaseSlot(aReturn);
+    mOwner.ReleaseSlot(aRelease);
     return;
   }
   Outcome([&] {
     return mPeers.Call(aOwner.mPeerAddress,
                        "model.return",
-                       EngineSlotReleaseJson(aReturn),
+                       EngineSlotReleaseJson(aRelease),
                        kReleaseTimeout);
   });
 }
--- a/src/serve/EngineSlotFinder.h
+++ b/src/serve/EngineSlotFinder.h
@@ -33,7 +33,7 @@
     const Caller& aCaller,
     InstanceInfo& aOwner);
   void ReleaseSlot(const InstanceInfo& aOwner,
-                   const EngineSlotRelease& aReturn);
+                   const EngineSlotRelease& aRelease);
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
 
@@ -49,7 +49,7 @@
     InstanceInfo& aOwner,
     bool& aSilent);
   // nullopt if no owner in the zone answers.
-  std::optional<Result<EngineSlotGrant>> AskZone(
+  std::optional<Result<EngineSlotGrant>> AcquireFromZoneOwners(
     const EngineSlotRequest& aRequest,
     const std::string& aZone,
     const Caller& aCaller,
--- a/src/serve/EngineStream.h
+++ b/src/serve/EngineStream.h
@@ -38,7 +38,7 @@
 
 struct GenerateResult
 {
-  GenerateOutcome mEnd = GenerateOutcome::NotOffered;
+  GenerateOutcome mOutcome = GenerateOutcome::NotOffered;
   std::string mReason; // finish reason, or description of the failure
 };
 
--- a/src/serve/ModelCalls.cpp
+++ b/src/serve/ModelCalls.cpp
@@ -89,9 +89,9 @@
   EngineSlotRelease release;
   release.mEngineSlotId = aGrant.mEngineSlotId;
   release.mTokens = static_cast<double>(aSoFar.mTokens.size());
-  release.mGone = aResult.mEnd == GenerateOutcome::Gone;
-  release.mFailed = aResult.mEnd == GenerateOutcome::NotOffered ||
-                    aResult.mEnd == GenerateOutcome::Broken;
+  release.mGone = aResult.mOutcome == GenerateOutcome::Gone;
+  release.mFailed = aResult.mOutcome == GenerateOutcome::NotOffered ||
+                    aResult.mOutcome == GenerateOutcome::Broken;
   return release;
 }
 
@@ -242,7 +242,7 @@
                      Micros(grant.mWaited));
     Attempt attempt = GenerateAttempt(aCall, grant, aOnToken, aSoFar);
     mSlotFinder.ReleaseSlot(owner, ReleaseOf(grant, attempt.mResult, aSoFar));
-    if (attempt.mResult.mEnd == GenerateOutcome::Complete) {
+    if (attempt.mResult.mOutcome == GenerateOutcome::Complete) {
       aSoFar.mFinish = attempt.mResult.mReason;
       mMetrics.Observe("whole",
                        context.mCaller.mTenant,
@@ -260,10 +260,10 @@
             { { "request", context.mId },
               { "endpoint", grant.mEndpoint },
               { "reason", attempt.mResult.mReason } });
-    if (attempt.mResult.mEnd == GenerateOutcome::Stopped) {
+    if (attempt.mResult.mOutcome == GenerateOutcome::Stopped) {
       return Fail(ErrorKind::EndpointFailed, "stopped");
     }
-    if (attempt.mResult.mEnd == GenerateOutcome::Broken) {
+    if (attempt.mResult.mOutcome == GenerateOutcome::Broken) {
       offered = true;
       last = FailureOf(ErrorKind::EndpointFailed, attempt.mResult.mReason);
     }
--- a/tests/process/AtMostOnceTest.cpp
+++ b/tests/process/AtMostOnceTest.cpp
@@ -128,8 +128,8 @@
   mFleet.PlatformFault("outage", "refuse");
   HttpReply retried = Send(2, "k1", "before");
   EXPECT_EQ(Field(retried, "run"), "may_have_run");
-  HttpReply fresh = Send(1, "k2", "during");
-  EXPECT_EQ(fresh.mStatus, 503);
+  HttpReply newOrder = Send(1, "k2", "during");
+  EXPECT_EQ(newOrder.mStatus, 503);
   EXPECT_EQ(mFleet.Runs("during"), 0);
   mFleet.PlatformFault("outage", "");
   EXPECT_TRUE(Send(2, "k2", "during").Ok());
--- a/tests/process/LeavingTest.cpp
+++ b/tests/process/LeavingTest.cpp
@@ -316,11 +316,11 @@
   std::string key = fleet.mKeys["acme"];
   ASSERT_TRUE(fleet.Chat(1, key, "chat-m0", 1).Ok());
   ServiceFaults(fleet, 5000, 0);
-  HttpReply whole;
+  HttpReply plain;
   HttpReply stream;
   HttpReply order;
   std::vector<std::thread> callers;
-  callers.emplace_back([&] { whole = fleet.Chat(1, key, "chat-m0", 150); });
+  callers.emplace_back([&] { plain = fleet.Chat(1, key, "chat-m0", 150); });
   callers.emplace_back(
     [&] { stream = fleet.Chat(1, key, "chat-m0", 150, true); });
   callers.emplace_back([&] { order = fleet.OrderCall(1, key, "k1", "b1"); });
@@ -336,8 +336,8 @@
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 1);
   // Plus the platform's timeout, since handing over the shares takes a call.
   EXPECT_LT(std::chrono::steady_clock::now() - begun, Millis(3200));
-  EXPECT_EQ(whole.mStatus, 503) << whole.mError;
-  EXPECT_EQ(RunOf(whole), "may_have_run");
+  EXPECT_EQ(plain.mStatus, 503) << plain.mError;
+  EXPECT_EQ(RunOf(plain), "may_have_run");
   EXPECT_EQ(order.mStatus, 503) << order.mError;
   EXPECT_EQ(RunOf(order), "may_have_run");
   EXPECT_EQ(stream.mStatus, 200) << stream.mError;
--- a/tests/process/ShareTest.cpp
+++ b/tests/process/ShareTest.cpp
@@ -15,12 +15,12 @@
 // Callers at the given instances, each sending one request per aPeriod or as
 // fast as it is answered; counts admitted requests. Each request costs one
 // token.
-class Load
+class LoadGenerator
 {
 public:
-  Load(Fleet& aFleet,
-       const std::vector<size_t>& aInstances,
-       Micros aPeriod = Millis(2))
+  LoadGenerator(Fleet& aFleet,
+                const std::vector<size_t>& aInstances,
+                Micros aPeriod = Millis(2))
     : mBegun(std::chrono::steady_clock::now())
   {
     for (size_t instance : aInstances) {
@@ -43,7 +43,7 @@
       });
     }
   }
-  ~Load() { Stop(); }
+  ~LoadGenerator() { Stop(); }
   void Stop()
   {
     mEnding = true;
@@ -90,7 +90,7 @@
   const double rate = 40;
   const double burst = 40;
   Fleet fleet(Plan(rate, burst));
-  Load load(fleet, { 0, 0, 1, 1, 2, 2 });
+  LoadGenerator load(fleet, { 0, 0, 1, 1, 2, 2 });
   auto admittedDuring = [&](const std::function<void()>& aFault) {
     int before = load.mAdmitted;
     aFault();
@@ -129,7 +129,7 @@
   Fleet fleet(Plan(320, 320));
   // Limited to 270 per second on any machine: above the zone's 160 and below
   // the total of 320.
-  Load load(fleet, { 2 }, Micros(3700));
+  LoadGenerator load(fleet, { 2 }, Micros(3700));
   std::this_thread::sleep_for(Millis(4000));
   load.Stop();
   EXPECT_GT(load.mAdmitted, 200);
--- a/tests/unit/HeartbeatTest.cpp
+++ b/tests/unit/HeartbeatTest.cpp
@@ -90,7 +90,7 @@
 
 // Guards against a cost that grows with the square of the fleet when a large
 // fleet is replaced as a whole and each new instance contacts all others.
-TEST_F(NewInstance, GreetsNoMoreThanSixteen)
+TEST_F(NewInstance, ContactsNoMoreThanSixteenAtStart)
 {
   AddPeers(20);
   for (int round = 0; round < 3; ++round) {
