--- a/bench/QueueBench.cpp
+++ b/bench/QueueBench.cpp
@@ -225,7 +225,7 @@
     };
     all.erase(std::remove_if(all.begin(), all.end(), quiet), all.end());
   }
-  std::printf("%s: come back as told, served then\n", aName);
+  std::printf("%s: retried at the retry-after time, served on retry\n", aName);
   for (const auto& entry : RunQueue(all, true, aSlowed, true)) {
     const QueueOutcome& outcome = entry.second;
     if (outcome.mRetried > 0) {
--- a/src/base/ConfigCodec.cpp
+++ b/src/base/ConfigCodec.cpp
@@ -107,7 +107,7 @@
     return invalid("tenant", "no tenant " + aProfile.mTenant);
   }
   if (aProfile.mModel.empty() == aProfile.mService.empty()) {
-    return invalid("model", "name either a model or a service");
+    return invalid("model", "expected either a model or a service");
   }
   if (!aProfile.mModel.empty()) {
     auto model = aConfig.mModels.find(aProfile.mModel);
@@ -117,7 +117,7 @@
   }
   if (!aProfile.mModel.empty() && !aProfile.mRepeatable) {
     return invalid("repeatable",
-                   "only a service's calls can be kept from running twice");
+                   "only profiles of a service can be non-repeatable");
   }
   if (!aProfile.mAdapter.empty()) {
     auto adapter = aConfig.mModels.find(aProfile.mAdapter);
--- a/src/daemon/Settings.cpp
+++ b/src/daemon/Settings.cpp
@@ -26,11 +26,11 @@
     return std::find(aZones.begin(), aZones.end(), aZone) != aZones.end();
   };
   if (!contains(aOut.mNear, aOut.mZone)) {
-    aFields.AddError(node, "near", "expected our own zone among them");
+    aFields.AddError(node, "near", "must include the instance's own zone");
   }
   for (const std::string& zone : aOut.mNear) {
     if (!contains(aOut.mZones, zone)) {
-      aFields.AddError(node, "near", zone + " isn't one of zones");
+      aFields.AddError(node, "near", zone + " isn't listed in zones");
     }
   }
 }
@@ -45,7 +45,8 @@
     std::find(aOut.mZones.begin(), aOut.mZones.end(), aOut.mZone) !=
     aOut.mZones.end();
   if (!aOut.mZones.empty() && !zoneListed) {
-    aFields.AddError(aFields.Node("zone", false), "zone", "isn't one of zones");
+    aFields.AddError(
+      aFields.Node("zone", false), "zone", "isn't listed in zones");
   }
   ReadNear(aFields, aOut);
 }
--- a/src/daemon/TomlTableReader.cpp
+++ b/src/daemon/TomlTableReader.cpp
@@ -70,7 +70,7 @@
   }
   auto text = node->value_exact<std::string>();
   if (!text || text->empty()) {
-    AddError(node, aField, "expected a text in quotes");
+    AddError(node, aField, "expected a string in quotes");
     return;
   }
   aOut = *text;
@@ -101,13 +101,13 @@
   }
   const toml::array* array = node->as_array();
   if (!array || (aRequired && array->empty())) {
-    AddError(node, aField, "expected a list of texts");
+    AddError(node, aField, "expected a list of strings");
     return;
   }
   for (const toml::node& entry : *array) {
     auto text = entry.value_exact<std::string>();
     if (!text) {
-      AddError(&entry, aField, "expected a list of texts");
+      AddError(&entry, aField, "expected a list of strings");
       return;
     }
     aOut.push_back(*text);
--- a/src/platform/ConfigFollower.cpp
+++ b/src/platform/ConfigFollower.cpp
@@ -84,8 +84,9 @@
               { { "revision", std::to_string(revision) }, { "from", "peer" } });
     }
   }
-  // The peer was sure at the time of its answer minus its age. The start of our
-  // call minus that age is no later, so it never overstates freshness.
+  // The peer's revision was confirmed at the time of its answer minus its age.
+  // The start of this call minus that age is no later, so freshness is never
+  // overstated.
   if (aFresh.mRevision > 0) {
     mHolder.Confirm(aFresh.mRevision, aAsked - aFresh.mAge);
   }
--- a/src/platform/ConfigStore.cpp
+++ b/src/platform/ConfigStore.cpp
@@ -189,8 +189,8 @@
     }
     default:
       return Fail({ ErrorKind::PlatformUnavailable,
-                    "whether the change was accepted can't be told; read the "
-                    "revision before trying again",
+                    "it is unknown whether the change was accepted; read the "
+                    "revision before retrying",
                     result.mEnd == WriteOutcome::Refused ? RunState::NotRun
                                                          : RunState::MayHaveRun,
                     Seconds(5) });
--- a/tests/process/LeavingTest.cpp
+++ b/tests/process/LeavingTest.cpp
@@ -15,9 +15,8 @@
 
 namespace {
 
-// Callers behind a balancer: they use instances that are ready and go to
-// another one if a connection is refused. Whatever was sent must get a complete
-// answer.
+// Callers behind a balancer: they use instances that are ready and try another
+// one if a connection is refused. Whatever was sent must get a complete answer.
 class Callers
 {
 public:
--- a/tests/process/StoreGateTest.cpp
+++ b/tests/process/StoreGateTest.cpp
@@ -56,9 +56,9 @@
 
 } // namespace
 
-// Fourteen loads are requested at once and would slow each other, and the
-// bulletin's load that comes next, at the store. Four may run at a time, and
-// the bulletin's model must load before all that still wait.
+// Fourteen loads are requested at once, and a bulletin's load after them.
+// Without a limit all of them would slow each other at the store. Four may run
+// at a time, and the bulletin's model must load before all that still wait.
 TEST_F(ColdStartFleet, UrgentModelLoadsBeforeWaitingOnes)
 {
   StartColdRequests();
--- a/tests/unit/ConfigCodecTest.cpp
+++ b/tests/unit/ConfigCodecTest.cpp
@@ -41,7 +41,7 @@
   EXPECT_EQ(ErrorAfter(R"({"profiles":{"tenant":"x"}})"),
             "profiles.p.tenant: no tenant x");
   EXPECT_EQ(ErrorAfter(R"({"profiles":{"service":"g"}})"),
-            "profiles.p.model: name either a model or a service");
+            "profiles.p.model: expected either a model or a service");
   EXPECT_EQ(ErrorAfter(R"({"models":{"bytes":11}})"),
             "models.m.bytes: fits no engine's memory");
   EXPECT_EQ(ErrorAfter(R"({"endpoints":{"address":"host:80"}})"),
@@ -56,8 +56,8 @@
 TEST(ConfigCodec, NonRepeatableModelProfileIsRejected)
 {
   EXPECT_EQ(ErrorAfter(R"({"profiles":{"repeatable":false}})"),
-            "profiles.p.repeatable: only a service's calls can be kept from "
-            "running twice");
+            "profiles.p.repeatable: only profiles of a service can be "
+            "non-repeatable");
 }
 
 } // namespace caraway
--- a/tests/unit/SettingsTest.cpp
+++ b/tests/unit/SettingsTest.cpp
@@ -69,9 +69,9 @@
   };
   EXPECT_EQ(near("[\"a\"]"), "");
   EXPECT_EQ(near("[\"b\"]"),
-            "f.toml:5: instance.near: expected our own zone among them");
+            "f.toml:5: instance.near: must include the instance's own zone");
   EXPECT_EQ(near("[\"a\", \"c\"]"),
-            "f.toml:5: instance.near: c isn't one of zones");
+            "f.toml:5: instance.near: c isn't listed in zones");
 }
 
 } // namespace caraway
