--- a/bench/ColdBench.cpp
+++ b/bench/ColdBench.cpp
@@ -1,10 +1,10 @@
 // ColdBench: cold starts and idle accelerator hours over a synthetic day.
 //
-// The product's steps (LoadPlanChoose, PlacementStep, one load per model and
-// zone) beside a plain baseline (every router loads for itself at a random
-// engine, a fixed idle timer), on the same requests, with fakes for engines and
-// the weight store and a clock that is stepped. Sizes are the users'; the
-// times of loads are assumed and printed.
+// Compares the product's steps (LoadPlanChoose, PlacementStep, one load per
+// model and zone) with a plain baseline (every router loads for itself at a
+// random engine, fixed idle timer) on the same requests, with simulated engines
+// and weight store and a stepped clock. Sizes are the users'; the durations of
+// loads are assumptions and are printed.
 #include <algorithm>
 #include <cstdio>
 #include <list>
@@ -24,19 +24,19 @@
 constexpr int kEngines = 20;
 constexpr int kRouters = 8;
 constexpr int kModels = 100;
-constexpr int64_t kMemory = 80;         // units of an engine
-constexpr double kSecondsPerUnit = 0.4; // of a load from the store, full speed
-constexpr int kFullSpeed = 4;           // loads at once at full speed
-constexpr size_t kDiskKeeps = 10;       // checkpoints on an engine's disk
+constexpr int64_t kMemory = 80;         // units per engine
+constexpr double kSecondsPerUnit = 0.4; // load from the store at full speed
+constexpr int kFullSpeed = 4;           // concurrent loads at full speed
+constexpr size_t kDiskCapacity = 10;    // checkpoints kept on an engine's disk
 constexpr double kStep = 0.1;           // s
 constexpr double kDay = 86400;          // s
-constexpr double kPatience = 60;        // s a request waits for a load
+constexpr double kMaxWait = 60; // s; longest wait of a request for a load
 
 struct Deployment
 {
   const char* mName;
-  double mActiveMean; // s a model stays in use
-  double mIdleMean;   // s between, for the middle of the models
+  double mActiveMean; // s; mean time a model stays in use
+  double mIdleMean;   // s; mean time between uses, for the median model
 };
 
 struct Call
@@ -48,9 +48,9 @@
 
 struct Loaded
 {
-  double mReadyAt = -1; // -1: loading
+  double mReadyAt = -1; // -1 while loading
   double mUsed = 0;
-  int mRouter = -1; // baseline: whose it is
+  int mRouter = -1; // baseline only: the router that loaded it
 };
 
 struct Engine
@@ -65,7 +65,7 @@
 {
   size_t mEngine;
   std::string mReplica;
-  double mLeft; // s at full speed
+  double mLeft; // remaining s at full speed
   bool mStore;
 };
 
@@ -79,7 +79,7 @@
 struct Result
 {
   std::vector<double> mCold; // s
-  double mIdleHours = 0;     // engines' memory held idle, as engine hours
+  double mIdleHours = 0; // engine memory held by idle models, as engine hours
   int mRefused = 0;
   int mLoads = 0;
   int mCalls = 0;
@@ -110,7 +110,7 @@
     double at = exponential(aDeployment.mIdleMean * rarity);
     while (at < kDay) {
       double end = at + exponential(aDeployment.mActiveMean);
-      // The first requests of a burst come at many routers at once.
+      // The first requests of a burst arrive at several routers at once.
       for (int i = 0; i < 4; ++i) {
         int router = static_cast<int>(random() % kRouters);
         calls.push_back({ at + 0.05 * i, model, router });
@@ -131,7 +131,7 @@
 enum class Policy
 {
   Baseline,
-  EachZone, // the product until it had home zones
+  EachZone, // one load per zone, without home zones
   HomeZone  // the product
 };
 
@@ -146,8 +146,8 @@
 {
 public:
   Day(Policy aPolicy, double aIdleLimit, unsigned aSeed)
-    : mOurs(aPolicy != Policy::Baseline)
-    , mHomes(aPolicy == Policy::HomeZone)
+    : mIsProduct(aPolicy != Policy::Baseline)
+    , mUsesHomeZones(aPolicy == Policy::HomeZone)
     , mIdleLimit(aIdleLimit)
     , mRandom(aSeed)
     , mEngines(kEngines)
@@ -174,24 +174,24 @@
   }
 
 private:
-  // In the baseline a router knows and uses only what it loaded itself.
+  // In the baseline each router knows and uses only its own replicas.
   std::string ReplicaName(const Call& aCall) const
   {
     std::string name = ModelName(aCall.mModel);
-    return mOurs ? name : name + "@" + std::to_string(aCall.mRouter);
+    return mIsProduct ? name : name + "@" + std::to_string(aCall.mRouter);
   }
 
   void Serve(const Call& aCall)
   {
-    int near = aCall.mRouter % kZones;
-    int zone = mHomes ? aCall.mModel % kZones : near;
+    int routerZone = aCall.mRouter % kZones;
+    int zone = mUsesHomeZones ? aCall.mModel % kZones : routerZone;
     std::string replica = ReplicaName(aCall);
     for (size_t i = 0; i < mEngines.size(); ++i) {
       auto found = mEngines[i].mLoaded.find(replica);
-      bool here =
-        found != mEngines[i].mLoaded.end() &&
-        (!mOurs || mEngines[i].mZone == zone || mEngines[i].mZone == near);
-      if (!here) {
+      bool usable = found != mEngines[i].mLoaded.end() &&
+                    (!mIsProduct || mEngines[i].mZone == zone ||
+                     mEngines[i].mZone == routerZone);
+      if (!usable) {
         continue;
       }
       if (found->second.mReadyAt < 0) {
@@ -201,8 +201,8 @@
       }
       return;
     }
-    int engine = mOurs ? ChooseByProduct(zone, aCall.mModel)
-                       : ChooseBaseline(zone, aCall.mModel);
+    int engine = mIsProduct ? ChooseByProduct(zone, aCall.mModel)
+                            : ChooseBaseline(zone, aCall.mModel);
 
     if (engine < 0) {
       ++mResult.mRefused;
@@ -300,7 +300,7 @@
       engine.mDisk.erase(disk);
     }
     engine.mDisk.push_front(model);
-    if (engine.mDisk.size() > kDiskKeeps) {
+    if (engine.mDisk.size() > kDiskCapacity) {
       engine.mDisk.pop_back();
     }
   }
@@ -329,12 +329,13 @@
       auto& loaded = mEngines[waiting->mEngine].mLoaded;
       auto found = loaded.find(waiting->mReplica);
       bool ready = found != loaded.end() && found->second.mReadyAt >= 0;
-      bool over = mNow - waiting->mSince > kPatience;
+      bool timedOut = mNow - waiting->mSince > kMaxWait;
       if (ready) {
         mResult.mCold.push_back(mNow - waiting->mSince);
       }
-      mResult.mRefused += !ready && over ? 1 : 0;
-      waiting = ready || over ? mWaiting.erase(waiting) : std::next(waiting);
+      mResult.mRefused += !ready && timedOut ? 1 : 0;
+      waiting =
+        ready || timedOut ? mWaiting.erase(waiting) : std::next(waiting);
     }
   }
 
@@ -346,18 +347,18 @@
       report.mCachedOnDisk = { engine.mDisk.begin(), engine.mDisk.end() };
       for (const PlacedReplica& replica : engine.mRecord.mReplicas) {
         const Loaded& loaded = engine.mLoaded[replica.mName];
-        double quiet = mNow - loaded.mUsed;
-        if (loaded.mReadyAt < 0 || quiet < 1) {
+        double idleSeconds = mNow - loaded.mUsed;
+        if (loaded.mReadyAt < 0 || idleSeconds < 1) {
           continue;
         }
         mResult.mIdleHours +=
           kStep / 3600 * static_cast<double>(replica.mBytes) / kMemory;
         Millis base(static_cast<int64_t>(mIdleLimit * 1000));
-        Millis limit = mOurs
+        Millis limit = mIsProduct
                          ? LoadPlanIdleLimit(
                              report, replica.mName, base, LoadPlanParameters())
                          : base;
-        if (quiet * 1000 > static_cast<double>(limit.count())) {
+        if (idleSeconds * 1000 > static_cast<double>(limit.count())) {
           idle.push_back(replica.mName);
         }
       }
@@ -367,8 +368,8 @@
     }
   }
 
-  bool mOurs;
-  bool mHomes;
+  bool mIsProduct;
+  bool mUsesHomeZones;
   double mIdleLimit;
   std::mt19937 mRandom;
   std::vector<Engine> mEngines;
@@ -379,12 +380,13 @@
 };
 
 double
-Part(std::vector<double> aTimes, double aPart)
+QuantileOf(std::vector<double> aTimes, double aFraction)
 {
   std::sort(aTimes.begin(), aTimes.end());
-  return aTimes.empty() ? 0
-                        : aTimes[static_cast<size_t>(
-                            aPart * static_cast<double>(aTimes.size() - 1))];
+  return aTimes.empty()
+           ? 0
+           : aTimes[static_cast<size_t>(
+               aFraction * static_cast<double>(aTimes.size() - 1))];
 }
 
 } // namespace
@@ -427,9 +429,9 @@
           seed,
           result.mLoads,
           result.mCold.size(),
-          Part(result.mCold, 0.5),
-          Part(result.mCold, 0.99),
-          Part(result.mCold, 0.999),
+          QuantileOf(result.mCold, 0.5),
+          QuantileOf(result.mCold, 0.99),
+          QuantileOf(result.mCold, 0.999),
           result.mIdleHours,
           100.0 * result.mRefused / result.mCalls);
         std::fflush(stdout);
--- a/bench/FailureBench.cpp
+++ b/bench/FailureBench.cpp
@@ -1,10 +1,11 @@
-// FailureBench: what failure days cost, and how long until things are normal.
+// FailureBench: cost of failures, and time to recovery.
 //
-// Real processes, two zones, one platform stand-in whose calls are counted.
-// After each event: how long until every slot of every zone's shares is
-// spendable again and every instance is ready, and the most calls at the
-// platform in one second meanwhile; what the callers under way were told, and
-// what was loaded again. docs/CAPACITY.md does the arithmetic.
+// Real processes in two zones, one platform stand-in whose calls are counted.
+// After each event it measures how long until every share slot of every zone
+// can be spent again and every instance is ready, the highest number of
+// platform calls within one second meanwhile, what the active callers were
+// answered, and which loads were repeated. docs/CAPACITY.md evaluates the
+// numbers.
 #include <atomic>
 #include <cstdio>
 #include <gflags/gflags.h>
@@ -21,7 +22,7 @@
 
 using namespace caraway;
 
-// The most calls in any second, by looking four times a second.
+// Measures the highest number of platform calls within one second, by polling.
 class CallsMeter
 {
 public:
@@ -38,35 +39,36 @@
       mThread.join();
     }
   }
-  double Most() const { return mMost; }
-  double MostWrites() const { return mMostWrites; }
+  double MaxCalls() const { return mMaxCalls; }
+  double MaxWrites() const { return mMaxWrites; }
 
 private:
-  static constexpr size_t kLooks = 4; // a second
+  static constexpr size_t kPollsPerSecond = 4;
 
   void Run()
   {
-    std::vector<std::pair<double, double>> past; // calls, writes
+    std::vector<std::pair<double, double>> samples; // calls, writes
     while (!mEnding) {
       Json::Value now = mFleet.PlatformCounters();
       double calls = 0;
       for (const char* op : { "reads", "lists", "writes", "watches" }) {
         calls += now[op].asDouble();
       }
-      past.emplace_back(calls, now["writes"].asDouble());
-      if (past.size() > kLooks) {
-        auto& before = past[past.size() - 1 - kLooks];
-        mMost = std::max(mMost, calls - before.first);
-        mMostWrites = std::max(mMostWrites, past.back().second - before.second);
+      samples.emplace_back(calls, now["writes"].asDouble());
+      if (samples.size() > kPollsPerSecond) {
+        auto& before = samples[samples.size() - 1 - kPollsPerSecond];
+        mMaxCalls = std::max(mMaxCalls, calls - before.first);
+        mMaxWrites =
+          std::max(mMaxWrites, samples.back().second - before.second);
       }
-      std::this_thread::sleep_for(Millis(1000 / kLooks));
+      std::this_thread::sleep_for(Millis(1000 / kPollsPerSecond));
     }
   }
 
   Fleet& mFleet;
   std::atomic<bool> mEnding{ false };
-  double mMost = 0;
-  double mMostWrites = 0;
+  double mMaxCalls = 0;
+  double mMaxWrites = 0;
   std::thread mThread;
 };
 
@@ -77,7 +79,7 @@
          aFleet.mInstances[aInstance]->Running();
 }
 
-// Slots that somebody may spend, over all zones.
+// Number of share slots that can be spent, over all zones.
 int
 Spendable(Fleet& aFleet)
 {
@@ -104,18 +106,18 @@
 }
 
 void
-PrintWhy(const BenchCounts& aCounts)
+PrintFailures(const BenchCounts& aCounts)
 {
-  for (const auto& why : aCounts.mWhy) {
-    std::printf("    %d: %s\n", why.second, why.first.c_str());
+  for (const auto& failure : aCounts.mFailureKinds) {
+    std::printf("    %d: %s\n", failure.second, failure.first.c_str());
   }
 }
 
 void
-Event(Fleet& aFleet,
-      BenchCallers& aCallers,
-      const char* aName,
-      const std::function<void()>& aHappens)
+MeasureEvent(Fleet& aFleet,
+             BenchCallers& aCallers,
+             const char* aName,
+             const std::function<void()>& aEvent)
 {
   constexpr int kSlotsAZone = 16;
   int all = kSlotsAZone * static_cast<int>(aFleet.mPlan.mZones.size());
@@ -123,10 +125,10 @@
   std::this_thread::sleep_for(Seconds(2));
   aCallers.Take();
   int loads = aFleet.EngineAudit("loads");
-  aHappens();
+  aEvent();
 
   auto begun = std::chrono::steady_clock::now();
-  bool normal = Eventually(
+  bool recovered = Eventually(
     Seconds(20), [&] { return AllReady(aFleet) && Spendable(aFleet) == all; });
   double seconds =
     std::chrono::duration<double>(std::chrono::steady_clock::now() - begun)
@@ -136,16 +138,16 @@
   BenchCounts counts = aCallers.Take();
   std::printf("%-36s %6s %8.1f %6.0f %6.0f %9d %8d %5d %8.1f %6d\n",
               aName,
-              normal ? "yes" : "NO",
+              recovered ? "yes" : "NO",
               seconds,
-              meter.Most(),
-              meter.MostWrites(),
+              meter.MaxCalls(),
+              meter.MaxWrites(),
               counts.mAnswered,
               counts.mRefused,
               counts.mCut,
               counts.mSlowest,
               aFleet.EngineAudit("loads") - loads);
-  PrintWhy(counts);
+  PrintFailures(counts);
 
   std::fflush(stdout);
 }
@@ -155,7 +157,8 @@
 {
   aFleet.mInstances[aInstance] = aFleet.StartInstance(aInstance);
   aFleet.Announce(aInstance, false);
-  aCallers.At(aInstance, aFleet.mInstances[aInstance]->Address("caller"));
+  aCallers.SetAddress(aInstance,
+                      aFleet.mInstances[aInstance]->Address("caller"));
 }
 
 void
@@ -181,7 +184,7 @@
   FleetPlan plan;
   int half = FLAGS_instances / 2;
   plan.mInstances = { half, half };
-  plan.mMemory = 200; // room for all models in each zone
+  plan.mMemory = 200; // holds all models in each zone
   Fleet fleet(plan);
   std::vector<size_t> zone;
   std::vector<size_t> all;
@@ -205,8 +208,8 @@
               "slowest",
               "loads");
   BenchCallers callers(fleet, static_cast<size_t>(FLAGS_callers));
-  auto event = [&](const char* aName, const std::function<void()>& aHappens) {
-    Event(fleet, callers, aName, aHappens);
+  auto event = [&](const char* aName, const std::function<void()>& aEvent) {
+    MeasureEvent(fleet, callers, aName, aEvent);
   };
   auto replace = [&](const std::vector<size_t>& aWhich) {
     Replace(fleet, callers, aWhich);
--- a/bench/GateBench.cpp
+++ b/bench/GateBench.cpp
@@ -1,10 +1,12 @@
-// GateBench: cold starts when many models wake at once, by class.
+// GateBench: cold start times by request class when many models are requested
+// at once.
 //
-// A zone is lost and its models are loaded anew elsewhere: a fifth for
-// bulletins, a half for chat, the rest for briefings, within two seconds, all
-// from the store. The product's LoadGate beside none, beside first come first
-// served, and without letting urgent ones in beyond the limit; a store of the
-// users' sizes that slows in proportion above its limit; a stepped clock.
+// A zone is lost and its models are loaded elsewhere within two seconds, all
+// from the store: a fifth for bulletins, half for chat, the rest for briefings.
+// Compares the product's LoadGate with no gate, with first come first served,
+// and with a gate that admits no urgent loads beyond the limit. The simulated
+// store has the users' sizes and slows in proportion above its limit; the clock
+// is stepped.
 #include <algorithm>
 #include <cstdio>
 #include <map>
@@ -24,12 +26,12 @@
 {
   std::string mId;
   RequestClass mClass = RequestClass::Interactive;
-  TimePoint mWanted{};
-  double mLeft = 0; // s at full speed
+  TimePoint mRequestedAt{};
+  double mLeft = 0; // remaining s at full speed
   bool mHasPermit = false;
-  TimePoint mAsked{};
+  TimePoint mLastAskedAt{};
   Millis mPollAfter{ 0 };
-  double mTook = -1; // s; -1 = not ready yet
+  double mDuration = -1; // s; -1 while not ready
 };
 
 struct Policy
@@ -41,7 +43,7 @@
 };
 
 std::vector<Load>
-Wake(int aModels, unsigned aSeed, TimePoint aStart)
+ColdLoads(int aModels, unsigned aSeed, TimePoint aStart)
 {
   std::mt19937 random(aSeed);
   std::vector<Load> loads;
@@ -51,7 +53,7 @@
     load.mClass = i % 10 < 2   ? RequestClass::Urgent
                   : i % 10 < 7 ? RequestClass::Interactive
                                : RequestClass::Batch;
-    load.mWanted = aStart + Millis(random() % 2000);
+    load.mRequestedAt = aStart + Millis(random() % 2000);
     load.mLeft = 3.2 + 0.4 * static_cast<double>(random() % 23);
     loads.push_back(load);
   }
@@ -59,7 +61,7 @@
   return loads;
 }
 
-// The most questions within one second.
+// Returns the highest number of gate requests within one second.
 int
 Run(const Policy& aPolicy, std::vector<Load>& aLoads, TimePoint aStart)
 {
@@ -72,12 +74,12 @@
   LoadGate gate(terms, aStart);
   size_t ready = 0;
   for (TimePoint now = aStart; ready < aLoads.size(); now += kStep) {
-    int inside = 0;
+    int admitted = 0;
     for (Load& load : aLoads) {
-      bool due = load.mTook < 0 && now >= load.mWanted &&
-                 now - load.mAsked >= load.mPollAfter;
+      bool due = load.mDuration < 0 && now >= load.mRequestedAt &&
+                 now - load.mLastAskedAt >= load.mPollAfter;
       if (due && aPolicy.mGate) {
-        load.mAsked = now;
+        load.mLastAskedAt = now;
         LoadGateReply answer =
           LoadGateAcquire(gate, { load.mId, load.mClass, false }, now);
         load.mHasPermit = answer.mHasPermit;
@@ -86,10 +88,10 @@
       } else if (due) {
         load.mHasPermit = true;
       }
-      inside += load.mHasPermit ? 1 : 0;
+      admitted += load.mHasPermit ? 1 : 0;
     }
     double speed =
-      std::min(1.0, static_cast<double>(kFullSpeed) / std::max(1, inside));
+      std::min(1.0, static_cast<double>(kFullSpeed) / std::max(1, admitted));
     for (Load& load : aLoads) {
       if (!load.mHasPermit) {
         continue;
@@ -97,7 +99,8 @@
       load.mLeft -= std::chrono::duration<double>(kStep).count() * speed;
       if (load.mLeft <= 0) {
         load.mHasPermit = false;
-        load.mTook = std::chrono::duration<double>(now - load.mWanted).count();
+        load.mDuration =
+          std::chrono::duration<double>(now - load.mRequestedAt).count();
         LoadGateRelease(gate, load.mId);
         ++ready;
       }
@@ -121,7 +124,7 @@
     std::vector<double> times;
     for (const Load& load : aLoads) {
       if (static_cast<int>(load.mClass) == one) {
-        times.push_back(load.mTook);
+        times.push_back(load.mDuration);
       }
     }
     std::sort(times.begin(), times.end());
@@ -153,7 +156,7 @@
       std::vector<Load> all;
       int asks = 0;
       for (unsigned seed = 201; seed < 211; ++seed) {
-        std::vector<Load> loads = Wake(models, seed, start);
+        std::vector<Load> loads = ColdLoads(models, seed, start);
         asks = std::max(asks, Run(policy, loads, start));
         all.insert(all.end(), loads.begin(), loads.end());
       }
--- a/src/admin/AdminPort.cpp
+++ b/src/admin/AdminPort.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr size_t kBodyLimit = 16 * 1024 * 1024;
-constexpr Millis kBodyTime{ 10000 };
+constexpr Millis kBodyTimeout{ 10000 };
 const std::string kBearer = "Bearer ";
 const std::string kRevisions = "/admin/v1/revisions/";
 
@@ -41,10 +41,10 @@
 
 AdminPort::AdminPort(std::string aListen,
                      std::vector<AdminUser> aUsers,
-                     Parts aParts)
+                     Dependencies aDependencies)
   : mListen(std::move(aListen))
   , mUsers(std::move(aUsers))
-  , mParts(std::move(aParts))
+  , mDependencies(std::move(aDependencies))
 {
 }
 
@@ -58,7 +58,7 @@
     mListen, limits, [this](auto& aIn, auto& aOut) { Handle(aIn, aOut); });
 }
 
-// What a balancer asks, without a key: tells nothing but yes or no.
+// Answers the balancer's probes, which carry no key; discloses only yes or no.
 bool
 AdminPort::Probe(const std::string& aPath, Response& aResponse) const
 {
@@ -67,7 +67,7 @@
     return false;
   }
   Json::Value json;
-  json["ok"] = !ready || mParts.mReady();
+  json["ok"] = !ready || mDependencies.mReady();
   JsonSend(aResponse, json["ok"].asBool() ? 200 : 503, json);
   return true;
 }
@@ -87,7 +87,7 @@
     }
   }
   if (name.empty()) {
-    return Fail(ErrorKind::KeyUnknown, "no such administration key");
+    return Fail(ErrorKind::KeyUnknown, "unknown administration key");
   }
   return name;
 }
@@ -103,7 +103,8 @@
   auto answer = Outcome([&]() -> Result<Json::Value> {
     BOOST_LEAF_AUTO(user, User(aRequest));
     if (path == "/metrics") {
-      std::string text = mParts.mMetrics->Text() + mParts.mExtraMetrics();
+      std::string text =
+        mDependencies.mMetrics->Text() + mDependencies.mExtraMetrics();
       aResponse.setContentType("text/plain; version=0.0.4");
       aResponse.sendBuffer(text.data(), text.size());
       return Json::Value();
@@ -132,10 +133,10 @@
 Result<Json::Value>
 AdminPort::Body(Request& aRequest)
 {
-  BOOST_LEAF_AUTO(text, HttpReadBody(aRequest, kBodyLimit, kBodyTime));
+  BOOST_LEAF_AUTO(text, HttpReadBody(aRequest, kBodyLimit, kBodyTimeout));
   BOOST_LEAF_AUTO(json, JsonParse(text));
   if (!json.isObject()) {
-    return Fail(ErrorKind::BadRequest, "expected an object");
+    return Fail(ErrorKind::BadRequest, "expected a JSON object");
   }
   return json;
 }
@@ -143,22 +144,22 @@
 Result<Json::Value>
 AdminPort::Status(Request&, const std::string&)
 {
-  return mParts.mStatus();
+  return mDependencies.mStatus();
 }
 
 Result<Json::Value>
 AdminPort::Fleet(Request&, const std::string&)
 {
-  return mParts.mFleet();
+  return mDependencies.mFleet();
 }
 
-// From the platform, not from this instance's memory: what an operator
-// changes has to be the newest.
+// Reads from the platform and not from this instance's memory, since operators
+// must edit the newest revision.
 Result<Json::Value>
 AdminPort::Read(Request&, const std::string&)
 {
   Json::Value json;
-  auto index = Outcome([&] { return mParts.mStore->Index(); });
+  auto index = Outcome([&] { return mDependencies.mStore->Index(); });
   if (auto* failure = std::get_if<Failure>(&index)) {
     if (failure->mKind != ErrorKind::NotFound) {
       return Fail(*failure);
@@ -168,7 +169,7 @@
     return json;
   }
   const ConfigRevision& now = std::get<ConfigIndex>(index).mNow;
-  BOOST_LEAF_AUTO(config, mParts.mStore->Load(now));
+  BOOST_LEAF_AUTO(config, mDependencies.mStore->Load(now));
   json = ConfigRevisionJson(now);
   json["config"] = ConfigJson(config);
   return json;
@@ -189,49 +190,52 @@
 {
   BOOST_LEAF_AUTO(body, Body(aRequest));
   if (!body["expected"].isInt64()) {
-    return Fail(ErrorKind::BadRequest, "expected: the revision you changed");
+    return Fail(ErrorKind::BadRequest,
+                "expected: the revision that the change is based on");
   }
   if (!body["note"].isString() && !body["note"].isNull()) {
-    return Fail(ErrorKind::BadRequest, "note: expected a text");
+    return Fail(ErrorKind::BadRequest, "note: expected a string");
   }
   BOOST_LEAF_AUTO(config, ConfigParse(body["config"]));
-  BOOST_LEAF_AUTO(revision,
-                  mParts.mStore->Commit(body["expected"].asInt64(),
-                                        config,
-                                        aUser,
-                                        body["note"].asString(),
-                                        Text(mParts.mClock->WallNow())));
+  BOOST_LEAF_AUTO(
+    revision,
+    mDependencies.mStore->Commit(body["expected"].asInt64(),
+                                 config,
+                                 aUser,
+                                 body["note"].asString(),
+                                 Text(mDependencies.mClock->WallNow())));
   LogInfo("config_accepted",
           { { "revision", std::to_string(revision.mRevision) },
             { "author", aUser },
             { "note", revision.mNote } });
-  mParts.mChanged();
+  mDependencies.mChanged();
   return ConfigRevisionJson(revision);
 }
 
 Result<Json::Value>
 AdminPort::History(Request&, const std::string&)
 {
-  BOOST_LEAF_AUTO(index, mParts.mStore->Index());
+  BOOST_LEAF_AUTO(index, mDependencies.mStore->Index());
   return ConfigIndexJson(index);
 }
 
 Result<Json::Value>
 AdminPort::Revision(Request& aRequest, const std::string&)
 {
-  std::string wanted = aRequest.getURI().substr(kRevisions.size());
-  BOOST_LEAF_AUTO(index, mParts.mStore->Index());
+  std::string requested = aRequest.getURI().substr(kRevisions.size());
+  BOOST_LEAF_AUTO(index, mDependencies.mStore->Index());
   std::vector<ConfigRevision> all = index.mHistory;
   all.push_back(index.mNow);
   for (const ConfigRevision& revision : all) {
-    if (std::to_string(revision.mRevision) == wanted) {
-      BOOST_LEAF_AUTO(config, mParts.mStore->Load(revision));
+    if (std::to_string(revision.mRevision) == requested) {
+      BOOST_LEAF_AUTO(config, mDependencies.mStore->Load(revision));
       Json::Value json = ConfigRevisionJson(revision);
       json["config"] = ConfigJson(config);
       return json;
     }
   }
-  return Fail(ErrorKind::NotFound, "revision " + wanted + " isn't kept");
+  return Fail(ErrorKind::NotFound,
+              "revision " + requested + " isn't in the history");
 }
 
 } // namespace caraway
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -10,15 +10,16 @@
 
 namespace {
 
-// Lines of one event name a second: ten times what an instance writes at
-// today's traffic, a few thousandths of a core.
+// Limit per event name and second: ten times what an instance writes at today's
+// traffic, and a few thousandths of a core.
 constexpr int kLinesPerSecond = 200;
 
-// Kept while the reader is slow: some seconds of lines.
+// Buffer for a slow reader: a few seconds of lines.
 constexpr size_t kMaxBufferedBytes = 256 * 1024;
 
-// The whole lines at the start of aText that a pipe takes at once or not at
-// all: a process that ends between two writes leaves no half line behind.
+// Returns the complete lines at the start of aText that fit into one atomic
+// pipe write, so that a process that exits between two writes leaves no partial
+// line.
 std::string_view
 LinesInOneWrite(std::string_view aText)
 {
@@ -152,7 +153,7 @@
     budget.mSince = now;
     budget.mUsed = 0;
   }
-  if (budget.mUsed >= kLinesPerSecond || mWaiting.size() >= kMaxBufferedBytes) {
+  if (budget.mUsed >= kLinesPerSecond || mBuffer.size() >= kMaxBufferedBytes) {
     ++budget.mDropped;
     ++mDroppedLines;
     return false;
@@ -164,10 +165,10 @@
 void
 EventLog::WriteDropped(const std::string& aEvent, Budget& aBudget)
 {
-  if (aBudget.mDropped > 0 && mWaiting.size() < kMaxBufferedBytes) {
-    mWaiting += "{\"event\":\"log_left_out\",\"instance\":\"" + mInstance +
-                "\",\"of\":\"" + aEvent +
-                "\",\"lines\":" + std::to_string(aBudget.mDropped) + "}\n";
+  if (aBudget.mDropped > 0 && mBuffer.size() < kMaxBufferedBytes) {
+    mBuffer += "{\"event\":\"log_left_out\",\"instance\":\"" + mInstance +
+               "\",\"of\":\"" + aEvent +
+               "\",\"lines\":" + std::to_string(aBudget.mDropped) + "}\n";
     aBudget.mDropped = 0;
   }
 }
@@ -193,7 +194,7 @@
 void
 EventLog::Put(std::string aLine)
 {
-  mWaiting += aLine;
+  mBuffer += aLine;
 }
 
 void
@@ -203,19 +204,19 @@
     return;
   }
   size_t done = 0;
-  while (done < mWaiting.size()) {
-    std::string_view lines =
-      LinesInOneWrite(std::string_view(mWaiting).substr(done));
-    ssize_t written = write(mFile, lines.data(), lines.size());
+  while (done < mBuffer.size()) {
+    std::string_view chunk =
+      LinesInOneWrite(std::string_view(mBuffer).substr(done));
+    ssize_t written = write(mFile, chunk.data(), chunk.size());
     if (written < 0 && errno != EAGAIN && errno != EINTR) {
-      done = mWaiting.size(); // nobody will ever read it
+      done = mBuffer.size(); // no reader is left
     }
     if (written <= 0) {
       break;
     }
     done += static_cast<size_t>(written);
   }
-  mWaiting.erase(0, done);
+  mBuffer.erase(0, done);
 }
 
 } // namespace caraway
--- a/src/base/JsonObjectReader.cpp
+++ b/src/base/JsonObjectReader.cpp
@@ -3,20 +3,20 @@
 namespace caraway {
 
 JsonObjectReader::JsonObjectReader(const Json::Value& aObject,
-                                   std::string aWhere)
+                                   std::string aPath)
   : mObject(aObject)
-  , mWhere(std::move(aWhere))
+  , mPath(std::move(aPath))
 {
   if (!aObject.isObject()) {
-    mTrouble = mWhere + ": expected a table";
+    mError = mPath + ": expected an object";
   }
 }
 
 void
 JsonObjectReader::AddError(const char* aName, const std::string& aExpected)
 {
-  if (mTrouble.empty()) {
-    mTrouble = mWhere + "." + aName + ": " + aExpected;
+  if (mError.empty()) {
+    mError = mPath + "." + aName + ": " + aExpected;
   }
 }
 
@@ -41,7 +41,7 @@
     return "";
   }
   if (!value->isString() || (aRequired && value->asString().empty())) {
-    AddError(aName, "expected a text");
+    AddError(aName, "expected a string");
     return "";
   }
   return value->asString();
@@ -69,7 +69,7 @@
     return aDefault;
   }
   if (!value->isNumeric() || value->asDouble() < aLeast) {
-    // Bounds are whole; 0.000000 would only puzzle.
+    // Bounds are integers; to_string of a double would print 0.000000.
     AddError(aName,
              "expected a number >= " +
                std::to_string(static_cast<int64_t>(aLeast)));
@@ -101,15 +101,15 @@
 Result<void>
 JsonObjectReader::Done()
 {
-  if (mTrouble.empty()) {
+  if (mError.empty()) {
     for (const std::string& name : mObject.getMemberNames()) {
       if (mKnownFields.count(name) == 0) {
         AddError(name.c_str(), "unknown field");
       }
     }
   }
-  if (!mTrouble.empty()) {
-    return Fail(ErrorKind::ConfigInvalid, mTrouble);
+  if (!mError.empty()) {
+    return Fail(ErrorKind::ConfigInvalid, mError);
   }
   return {};
 }
--- a/src/daemon/Instance.h
+++ b/src/daemon/Instance.h
@@ -1,4 +1,4 @@
-// Instance.h: all state of one entry instance, in one place.
+// Instance.h: the complete state of one entry instance.
 #ifndef caraway_daemon_Instance_h
 #define caraway_daemon_Instance_h
 
@@ -23,27 +23,27 @@
 
 namespace caraway {
 
-// Built in the order of its members, each on those above it.
+// Members are in order of construction; each depends only on those above it.
 class Instance
 {
 public:
   explicit Instance(Settings aSettings);
   ~Instance();
 
-  // Opens the ports. Throws Poco::Exception when an address can't be bound.
+  // Opens the ports. Throws Poco::Exception if an address can't be bound.
   void Start();
-  // {"caller":…,"admin":…,"peer":…}: addresses as bound.
+  // {"caller":…,"admin":…,"peer":…}: the bound addresses.
   Json::Value Addresses() const;
-  // Unready, keeps serving for the balancer's lag, finishes what is under
-  // way, gives back what it owns. Returns how many requests were cut; each of
-  // them was told.
+  // Reports not ready, keeps serving for the balancer's lag, finishes requests
+  // in flight and hands over its leases. Returns how many requests were cut
+  // off; each of them got a last answer.
   int Shutdown();
 
 private:
   void AddPeerMethods();
   void StartTickers();
   bool Busy() const;
-  AdminPort::Parts AdminDependencies();
+  AdminPort::Dependencies AdminDependencies();
   Json::Value Status() const;
   Json::Value Fleet();
   std::string ExtraMetrics() const;
@@ -57,10 +57,10 @@
   ConfigStore mConfigStore;
   ConfigHolder mConfig;
   PeerPort mPeerPort;
-  std::string mIncarnation; // id.random@address, known once the port is bound
+  std::string mIncarnation; // id.random@address; set once the port is bound
   PeerClient mPeers;
   std::unique_ptr<Members> mMembers;
-  std::unique_ptr<HomeZones> mHomes;
+  std::unique_ptr<HomeZones> mHomeZones;
   std::unique_ptr<ConfigWatcher> mWatcher;
   std::unique_ptr<Heartbeat> mHeartbeat;
   PlacementStore mPlacements;
@@ -70,14 +70,14 @@
   WorkerPool mClaimWorkers;
   WorkerPool mBriefingWorkers;
   ModelOwner mOwner;
-  std::unique_ptr<StoreGate> mGate;
-  std::unique_ptr<EndpointReconciler> mKeeper;
+  std::unique_ptr<StoreGate> mStoreGate;
+  std::unique_ptr<EndpointReconciler> mReconciler;
   std::unique_ptr<ShareManager> mShares;
   std::unique_ptr<ShareClient> mShareClient;
   Authenticator mKeys;
-  ClaimRegistry mClaimBook;
+  ClaimRegistry mClaimRegistry;
   std::unique_ptr<ClaimDriver> mClaims;
-  std::unique_ptr<EngineSlotFinder> mPlaces;
+  std::unique_ptr<EngineSlotFinder> mSlotFinder;
   std::unique_ptr<ModelCalls> mModels;
   std::unique_ptr<ServiceCalls> mServices;
   BriefingStore mBriefings;
@@ -85,7 +85,7 @@
   std::unique_ptr<CallerPort> mCallers;
   std::unique_ptr<AdminPort> mAdmin;
   std::vector<std::unique_ptr<Ticker>> mTickers;
-  std::atomic<bool> mWoken{ false }; // slots were handed to us
+  std::atomic<bool> mWoken{ false }; // share slots were handed over
 };
 
 } // namespace caraway
--- a/src/daemon/TomlTableReader.cpp
+++ b/src/daemon/TomlTableReader.cpp
@@ -5,7 +5,7 @@
 namespace caraway {
 
 void
-TomlErrors::Say(uint32_t aLine,
+TomlErrors::Add(uint32_t aLine,
                 const std::string& aField,
                 const std::string& aWhat)
 {
@@ -16,10 +16,10 @@
 
 TomlTableReader::TomlTableReader(const toml::table* aTable,
                                  std::string aName,
-                                 TomlErrors& aTomlErrors)
+                                 TomlErrors& aErrors)
   : mTable(aTable)
   , mName(std::move(aName))
-  , mTrouble(aTomlErrors)
+  , mErrors(aErrors)
 {
 }
 
@@ -47,7 +47,7 @@
   } else if (mTable) {
     line = mTable->source().begin.line;
   }
-  mTrouble.Say(line, mName + "." + aField, aWhat);
+  mErrors.Add(line, mName + "." + aField, aWhat);
 }
 
 const toml::node*
@@ -70,7 +70,7 @@
   }
   auto text = node->value_exact<std::string>();
   if (!text || text->empty()) {
-    AddError(node, aField, "expected a text in quotes");
+    AddError(node, aField, "expected a string in quotes");
     return;
   }
   aOut = *text;
@@ -101,13 +101,13 @@
   }
   const toml::array* array = node->as_array();
   if (!array || (aRequired && array->empty())) {
-    AddError(node, aField, "expected a list of texts");
+    AddError(node, aField, "expected a list of strings");
     return;
   }
   for (const toml::node& entry : *array) {
     auto text = entry.value_exact<std::string>();
     if (!text) {
-      AddError(&entry, aField, "expected a list of texts");
+      AddError(&entry, aField, "expected a list of strings");
       return;
     }
     aOut.push_back(*text);
--- a/src/daemon/TomlTableReader.h
+++ b/src/daemon/TomlTableReader.h
@@ -1,4 +1,4 @@
-// TomlTableReader.h: reads one TOML table strictly.
+// TomlTableReader.h: reads one TOML table and rejects unknown fields.
 #ifndef caraway_daemon_TomlTableReader_h
 #define caraway_daemon_TomlTableReader_h
 
@@ -11,23 +11,23 @@
 
 namespace caraway {
 
-// The first complaint, over all tables of a file.
+// Keeps the first error over all tables of a file.
 struct TomlErrors
 {
   std::string mFile;
-  std::string mText; // "" = none yet
+  std::string mText; // empty if there was no error
 
-  void Say(uint32_t aLine, const std::string& aField, const std::string& aWhat);
+  void Add(uint32_t aLine, const std::string& aField, const std::string& aWhat);
 };
 
 class TomlTableReader
 {
 public:
-  // aTable may be null: a table that isn't there, with defaults for all.
+  // aTable: null if the table is absent; all fields then get their defaults.
   TomlTableReader(const toml::table* aTable,
                   std::string aName,
-                  TomlErrors& aTomlErrors);
-  // Complains of fields that nobody asked for.
+                  TomlErrors& aErrors);
+  // Reports fields that were never read as unknown.
   ~TomlTableReader();
 
   void Text(const char* aField, std::string& aOut, bool aRequired = false);
@@ -51,7 +51,7 @@
 private:
   const toml::table* mTable;
   std::string mName;
-  TomlErrors& mTrouble;
+  TomlErrors& mErrors;
   std::set<std::string> mKnownFields;
 };
 
--- a/src/peer/PeerRpc.cpp
+++ b/src/peer/PeerRpc.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The port itself is POCO's; the library sees only texts.
+// Passes request and answer as texts, since POCO serves the port.
 class TextConnector : public jsonrpc::AbstractServerConnector
 {
 public:
@@ -37,7 +37,8 @@
     mMethods[aName] = std::move(aMethod);
     jsonrpc::Procedure procedure(
       aName, jsonrpc::PARAMS_BY_NAME, jsonrpc::JSON_OBJECT, nullptr);
-    // The member pointer is never called: HandleMethodCall looks up above.
+    // The member pointer is never called: HandleMethodCall looks the method up
+    // in mMethods.
     bindAndAddMethod(procedure, nullptr);
   }
 
@@ -82,14 +83,14 @@
 
 } // namespace
 
-struct PeerRpcServer::Inner
+struct PeerRpcServer::Impl
 {
   TextConnector mConnector;
   MethodServer mServer{ mConnector };
 };
 
 PeerRpcServer::PeerRpcServer()
-  : mInner(new Inner)
+  : mImpl(new Impl)
 {
 }
 
@@ -98,14 +99,14 @@
 void
 PeerRpcServer::Add(const std::string& aName, PeerMethod aMethod)
 {
-  mInner->mServer.Add(aName, std::move(aMethod));
+  mImpl->mServer.Add(aName, std::move(aMethod));
 }
 
 std::string
 PeerRpcServer::Answer(const std::string& aRequest)
 {
   std::string answer;
-  mInner->mConnector.OnRequest(aRequest, &answer);
+  mImpl->mConnector.OnRequest(aRequest, &answer);
   return answer;
 }
 
--- a/src/platform/ConfigStore.cpp
+++ b/src/platform/ConfigStore.cpp
@@ -13,8 +13,8 @@
 constexpr const char* kIndexName = "index";
 constexpr const char* kPartKind = "config-parts";
 constexpr size_t kMaxHistory = 100;
-// 8,800 adapters in 16 parts make about 60 KB each, well under the megabyte
-// a value may have.
+// 8,800 adapters in 16 buckets make parts of about 60 KB, well below the value
+// limit of 1 MB.
 constexpr int kBuckets = 16;
 
 int
@@ -29,7 +29,7 @@
   return static_cast<int>((hash >> 8) % kBuckets);
 }
 
-// Whose change came first, for the operator who has to look at it.
+// Names the change that was accepted first, so that the operator can review it.
 leaf::error_id
 Conflict(const ConfigRevision& aNow, int64_t aExpected)
 {
@@ -95,7 +95,7 @@
   BOOST_LEAF_AUTO(object, mPlatform.Read(kPartKind, aDigest));
   if (DigestHex(JsonWrite(object.mValue)) != aDigest) {
     return Fail(ErrorKind::PlatformUnavailable,
-                "part " + aDigest + " isn't what its name says");
+                "part " + aDigest + " doesn't match its digest");
   }
   return object.mValue;
 }
@@ -103,21 +103,21 @@
 Result<ConfigSnapshot>
 ConfigStore::Load(const ConfigRevision& aRevision)
 {
-  std::map<std::string, Json::Value> kept;
+  std::map<std::string, Json::Value> loaded;
   BOOST_LEAF_AUTO(manifest, Part(aRevision.mManifest));
-  kept[aRevision.mManifest] = manifest;
-  Json::Value whole(Json::objectValue);
+  loaded[aRevision.mManifest] = manifest;
+  Json::Value merged(Json::objectValue);
   for (const Json::Value& digest : manifest["parts"]) {
     BOOST_LEAF_AUTO(part, Part(digest.asString()));
     for (const Json::Value& entry : part["entries"]) {
-      whole[part["section"].asString()].append(entry);
+      merged[part["section"].asString()].append(entry);
     }
-    kept[digest.asString()] = std::move(part);
+    loaded[digest.asString()] = std::move(part);
   }
-  BOOST_LEAF_AUTO(config, ConfigParse(whole));
+  BOOST_LEAF_AUTO(config, ConfigParse(merged));
   config.mRevision = aRevision.mRevision;
   std::lock_guard<std::mutex> lock(mLock);
-  mParts = std::move(kept);
+  mParts = std::move(loaded);
   return config;
 }
 
@@ -133,11 +133,12 @@
   }
   WriteResult result =
     mPlatform.Write({ kPartKind, digest, 0, RandomId(), aPart });
-  // Standing already under this name means standing with this content.
-  bool stands =
+  // An object that already exists under a digest has the same content.
+  bool stored =
     result.mEnd == WriteOutcome::Done || result.mEnd == WriteOutcome::Conflict;
-  if (!stands) {
-    return Fail(ErrorKind::PlatformUnavailable, "a part couldn't be stored");
+  if (!stored) {
+    return Fail(ErrorKind::PlatformUnavailable,
+                "a configuration part could not be stored");
   }
   return digest;
 }
@@ -150,13 +151,13 @@
                     const std::string& aAt)
 {
   ConfigIndex index;
-  auto standing = Outcome([&] { return Index(); });
-  if (auto* failure = std::get_if<Failure>(&standing)) {
+  auto current = Outcome([&] { return Index(); });
+  if (auto* failure = std::get_if<Failure>(&current)) {
     if (failure->mKind != ErrorKind::NotFound) {
       return Fail(*failure);
     }
   } else {
-    index = std::get<ConfigIndex>(standing);
+    index = std::get<ConfigIndex>(current);
   }
   if (index.mNow.mRevision != aExpected) {
     return Conflict(index.mNow, aExpected);
@@ -188,8 +189,8 @@
     }
     default:
       return Fail({ ErrorKind::PlatformUnavailable,
-                    "whether the change was accepted can't be told; read the "
-                    "revision before trying again",
+                    "it is unknown whether the change was accepted; read the "
+                    "revision before retrying",
                     result.mEnd == WriteOutcome::Refused ? RunState::NotRun
                                                          : RunState::MayHaveRun,
                     Seconds(5) });
--- a/src/platform/PlatformClient.cpp
+++ b/src/platform/PlatformClient.cpp
@@ -12,7 +12,7 @@
 constexpr int kConflict = 409;
 constexpr int kNotFound = 404;
 constexpr int kNoChange = 204;
-// A watch that ends at its time on the platform's side needs this to return.
+// Time for the answer of a watch that ended at its limit to come back.
 constexpr Millis kWatchTimeoutMargin{ 2000 };
 
 std::string
@@ -47,22 +47,22 @@
 Unavailable(const HttpReply& aReply)
 {
   return Fail(ErrorKind::PlatformUnavailable,
-              aReply.mError.empty()
-                ? "platform answered " + std::to_string(aReply.mStatus)
-                : aReply.mError);
+              aReply.mError.empty() ? "platform answered with status " +
+                                        std::to_string(aReply.mStatus)
+                                    : aReply.mError);
 }
 
-// A fault of the platform's (5xx) is no answer: the call may be tried again.
+// A 5xx status counts as no answer: the call may be retried.
 bool
 Usable(const HttpReply& aReply)
 {
   return aReply.mStage == HttpStage::Answered && aReply.mStatus < 500;
 }
 
-// A conflict with our own write id is no conflict: a first copy was taken,
-// and this is the answer to the second.
+// A conflict with this write's own id means that an earlier copy took effect
+// and this is the answer to a resend.
 WriteResult
-WriteEnded(const PlatformWrite& aWrite, const HttpReply& aReply)
+WriteResultOf(const PlatformWrite& aWrite, const HttpReply& aReply)
 {
   Json::Value json = JsonParseOrEmpty(aReply.mBody);
   if (aReply.mStatus != kConflict) {
@@ -70,10 +70,10 @@
     object.mValue = aWrite.mValue;
     return { WriteOutcome::Done, std::move(object) };
   }
-  PlatformObject standing = ObjectOf(json["current"]);
-  bool ours = standing.mWriteId == aWrite.mWriteId;
-  return { ours ? WriteOutcome::Done : WriteOutcome::Conflict,
-           std::move(standing) };
+  PlatformObject current = ObjectOf(json["current"]);
+  bool isOwnWrite = current.mWriteId == aWrite.mWriteId;
+  return { isOwnWrite ? WriteOutcome::Done : WriteOutcome::Conflict,
+           std::move(current) };
 }
 
 } // namespace
@@ -84,8 +84,8 @@
   , mClock(aClock)
   , mPool(16)
   , mRandom(std::random_device{}())
-  , mBudget(mSettings.mCallsPerSecond)
-  , mBudgetAt(aClock.Now())
+  , mCallBudget(mSettings.mCallsPerSecond)
+  , mCallBudgetAt(aClock.Now())
 {
 }
 
@@ -96,34 +96,35 @@
   return mLastAnswer;
 }
 
-// Without a budget, an instance whose requests all fail fast would ask the
-// platform as fast as its callers ask it; 350 such instances keep a platform
-// that comes back from an outage down.
+// Without a budget, an instance whose requests all fail fast would call the
+// platform as fast as its callers retry; 350 such instances would keep a
+// recovering platform down.
 bool
 PlatformClient::TakeCallBudget()
 {
   std::lock_guard<std::mutex> lock(mLock);
   TimePoint now = mClock.Now();
-  double seconds = std::chrono::duration<double>(now - mBudgetAt).count();
-  mBudget = std::min(mSettings.mCallsPerSecond,
-                     mBudget + seconds * mSettings.mCallsPerSecond);
-  mBudgetAt = now;
-  if (mBudget < 1) {
+  double seconds = std::chrono::duration<double>(now - mCallBudgetAt).count();
+  mCallBudget = std::min(mSettings.mCallsPerSecond,
+                         mCallBudget + seconds * mSettings.mCallsPerSecond);
+  mCallBudgetAt = now;
+  if (mCallBudget < 1) {
     ++mCounts.mOverBudget;
     return false;
   }
-  mBudget -= 1;
+  mCallBudget -= 1;
   return true;
 }
 
 void
-PlatformClient::Pause(int aTry)
+PlatformClient::Pause(int aAttempt)
 {
-  int64_t most = mSettings.mBackoff.count() << aTry;
+  int64_t maxPause = mSettings.mBackoff.count() << aAttempt;
   int64_t pause = 0;
   {
     std::lock_guard<std::mutex> lock(mLock);
-    pause = std::uniform_int_distribution<int64_t>(most / 2, most)(mRandom);
+    pause =
+      std::uniform_int_distribution<int64_t>(maxPause / 2, maxPause)(mRandom);
   }
   std::this_thread::sleep_for(Millis(pause));
 }
@@ -133,7 +134,8 @@
 {
   HttpReply reply;
   if (!TakeCallBudget()) {
-    reply.mError = "this instance's budget of platform calls is spent";
+    reply.mError =
+      "this instance's platform call budget is used up; call not made";
     return reply;
   }
   reply = mPool.Call(aCall);
@@ -150,7 +152,7 @@
 PlatformClient::SendWithRetries(const HttpCall& aCall)
 {
   HttpReply reply;
-  for (int i = 0; i < mSettings.mTries; ++i) {
+  for (int i = 0; i < mSettings.mMaxAttempts; ++i) {
     if (i > 0) {
       Pause(i - 1);
     }
@@ -201,7 +203,7 @@
 }
 
 HttpReply
-PlatformClient::SendOnceForWrite(const PlatformWrite& aWrite)
+PlatformClient::SendWriteOnce(const PlatformWrite& aWrite)
 {
   ++mCounts.mWrites;
   HttpCall call;
@@ -218,24 +220,24 @@
 WriteResult
 PlatformClient::Write(const PlatformWrite& aWrite)
 {
-  HttpReply reply = SendOnceForWrite(aWrite);
+  HttpReply reply = SendWriteOnce(aWrite);
   if (reply.mStage == HttpStage::NotSent) {
     return { WriteOutcome::Refused, {} };
   }
-  return Usable(reply) ? WriteEnded(aWrite, reply) : Resolve(aWrite);
+  return Usable(reply) ? WriteResultOf(aWrite, reply) : Resolve(aWrite);
 }
 
-// The write was offered and no answer came. It may have taken effect, or may
-// still. Sending it again is safe, since it is conditional: either copy can
-// win only once, and the write id tells whose it was.
+// The write was sent and no answer came, so it may have taken effect or still
+// may. Resending is safe because the write is conditional: only one copy can
+// take effect, and the write id shows that it was this one.
 WriteResult
 PlatformClient::Resolve(const PlatformWrite& aWrite)
 {
-  for (int i = 0; i < mSettings.mTries; ++i) {
+  for (int i = 0; i < mSettings.mMaxAttempts; ++i) {
     Pause(i);
-    HttpReply reply = SendOnceForWrite(aWrite);
+    HttpReply reply = SendWriteOnce(aWrite);
     if (Usable(reply)) {
-      return WriteEnded(aWrite, reply);
+      return WriteResultOf(aWrite, reply);
     }
   }
   return { WriteOutcome::Unknown, {} };
--- a/src/serve/BriefingRunner.cpp
+++ b/src/serve/BriefingRunner.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr Millis kRetryInterval{ 2000 };
-constexpr size_t kAtOnce = 4; // of one instance
+constexpr size_t kMaxConcurrent = 4; // per instance
 
 std::optional<Briefing>
-Ended(Briefing aBriefing, BriefingState aState, Json::Value aAnswer)
+Finished(Briefing aBriefing, BriefingState aState, Json::Value aAnswer)
 {
   aBriefing.mState = aState;
   aBriefing.mAnswer = std::move(aAnswer);
-  aBriefing.mMessages = Json::Value(); // not needed any more
+  aBriefing.mMessages = Json::Value(); // no longer needed
   return aBriefing;
 }
 
@@ -29,7 +29,7 @@
                                WorkerPool& aWorkers,
                                const Clock& aClock)
   : mStore(aStore)
-  , mTurns(aStore, aClock)
+  , mSteps(aStore, aClock)
   , mModels(aModels)
   , mMembers(aMembers)
   , mConfig(aConfig)
@@ -54,9 +54,11 @@
     }
     for (const std::string& id : *ids) {
       std::lock_guard<std::mutex> lock(mLock);
-      auto wait = mNotBefore.find(id);
-      bool early = wait != mNotBefore.end() && mClock.Now() < wait->second;
-      if (early || mRunning.size() >= kAtOnce || !mRunning.insert(id).second) {
+      auto notBefore = mNotBefore.find(id);
+      bool notDue =
+        notBefore != mNotBefore.end() && mClock.Now() < notBefore->second;
+      if (notDue || mRunning.size() >= kMaxConcurrent ||
+          !mRunning.insert(id).second) {
         continue;
       }
       mWorkers.Submit([this, id] { Run(id); });
@@ -67,8 +69,8 @@
 void
 BriefingRunner::Run(const std::string& aId)
 {
-  bool ended = mTurns.Take(
-    aId, [this](const Briefing& aBriefing) { return Attempt(aBriefing); });
+  bool ended = mSteps.Take(
+    aId, [this](const Briefing& aBriefing) { return TryRun(aBriefing); });
   std::lock_guard<std::mutex> lock(mLock);
   mRunning.erase(aId);
   mNotBefore[aId] = mClock.Now() + kRetryInterval;
@@ -78,7 +80,7 @@
 }
 
 std::optional<Briefing>
-BriefingRunner::Attempt(const Briefing& aBriefing)
+BriefingRunner::TryRun(const Briefing& aBriefing)
 {
   ModelCall call;
   call.mContext.mId = aBriefing.mId;
@@ -87,25 +89,27 @@
   call.mContext.mArrived = mClock.Now();
   call.mMessages = aBriefing.mMessages;
   auto refuse = [&](ErrorKind aKind, const char* aWhy) {
-    return Ended(aBriefing,
-                 BriefingState::Refused,
-                 ProblemJson(FailureOf(aKind, aWhy), aBriefing.mId));
+    return Finished(aBriefing,
+                    BriefingState::Refused,
+                    ProblemJson(FailureOf(aKind, aWhy), aBriefing.mId));
   };
   int64_t now =
     std::chrono::duration_cast<Millis>(mClock.WallNow().time_since_epoch())
       .count();
   if (now > aBriefing.mExpires) {
-    return refuse(ErrorKind::DeadlinePassed, "it couldn't be run in its time");
+    return refuse(ErrorKind::DeadlinePassed,
+                  "the briefing expired before it could run");
   }
   const auto& keys = call.mContext.mConfig->mKeys;
   auto key = keys.find(aBriefing.mCaller.mKeyId);
   if (key == keys.end() || key->second.mDigest != aBriefing.mCaller.mDigest) {
-    return refuse(ErrorKind::KeyUnknown, "its key was withdrawn");
+    return refuse(ErrorKind::KeyUnknown, "the briefing's key was withdrawn");
   }
   const auto& profiles = call.mContext.mConfig->mProfiles;
   auto profile = profiles.find(aBriefing.mProfile);
   if (profile == profiles.end() || profile->second.mModel.empty()) {
-    return refuse(ErrorKind::ProfileUnknown, "its profile was removed");
+    return refuse(ErrorKind::ProfileUnknown,
+                  "the briefing's profile was removed");
   }
   call.mContext.mProfile = profile->second;
   call.mMaxTokens =
@@ -116,16 +120,17 @@
     [&] { return mModels.Run(call, [](const auto&) { return true; }); });
   if (auto* failure = std::get_if<Failure>(&answer)) {
     if (failure->mKind == ErrorKind::CostAboveBurst) {
-      return refuse(failure->mKind, "it costs more than the tenant's burst");
+      return refuse(failure->mKind,
+                    "the briefing costs more tokens than the tenant's burst");
     }
     LogInfo("briefing_later",
             { { "briefing", aBriefing.mId }, { "reason", failure->mDetail } });
     return std::nullopt;
   }
   LogInfo("briefing_done", { { "briefing", aBriefing.mId } });
-  return Ended(aBriefing,
-               BriefingState::Done,
-               ChatCompletionJson(call, std::get<ModelAnswer>(answer)));
+  return Finished(aBriefing,
+                  BriefingState::Done,
+                  ChatCompletionJson(call, std::get<ModelAnswer>(answer)));
 }
 
 } // namespace caraway
--- a/src/serve/BriefingSteps.cpp
+++ b/src/serve/BriefingSteps.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Longer than any write is on its way, and than any read is behind.
+// Longer than any write can be in flight and any read can be stale.
 constexpr Seconds kMissingGrace{ 600 };
 
 } // namespace
@@ -26,7 +26,7 @@
     ended = MissingForTooLong(aId);
   }
   if (ended) {
-    // Where this fails the next turn finds it ended and tries again.
+    // If this fails, the next round finds the briefing finished and retries.
     FailureIn([&] { return mStore.Close(aId); });
   }
   return ended;
@@ -38,11 +38,11 @@
   if (aStored.mBriefing.mState != BriefingState::Accepted) {
     return true;
   }
-  std::optional<Briefing> ending = aAttempt(aStored.mBriefing);
-  if (!ending) {
+  std::optional<Briefing> finished = aAttempt(aStored.mBriefing);
+  if (!finished) {
     return false;
   }
-  return !FailureIn([&] { return mStore.End(aStored, *ending); });
+  return !FailureIn([&] { return mStore.End(aStored, *finished); });
 }
 
 bool
--- a/src/serve/CallerAnswer.cpp
+++ b/src/serve/CallerAnswer.cpp
@@ -40,7 +40,7 @@
 }
 
 bool
-CallerAnswer::Event(const char* aName, const std::string& aData)
+CallerAnswer::SendEvent(const char* aName, const std::string& aData)
 {
   std::lock_guard<std::timed_mutex> lock(mLock);
   return !mDone && WriteEvent(aName, aData);
@@ -90,16 +90,17 @@
       chunks->rdbuf()->close();
     }
   } catch (const Poco::Exception&) {
-    // Its caller has gone.
+    // The caller has disconnected.
   }
 }
 
 bool
-CallerAnswer::GiveUp(const std::string& aWhy)
+CallerAnswer::AnswerShuttingDown(const std::string& aWhy)
 {
-  // Held for longer, the handler is writing to a caller that doesn't read.
-  constexpr Millis kPatience{ 5 };
-  std::unique_lock<std::timed_mutex> lock(mLock, kPatience);
+  // If the lock is held for longer, the handler is writing to a caller that
+  // doesn't read.
+  constexpr Millis kLockTimeout{ 5 };
+  std::unique_lock<std::timed_mutex> lock(mLock, kLockTimeout);
   if (!lock.owns_lock()) {
     return true;
   }
@@ -122,7 +123,7 @@
   try {
     ProblemSendNow(mResponse, failure, mRequestId);
   } catch (const Poco::Exception&) {
-    // Its caller has gone.
+    // The caller has disconnected.
   }
   return mBegun;
 }
--- a/src/serve/CallerPort.cpp
+++ b/src/serve/CallerPort.cpp
@@ -15,7 +15,7 @@
 const std::string kServices = "/v1/services/";
 const std::string kBriefings = "/v1/briefings/";
 constexpr size_t kIdDigits = 32;
-// A briefing that couldn't be run for so long is refused for good.
+// A briefing that could not be run within this time is refused for good.
 constexpr std::chrono::hours kBriefingLifetime{ 24 };
 constexpr size_t kIdempotencyKeyLimit = 256;
 
@@ -29,7 +29,9 @@
 Begin(CallerAnswer& aAnswer)
 {
   if (!aAnswer.Begin()) {
-    return Fail(ErrorKind::ShuttingDown, "ask another instance");
+    return Fail(
+      ErrorKind::ShuttingDown,
+      "this instance is shutting down; send the request to another one");
   }
   return {};
 }
@@ -39,7 +41,7 @@
 {
   ModelCall call;
   if (!aJson.isObject() || !aJson["model"].isString()) {
-    return Fail(ErrorKind::BadRequest, "model: name a profile");
+    return Fail(ErrorKind::BadRequest, "model: expected the name of a profile");
   }
   call.mMessages = aJson["messages"];
   if (!call.mMessages.isArray() || call.mMessages.empty()) {
@@ -52,15 +54,15 @@
                   "messages: each needs a role and a content");
     }
   }
-  const Json::Value& most = aJson["max_tokens"];
-  if (!most.isNull() && (!most.isInt() || most.asInt() < 1)) {
+  const Json::Value& maxTokens = aJson["max_tokens"];
+  if (!maxTokens.isNull() && (!maxTokens.isInt() || maxTokens.asInt() < 1)) {
     return Fail(ErrorKind::BadRequest, "max_tokens: expected a number >= 1");
   }
   const Json::Value& stream = aJson["stream"];
   if (!stream.isNull() && !stream.isBool()) {
     return Fail(ErrorKind::BadRequest, "stream: expected true or false");
   }
-  call.mMaxTokens = most.isNull() ? 0 : most.asInt();
+  call.mMaxTokens = maxTokens.isNull() ? 0 : maxTokens.asInt();
   return call;
 }
 
@@ -85,17 +87,17 @@
 {
 }
 
-class CallerPort::Owed
+class CallerPort::PendingAnswer
 {
 public:
-  Owed(CallerPort& aPort, CallerAnswer& aAnswer)
+  PendingAnswer(CallerPort& aPort, CallerAnswer& aAnswer)
     : mPort(aPort)
     , mAnswer(aAnswer)
   {
     std::lock_guard<std::mutex> lock(mPort.mLock);
     mPort.mPendingAnswers.insert(&mAnswer);
   }
-  ~Owed()
+  ~PendingAnswer()
   {
     std::lock_guard<std::mutex> lock(mPort.mLock);
     mPort.mPendingAnswers.erase(&mAnswer);
@@ -110,7 +112,7 @@
 CallerPort::Open()
 {
   mSettings.mLimits.mOverloadBody = JsonWrite(ProblemJson(
-    FailureOf(ErrorKind::QueueFull, "all connections are taken"), RandomId()));
+    FailureOf(ErrorKind::QueueFull, "all connections are in use"), RandomId()));
   mPort = std::make_unique<HttpPort>(
     mSettings.mListen, mSettings.mLimits, [this](auto& aIn, auto& aOut) {
       Handle(aIn, aOut);
@@ -118,15 +120,18 @@
 }
 
 int
-CallerPort::GiveUp(TimePoint aUntil)
+CallerPort::AnswerShuttingDown(TimePoint aUntil)
 {
-  constexpr Millis kSend{ 20 }; // to a caller that doesn't read
-  mPort->LimitSendTime(kSend);
+  constexpr Millis kSendTimeout{ 20 }; // per caller that doesn't read
+  mPort->LimitSendTime(kSendTimeout);
   std::lock_guard<std::mutex> lock(mLock);
   int cut = 0;
   for (CallerAnswer* answer : mPendingAnswers) {
-    bool late = mClock.Now() >= aUntil;
-    cut += late || answer->GiveUp("its time to finish is over") ? 1 : 0;
+    bool expired = mClock.Now() >= aUntil;
+    cut += expired ||
+               answer->AnswerShuttingDown("the shutdown time limit was reached")
+             ? 1
+             : 0;
   }
   return cut;
 }
@@ -138,14 +143,14 @@
   context.mId = RandomId();
   context.mArrived = mClock.Now();
   context.mConfig = mConfig.Current();
-  // An order may have run when it was sent before, elsewhere.
+  // An order may have run in an earlier attempt at another instance.
   CallerAnswer answer(aResponse,
                       context.mId,
                       aRequest.has("Idempotency-Key") ? RunState::MayHaveRun
                                                       : RunState::NotRun);
-  Owed owed(*this, answer);
+  PendingAnswer pending(*this, answer);
   if (mDraining) {
-    Refuse(answer, context, Leaving(aRequest));
+    Refuse(answer, context, RefuseWhileDraining(aRequest));
     return;
   }
   auto failure = FailureIn([&] { return Route(aRequest, answer, context); });
@@ -155,15 +160,18 @@
 }
 
 Failure
-CallerPort::Leaving(Request& aRequest) const
+CallerPort::RefuseWhileDraining(Request& aRequest) const
 {
-  // Unread, it would have the connection reset before the answer is seen.
+  // With the body unread, the connection would be reset before the caller sees
+  // the response.
   Outcome([&] {
-    return HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTime);
+    return HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTimeout);
   });
-  Failure failure = FailureOf(ErrorKind::ShuttingDown, "ask another instance");
+  Failure failure = FailureOf(
+    ErrorKind::ShuttingDown,
+    "this instance is shutting down; send the request to another one");
   if (aRequest.has("Idempotency-Key")) {
-    // Not here; but the order may have run when it was sent before.
+    // It doesn't run here, but may have run in an earlier attempt.
     failure.mRun = RunState::MayHaveRun;
   }
   return failure;
@@ -186,7 +194,7 @@
             { "run", RunStateName(aFailure.mRun) },
             { "reason", aFailure.mDetail } });
   aAnswer.Send([&](Response& aResponse) {
-    // What is left of the body unread would be taken for the next request.
+    // An unread rest of the body would be parsed as the next request.
     aResponse.setKeepAlive(false);
     ProblemSend(aResponse, aFailure, aContext.mId);
   });
@@ -204,30 +212,31 @@
   try {
     path = Poco::URI(aRequest.getURI()).getPathEtc();
   } catch (const Poco::Exception&) {
-    return Fail(ErrorKind::BadRequest, "the path can't be read");
+    return Fail(ErrorKind::BadRequest, "the path can't be parsed");
   }
   if (path == "/v1/chat/completions" && aRequest.getMethod() == "POST") {
     return Chat(aRequest, aAnswer, aContext);
   }
   if (path == "/v1/models" && aRequest.getMethod() == "GET") {
-    List(aAnswer, aContext);
+    ListModels(aAnswer, aContext);
     return {};
   }
   if (path == "/v1/briefings" && aRequest.getMethod() == "POST") {
-    return Accept(aRequest, aAnswer, aContext);
+    return AcceptBriefing(aRequest, aAnswer, aContext);
   }
   if (path.compare(0, kBriefings.size(), kBriefings) == 0 &&
       aRequest.getMethod() == "GET") {
-    return Collect(aAnswer, aContext, path.substr(kBriefings.size()));
+    return FetchBriefing(aAnswer, aContext, path.substr(kBriefings.size()));
   }
   if (path.compare(0, kServices.size(), kServices) == 0) {
     return Service(aRequest, aAnswer, aContext, path.substr(kServices.size()));
   }
-  return Fail(ErrorKind::NotFound, "see the README for the paths");
+  return Fail(ErrorKind::NotFound,
+              "unknown path; the README lists the valid ones");
 }
 
 void
-CallerPort::List(CallerAnswer& aAnswer, const RequestContext& aContext)
+CallerPort::ListModels(CallerAnswer& aAnswer, const RequestContext& aContext)
 {
   Json::Value json;
   json["object"] = "list";
@@ -244,7 +253,8 @@
   aAnswer.Send([&](Response& aResponse) { JsonSend(aResponse, 200, json); });
 }
 
-// A profile of another tenant is answered like one that doesn't exist.
+// A profile of another tenant is reported as unknown, so that its existence
+// isn't disclosed.
 Result<void>
 CallerPort::FindProfile(RequestContext& aContext,
                         const std::string& aName) const
@@ -264,7 +274,7 @@
                      bool& aStream) const
 {
   BOOST_LEAF_AUTO(
-    body, HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTime));
+    body, HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTimeout));
   BOOST_LEAF_AUTO(json, JsonParse(body));
   BOOST_LEAF_AUTO(call, ParseChat(json));
   BOOST_LEAF_CHECK(FindProfile(aContext, json["model"].asString()));
@@ -307,21 +317,21 @@
     if (!stream.Begun()) {
       return Fail(*failure);
     }
-    stream.Break(*failure);
+    stream.SendError(*failure);
     return Fail(*failure);
   }
   stream.Finish(std::get<ModelAnswer>(answer).mFinish);
   return {};
 }
 
-// "Accepted" is said only when it is kept at the platform: from then on it
-// outlives every instance.
+// Reports "accepted" only after the briefing is stored at the platform, where
+// it survives the loss of every instance.
 Result<void>
-CallerPort::Accept(Request& aRequest,
-                   CallerAnswer& aAnswer,
-                   RequestContext& aContext)
+CallerPort::AcceptBriefing(Request& aRequest,
+                           CallerAnswer& aAnswer,
+                           RequestContext& aContext)
 {
-  bool wantsStream = false; // a briefing is collected, never streamed
+  bool wantsStream = false; // ignored: briefings are fetched, never streamed
   BOOST_LEAF_AUTO(call, ReadChat(aRequest, aContext, wantsStream));
 
   Briefing briefing;
@@ -347,13 +357,13 @@
 }
 
 Result<void>
-CallerPort::Collect(CallerAnswer& aAnswer,
-                    const RequestContext& aContext,
-                    const std::string& aId)
+CallerPort::FetchBriefing(CallerAnswer& aAnswer,
+                          const RequestContext& aContext,
+                          const std::string& aId)
 {
-  bool plain = aId.size() == kIdDigits &&
-               aId.find_first_not_of("0123456789abcdef") == std::string::npos;
-  if (!plain) {
+  bool validId = aId.size() == kIdDigits &&
+                 aId.find_first_not_of("0123456789abcdef") == std::string::npos;
+  if (!validId) {
     return Fail(ErrorKind::NotFound, "no such briefing");
   }
   BOOST_LEAF_AUTO(stored, mBriefings.Read(aId));
@@ -386,7 +396,7 @@
                 aContext.mProfile.mName + " is a model: /v1/chat/completions");
   }
   BOOST_LEAF_AUTO(
-    body, HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTime));
+    body, HttpReadBody(aRequest, mSettings.mBodyLimit, mSettings.mBodyTimeout));
   ServiceCall call;
   call.mContext = aContext;
   call.mMethod = aRequest.getMethod();
@@ -408,17 +418,17 @@
     aContext.mProfile.mClass,
     std::chrono::duration_cast<Micros>(mClock.Now() - aContext.mArrived));
   aAnswer.Send([&](Response& aResponse) {
-    const ClaimAnswer& kept = answer.mAnswer;
+    const ClaimAnswer& stored = answer.mAnswer;
     aResponse.setStatusAndReason(
-      static_cast<Poco::Net::HTTPResponse::HTTPStatus>(kept.mStatus));
-    if (!kept.mContentType.empty()) {
-      aResponse.setContentType(kept.mContentType);
+      static_cast<Poco::Net::HTTPResponse::HTTPStatus>(stored.mStatus));
+    if (!stored.mContentType.empty()) {
+      aResponse.setContentType(stored.mContentType);
     }
     aResponse.set("X-Request-Id", aContext.mId);
     if (answer.mReplayed) {
       aResponse.set("Idempotent-Replayed", "true");
     }
-    aResponse.sendBuffer(kept.mBody.data(), kept.mBody.size());
+    aResponse.sendBuffer(stored.mBody.data(), stored.mBody.size());
   });
   return {};
 }
--- a/src/serve/ClaimDriver.h
+++ b/src/serve/ClaimDriver.h
@@ -20,8 +20,8 @@
 {
   std::string mTenant;
   std::string mKey;      // the caller's Idempotency-Key
-  std::string mContent;  // profile, method, path and body: what must be equal
-  TimePoint mDeadline{}; // no handing on after it
+  std::string mContent;  // profile, method, path and body; equal in a retry
+  TimePoint mDeadline{}; // no endpoint is tried after it
 };
 
 struct OrderAnswer
@@ -30,11 +30,11 @@
   bool mReplayed = false;
 };
 
-// What is stored about an order, without claiming it.
+// Result of looking up an order's claim without creating one.
 enum class ClaimLookup
 {
-  Free,    // nobody holds it, and it hasn't run
-  Held,    // somebody holds it, or has run it
+  Free,    // not claimed, or released without running
+  Held,    // claimed, or already run
   Unknown, // the platform doesn't answer
 };
 
@@ -44,19 +44,19 @@
   ClaimDriver(std::string aSelf,
               PlatformApi& aPlatform,
               PeerClient& aPeers,
-              ClaimRegistry& aBook,
+              ClaimRegistry& aRegistry,
               WorkerPool& aWorkers,
               const Clock& aClock);
 
-  // aSendOrder offers the order to an endpoint once and tells how that ended:
+  // aSendOrder sends the order to one endpoint and reports the outcome:
   // NotOffered, Answered or AnswerLost. It is called again only after
   // NotOffered with mEndpointsLeft.
   Result<OrderAnswer> Run(const Order& aOrder,
                           const std::function<ClaimEvent()>& aSendOrder);
 
-  // For an order that is about to be refused for another reason: an earlier
-  // try of it may have run all the same.
-  ClaimLookup Look(const Order& aOrder);
+  // Looks up the claim of an order that is about to be refused for another
+  // reason: an earlier attempt of it may have run.
+  ClaimLookup LookUp(const Order& aOrder);
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
 
@@ -67,26 +67,26 @@
     ClaimState mState;
   };
 
-  ClaimEvent Do(Attempt& aAttempt,
-                const ClaimAction& aAction,
-                const std::function<ClaimEvent()>& aSendOrder);
+  ClaimEvent Perform(Attempt& aAttempt,
+                     const ClaimAction& aAction,
+                     const std::function<ClaimEvent()>& aSendOrder);
   ClaimEvent Write(const Attempt& aAttempt,
                    const ClaimRecord& aRecord,
                    int64_t aExpected);
   ClaimEvent Read(const Attempt& aAttempt);
   ClaimEvent QueryCreator(const ClaimAction& aAction);
-  ClaimEvent Keep(const Attempt& aAttempt,
-                  ClaimRecordState aState,
-                  int64_t aVersion);
+  ClaimEvent StoreRecord(const Attempt& aAttempt,
+                         ClaimRecordState aState,
+                         int64_t aVersion);
   void StoreInBackground(const Attempt& aAttempt,
                          const ClaimRecord& aRecord,
                          int64_t aVersion);
-  Json::Value OnAsk(const Json::Value& aParams);
+  Json::Value OnQuery(const Json::Value& aParams);
 
   std::string mSelf; // incarnation
   PlatformApi& mPlatform;
   PeerClient& mPeers;
-  ClaimRegistry& mBook;
+  ClaimRegistry& mRegistry;
   WorkerPool& mWorkers;
   const Clock& mClock;
 };
--- a/src/serve/RetryBudget.h
+++ b/src/serve/RetryBudget.h
@@ -1,4 +1,4 @@
-// RetryBudget.h: retries as a share of successes.
+// RetryBudget.h: limits retries to a share of successful calls.
 #ifndef caraway_serve_RetryBudget_h
 #define caraway_serve_RetryBudget_h
 
@@ -7,31 +7,32 @@
 
 namespace caraway {
 
-// When everything fails, retries multiply the load on what is left. Each
-// success pays for a tenth of a retry; with nothing saved there is none.
+// If every call fails, unlimited retries would multiply the load on the
+// remaining endpoints. Each success earns a tenth of a retry; without any saved
+// no retry is made.
 class RetryBudget
 {
 public:
-  void Succeeded()
+  void RecordSuccess()
   {
     std::lock_guard<std::mutex> lock(mLock);
-    mSaved = std::min(kMost, mSaved + kPerSuccess);
+    mAvailable = std::min(kMaxRetries, mAvailable + kRetriesPerSuccess);
   }
-  bool Spend()
+  bool TryTake()
   {
     std::lock_guard<std::mutex> lock(mLock);
-    if (mSaved < 1) {
+    if (mAvailable < 1) {
       return false;
     }
-    mSaved -= 1;
+    mAvailable -= 1;
     return true;
   }
 
 private:
-  static constexpr double kMost = 10;
-  static constexpr double kPerSuccess = 0.1;
+  static constexpr double kMaxRetries = 10;
+  static constexpr double kRetriesPerSuccess = 0.1;
   std::mutex mLock;
-  double mSaved = kMost;
+  double mAvailable = kMaxRetries;
 };
 
 } // namespace caraway
--- a/src/serve/ServiceCalls.cpp
+++ b/src/serve/ServiceCalls.cpp
@@ -10,8 +10,8 @@
 
 constexpr double kTokensPerServiceCall = 1;
 constexpr Millis kSuspectPeriod{ 2000 };
-constexpr Millis kConnect{ 500 };
-constexpr Millis kLeast{ 1 };
+constexpr Millis kConnectTimeout{ 500 };
+constexpr Millis kMinTimeout{ 1 };
 
 OrderAnswer
 AnswerOf(const HttpReply& aReply)
@@ -50,11 +50,12 @@
   }
   std::lock_guard<std::mutex> lock(mLock);
   if (!endpoints.empty()) {
-    size_t turn = mTurn++ % endpoints.size();
-    std::rotate(endpoints.begin(), endpoints.begin() + turn, endpoints.end());
+    size_t offset = mNextEndpoint++ % endpoints.size();
+    std::rotate(endpoints.begin(), endpoints.begin() + offset, endpoints.end());
   }
   TimePoint now = mClock.Now();
-  // Suspects go last and not away: when all are suspect, one is still tried.
+  // Suspected endpoints are tried last instead of being left out, so that one
+  // is still tried if all are suspected.
   std::stable_sort(endpoints.begin(),
                    endpoints.end(),
                    [&](const EndpointSpec& aLeft, const EndpointSpec& aRight) {
@@ -81,9 +82,9 @@
   call.mMethod = aCall.mMethod;
   call.mPath = aCall.mPath;
   call.mBody = aCall.mBody;
-  call.mConnectTimeout = kConnect;
+  call.mConnectTimeout = kConnectTimeout;
   call.mTimeout = std::max(
-    kLeast, std::chrono::duration_cast<Millis>(aDeadline - mClock.Now()));
+    kMinTimeout, std::chrono::duration_cast<Millis>(aDeadline - mClock.Now()));
   call.mHeaders = { { "X-Request-Id", aCall.mContext.mId } };
   if (!aCall.mContentType.empty()) {
     call.mHeaders.emplace_back("Content-Type", aCall.mContentType);
@@ -93,11 +94,12 @@
     std::lock_guard<std::mutex> lock(mLock);
     mSuspectUntil[aEndpoint.mName] = mClock.Now() + kSuspectPeriod;
   }
-  // An echo that names another request is another request's answer.
+  // An echoed id of another request shows that the answer belongs to that
+  // request.
   std::string echoed = reply.Header("x-request-id");
   if (!echoed.empty() && echoed != aCall.mContext.mId) {
     reply.mStage = HttpStage::Lost;
-    reply.mError = "an answer to another request";
+    reply.mError = "endpoint answered another request";
   }
   return reply;
 }
@@ -114,16 +116,16 @@
   return order;
 }
 
-// Refused for its rate, say. "Not run" must be true of the order and not only
-// of this try of it: an earlier try may have run, and then its answer is what
-// the caller gets, for no tokens.
+// For an order refused for its rate, for example. "Not run" must hold for the
+// order and not only for this attempt: if an earlier attempt ran, the caller
+// gets its answer, which costs no tokens.
 Result<OrderAnswer>
 ServiceCalls::RefuseOrder(const ServiceCall& aCall,
                           TimePoint aDeadline,
                           const Failure& aFailure)
 {
   Order order = OrderOf(aCall, aDeadline);
-  switch (mClaims.Look(order)) {
+  switch (mClaims.LookUp(order)) {
     case ClaimLookup::Free:
       return Fail(aFailure);
     case ClaimLookup::Unknown:
@@ -169,21 +171,23 @@
 Result<OrderAnswer>
 ServiceCalls::RunIdempotent(const ServiceCall& aCall, TimePoint aDeadline)
 {
-  Failure last = FailureOf(ErrorKind::NoEndpoint, "no endpoint in its group");
+  Failure last =
+    FailureOf(ErrorKind::NoEndpoint, "the service's group has no endpoint");
   bool first = true;
   for (const EndpointSpec& endpoint : Endpoints(aCall.mContext)) {
-    if (mClock.Now() >= aDeadline || (!first && !mRetries.Spend())) {
+    if (mClock.Now() >= aDeadline || (!first && !mRetries.TryTake())) {
       break;
     }
     BOOST_LEAF_CHECK(mLeave.MayStart(aDeadline, last.mRun));
     first = false;
     HttpReply reply = Send(aCall, endpoint, aDeadline);
     if (reply.mStage == HttpStage::Answered) {
-      mRetries.Succeeded();
+      mRetries.RecordSuccess();
       return AnswerOf(reply);
     }
     bool lost = reply.mStage == HttpStage::Lost;
-    // Once offered, it stays "may have run" whatever the next try does.
+    // Once an endpoint was offered the call, it stays "may have run" whatever
+    // the next attempt does.
     if (lost || last.mRun == RunState::NotRun) {
       last = FailureOf(lost ? ErrorKind::EndpointFailed : ErrorKind::NoEndpoint,
                        reply.mError);
--- a/tests/process/AtMostOnceTest.cpp
+++ b/tests/process/AtMostOnceTest.cpp
@@ -44,7 +44,7 @@
     return mFleet.OrderCall(
       aInstance, mFleet.mKeys["acme"], aKey, aBody, aWithin);
   }
-  void ServiceFault(const char* aName, const Json::Value& aValue)
+  void SetServiceFault(const char* aName, const Json::Value& aValue)
   {
     for (auto& service : mFleet.mServices) {
       Json::Value body;
@@ -56,12 +56,12 @@
   Fleet mFleet{ Plan() };
 };
 
-// The caller sends one order to three instances in the same moment, while the
-// service is slow. All three get the one run's answer: the claim is created
-// once, and the others wait on its creator.
+// One order is sent to three instances at the same moment while the service is
+// slow. Guards against each instance running it: the claim is created once, the
+// other two wait for its creator, and all return the answer of the one run.
 TEST_F(AtMostOnce, SentToAllInstancesAtOnce)
 {
-  ServiceFault("delay_ms", 400);
+  SetServiceFault("delay_ms", 400);
   std::vector<std::future<HttpReply>> replies;
   for (size_t i = 0; i < 3; ++i) {
     replies.push_back(
@@ -73,29 +73,29 @@
   EXPECT_EQ(mFleet.Runs("close"), 1);
 }
 
-// The instance is killed while the service works. The caller, whose
-// connection broke, asks elsewhere: nobody alive knows the outcome, so it is
-// told "may have run" and the order isn't sent again to find out.
+// The instance is killed while the service runs the order, and the caller
+// retries at another instance. Nobody alive knows the outcome, so the reply
+// must be "may have run", and the order must not be sent again to find out.
 TEST_F(AtMostOnce, InstanceKilledAfterHandingOn)
 {
-  ServiceFault("delay_ms", 700);
-  auto broken =
+  SetServiceFault("delay_ms", 700);
+  auto firstReply =
     std::async(std::launch::async, [&] { return Send(0, "k", "close"); });
   ASSERT_TRUE(
     Eventually(Seconds(5), [&] { return mFleet.Runs("close") == 1; }));
   mFleet.mInstances[0]->Kill();
-  EXPECT_FALSE(broken.get().Ok());
+  EXPECT_FALSE(firstReply.get().Ok());
   HttpReply again = Send(1, "k", "close");
   EXPECT_EQ(Field(again, "run"), "may_have_run");
   EXPECT_FALSE(again.Header("retry-after").empty());
   EXPECT_EQ(mFleet.Runs("close"), 1);
 }
 
-// The caller gives up waiting and asks another instance: it gets the answer
-// of the run that is still under way.
+// The caller times out and retries at another instance while the first run is
+// still in flight. It must get that run's answer, not a second run.
 TEST_F(AtMostOnce, CallerTimesOutAndRetriesElsewhere)
 {
-  ServiceFault("delay_ms", 900);
+  SetServiceFault("delay_ms", 900);
   HttpReply first = Send(0, "k", "close", Millis(300));
   EXPECT_FALSE(first.Ok());
   HttpReply second = Send(2, "k", "close");
@@ -106,9 +106,9 @@
   EXPECT_EQ(mFleet.Runs("close"), 1);
 }
 
-// The platform takes the claim and its answer is lost; later it loses the
-// answer's record too. The write id found by writing again tells that it was
-// ours.
+// The platform stores the claim and its answer is lost; later it loses the
+// write of the answer's record. Guards against taking its own claim for
+// another's: resending the write finds the write id.
 TEST_F(AtMostOnce, PlatformAnswersLost)
 {
   mFleet.PlatformFault("lose_answers", 1);
@@ -119,17 +119,17 @@
   EXPECT_EQ(mFleet.Runs("two"), 1);
 }
 
-// While the platform is out no order is handed on, and the refusal comes at
-// once. It can't say "not run": an earlier try may have. Once the platform is
-// back the same order runs.
+// During a platform outage no order is sent to a service, and the refusal comes
+// at once. It must not say "not run", since an earlier attempt may have run.
+// After the outage the same order runs.
 TEST_F(AtMostOnce, PlatformOutage)
 {
   EXPECT_TRUE(Send(0, "k1", "before").Ok());
   mFleet.PlatformFault("outage", "refuse");
   HttpReply retried = Send(2, "k1", "before");
   EXPECT_EQ(Field(retried, "run"), "may_have_run");
-  HttpReply fresh = Send(1, "k2", "during");
-  EXPECT_EQ(fresh.mStatus, 503);
+  HttpReply newOrder = Send(1, "k2", "during");
+  EXPECT_EQ(newOrder.mStatus, 503);
   EXPECT_EQ(mFleet.Runs("during"), 0);
   mFleet.PlatformFault("outage", "");
   EXPECT_TRUE(Send(2, "k2", "during").Ok());
@@ -137,8 +137,8 @@
   EXPECT_EQ(mFleet.Runs("before"), 1);
 }
 
-// An answer is cut off between service and instance: it ran, the caller is
-// told that it may have, here and elsewhere, now and later.
+// The answer is lost between service and instance. The order ran, so every
+// instance must report "may have run", also after the fault has ended.
 TEST_F(AtMostOnce, AnswerLostOnTheWayBack)
 {
   for (auto& proxy : mFleet.mServiceProxies) {
@@ -153,8 +153,8 @@
   EXPECT_EQ(mFleet.Runs("close"), 1);
 }
 
-// No service can be reached: "not run" is true and the key isn't used up.
-// With one of two gone, the order goes to the other.
+// With one of two services down, the order goes to the other. With both down,
+// "not run" is correct and the key can be used again.
 TEST_F(AtMostOnce, ServicesUnreachable)
 {
   mFleet.mServiceProxies[0]->Kill();
@@ -174,9 +174,9 @@
   EXPECT_EQ(mFleet.Runs("two"), 1);
 }
 
-// Another body under a used key is refused and not run; two tenants' equal
-// keys have nothing to do with each other; an answer too large to keep isn't
-// run again for its sake.
+// A used key with another body is refused and not run; equal keys of two
+// tenants are independent; an answer too large to keep doesn't cause a second
+// run.
 TEST_F(AtMostOnce, KeysBelongToTenantAndBody)
 {
   EXPECT_TRUE(Send(0, "k", "close").Ok());
@@ -185,16 +185,16 @@
   EXPECT_EQ(mFleet.Runs("open"), 0);
   EXPECT_TRUE(mFleet.OrderCall(1, mFleet.mKeys["globex"], "k", "open").Ok());
   EXPECT_EQ(mFleet.Runs("open"), 1);
-  ServiceFault("padding", 700000);
+  SetServiceFault("padding", 700000);
   EXPECT_TRUE(Send(0, "large", "large").Ok());
   EXPECT_EQ(Field(Send(2, "large", "large"), "run"), "ran");
   EXPECT_EQ(mFleet.Runs("large"), 1);
 }
 
-// An order ran, its answer was lost on the way, and the caller sends it again
-// when its tenant is over its rate. "Over its rate, not run" would have it
-// send the order once more under another key: the order is looked up first,
-// and the kept answer costs no tokens.
+// An order ran, its answer was lost, and the caller retries when its tenant is
+// over its rate. The answer "over the rate, not run" would make it send the
+// order again under another key. The claim is therefore looked up first, and
+// the kept answer costs no tokens.
 TEST(AtMostOnceRate, OrderThatRanIsAnsweredOverTheRate)
 {
   FleetPlan plan;
@@ -213,19 +213,19 @@
   HttpReply again = fleet.OrderCall(2, key, "k", "close");
   EXPECT_EQ(Field(again, "ran"), "close") << again.mBody;
   fleet.PlatformFault("outage", "refuse");
-  HttpReply blind = fleet.OrderCall(1, key, "k", "close");
-  EXPECT_EQ(Field(blind, "run"), "may_have_run");
+  HttpReply duringOutage = fleet.OrderCall(1, key, "k", "close");
+  EXPECT_EQ(Field(duringOutage, "run"), "may_have_run");
   EXPECT_EQ(fleet.Runs("close"), 1);
 }
 
-// Sixteen orders, each tried up to four times at changing instances, while
-// answers are lost at every hop, the platform goes out and instances are
-// killed and replaced, by a fixed seed. Whatever the callers saw: no order
-// ran twice, and none that was said not to have run had.
+// Sixteen orders, each tried up to four times at varying instances, while
+// answers are lost at every hop, the platform fails and instances are killed
+// and replaced, from a fixed seed. No order may run twice, and none that was
+// reported as "not run" may have run.
 TEST_F(AtMostOnce, NoOrderRunsTwiceUnderFaults)
 {
   std::mt19937 random(20261203);
-  auto below = [&](int aLimit) {
+  auto randomBelow = [&](int aLimit) {
     return static_cast<int>(random() % static_cast<unsigned>(aLimit));
   };
   const char* modes[] = { "pass", "pass", "drop_answer" };
@@ -233,12 +233,12 @@
   for (int i = 0; i < 16; ++i) {
     std::string body = "order " + std::to_string(i);
     for (int attempt = 0; attempt < 4; ++attempt) {
-      mFleet.ProxyMode(*mFleet.mServiceProxies[below(2)],
-                       Mode(modes[below(3)]));
-      mFleet.PlatformFault("lose_answers", below(3) == 0 ? 1 : 0);
-      mFleet.PlatformFault("drop_writes", below(4) == 0 ? 1 : 0);
-      mFleet.PlatformFault("outage", below(6) == 0 ? "refuse" : "");
-      size_t at = static_cast<size_t>(below(3));
+      mFleet.ProxyMode(*mFleet.mServiceProxies[randomBelow(2)],
+                       Mode(modes[randomBelow(3)]));
+      mFleet.PlatformFault("lose_answers", randomBelow(3) == 0 ? 1 : 0);
+      mFleet.PlatformFault("drop_writes", randomBelow(4) == 0 ? 1 : 0);
+      mFleet.PlatformFault("outage", randomBelow(6) == 0 ? "refuse" : "");
+      size_t at = static_cast<size_t>(randomBelow(3));
       auto reply = std::async(std::launch::async, [&] {
         return Send(at, "key " + std::to_string(i), body, Seconds(8));
       });
@@ -261,7 +261,7 @@
       }
     }
   }
-  EXPECT_GE(answered, 8); // the trouble doesn't simply stop everything
+  EXPECT_GE(answered, 8); // the faults must not stop everything
 }
 
 } // namespace caraway
--- a/tests/process/BriefingTest.cpp
+++ b/tests/process/BriefingTest.cpp
@@ -23,10 +23,10 @@
 }
 
 Json::Value
-Look(Fleet& aFleet,
-     size_t aInstance,
-     const std::string& aLocation,
-     const char* aTenant = "acme")
+Fetch(Fleet& aFleet,
+      size_t aInstance,
+      const std::string& aLocation,
+      const char* aTenant = "acme")
 {
   return JsonParseOrEmpty(
     aFleet
@@ -40,9 +40,9 @@
 
 } // namespace
 
-// A planner submits briefings while no engine can serve, and is told that they
-// are accepted. Then every instance dies. New ones find what is owed, run it,
-// and the results are there for the planner, and for nobody else.
+// Briefings are accepted while no engine can serve them, then all instances are
+// killed. Guards against losing accepted briefings: new instances must find and
+// run them, and only the tenant that submitted them may read the results.
 TEST(Briefings, SurviveAllInstances)
 {
   FleetPlan plan;
@@ -62,19 +62,21 @@
     fleet.Announce(i, false);
   }
   for (const std::string& location : locations) {
-    EXPECT_TRUE(Eventually(
-      Seconds(30), [&] { return Look(fleet, 1, location)["state"] == "done"; }))
+    EXPECT_TRUE(
+      Eventually(Seconds(30),
+                 [&] { return Fetch(fleet, 1, location)["state"] == "done"; }))
       << location;
-    Json::Value result = Look(fleet, 0, location)["result"];
+    Json::Value result = Fetch(fleet, 0, location)["result"];
     EXPECT_EQ(result["choices"][0]["message"]["content"].asString(),
               "w0 w1 w2 w3 w4 ");
-    EXPECT_EQ(Look(fleet, 0, location, "globex")["status"].asInt(), 404);
+    EXPECT_EQ(Fetch(fleet, 0, location, "globex")["status"].asInt(), 404);
   }
 }
 
-// The platform can't keep a briefing: it isn't acknowledged. An answer of the
-// platform that is lost is found again, and the briefing acknowledged. One
-// whose key is withdrawn before it ran ends with a refusal that can be read.
+// A briefing that the platform can't store must not be acknowledged. If only
+// the platform's answer is lost, the write is found again and the briefing is
+// acknowledged. A briefing whose key is withdrawn before it runs ends with a
+// refusal that can be fetched.
 TEST(Briefings, AcknowledgedOnlyWhenKept)
 {
   FleetPlan plan;
@@ -84,25 +86,26 @@
   EXPECT_NE(Submit(fleet, 0, "brief").mStatus, 202);
   fleet.PlatformFault("outage", "");
   fleet.PlatformFault("lose_answers", 2);
-  HttpReply kept = Submit(fleet, 1, "brief");
-  EXPECT_EQ(kept.mStatus, 202);
+  HttpReply stored = Submit(fleet, 1, "brief");
+  EXPECT_EQ(stored.mStatus, 202);
   EXPECT_TRUE(Eventually(Seconds(20), [&] {
-    return Look(fleet, 2, kept.Header("location"))["state"] == "done";
+    return Fetch(fleet, 2, stored.Header("location"))["state"] == "done";
   }));
   for (auto& engine : fleet.mEngines) {
     engine->Kill();
   }
-  HttpReply owed = Submit(fleet, 0, "chat-m3");
-  ASSERT_EQ(owed.mStatus, 202);
+  HttpReply openBriefing = Submit(fleet, 0, "chat-m3");
+  ASSERT_EQ(openBriefing.mStatus, 202);
   fleet.Configure([&](Json::Value& aConfig) {
     aConfig["keys"][0]["id"] = "key-renewed"; // same key, granted anew
   });
   EXPECT_TRUE(Eventually(Seconds(20), [&] {
-    return Look(fleet, 2, owed.Header("location"))["state"] == "refused";
+    return Fetch(fleet, 2, openBriefing.Header("location"))["state"] ==
+           "refused";
   }));
-  EXPECT_EQ(
-    Look(fleet, 2, owed.Header("location"))["problem"]["run"].asString(),
-    "not_run");
+  EXPECT_EQ(Fetch(fleet, 2, openBriefing.Header("location"))["problem"]["run"]
+              .asString(),
+            "not_run");
 }
 
 } // namespace caraway
--- a/tests/process/InTimeTest.cpp
+++ b/tests/process/InTimeTest.cpp
@@ -7,11 +7,10 @@
 
 namespace caraway {
 
-// One large tenant floods the model with briefings from all instances, far
-// more than the engine can serve. Bulletins of a small tenant for the same
-// model keep being served in their time: they pass the queue, and a place is
-// kept from the briefings. What is refused of the flood is refused with when
-// to come back.
+// One large tenant floods a model with briefings from all instances, far more
+// than the engine can serve. A small tenant's bulletins for the same model must
+// be served within their deadline: they pass the queue, and an engine slot is
+// reserved from briefings. Refused briefings must carry a retry-after time.
 TEST(InTime, BulletinsAreServedDuringABriefingFlood)
 {
   FleetPlan plan;
@@ -30,17 +29,18 @@
   ASSERT_TRUE(fleet.AwaitRevision(revision, Seconds(9)));
   ASSERT_TRUE(fleet.Chat(0, fleet.mKeys["acme"], "notice", 1).Ok());
   std::atomic<bool> ending{ false };
-  std::atomic<int> briefs{ 0 };
+  std::atomic<int> briefingsServed{ 0 };
   std::atomic<int> refused{ 0 };
-  std::atomic<int> silent{ 0 };
+  std::atomic<int> withoutRetryAfter{ 0 };
   std::vector<std::thread> flood;
   for (size_t i = 0; i < 36; ++i) {
     flood.emplace_back([&, i] {
       while (!ending) {
         HttpReply reply = fleet.Chat(i % 3, fleet.mKeys["globex"], "brief", 80);
-        briefs += reply.Ok() ? 1 : 0;
+        briefingsServed += reply.Ok() ? 1 : 0;
         refused += reply.mStatus == 503 || reply.mStatus == 504 ? 1 : 0;
-        silent += !reply.Ok() && reply.Header("retry-after").empty() ? 1 : 0;
+        withoutRetryAfter +=
+          !reply.Ok() && reply.Header("retry-after").empty() ? 1 : 0;
       }
     });
   }
@@ -65,14 +65,14 @@
   }
   EXPECT_EQ(served, 30);
   EXPECT_LT(worst, 1.4);
-  EXPECT_GT(briefs, 0);
+  EXPECT_GT(briefingsServed, 0);
   EXPECT_GT(refused, 0);
-  EXPECT_EQ(silent, 0);
+  EXPECT_EQ(withoutRetryAfter, 0);
   RecordProperty("worst_ms", static_cast<int>(worst * 1000));
 }
 
-// All engines are gone. Every request is refused at once and says when to come
-// back; none waits for its deadline, half a minute away.
+// All engines are down. Every request must be refused at once with a
+// retry-after time instead of waiting for its deadline half a minute later.
 TEST(InTime, RefusedAtOnceWhenAllEnginesAreDown)
 {
   FleetPlan plan;
@@ -112,10 +112,10 @@
 
 } // namespace
 
-// A large tenant's chat fills the engine, which then slows to a tenth. What it
-// has begun goes on for seconds and can't be put aside. Bulletins of a small
-// tenant are served in their time or refused at once, with when to come back;
-// none is held until its time is over, and most are served.
+// A large tenant's chat fills the engine, which then slows to a tenth, and
+// requests already running can't be interrupted. A small tenant's bulletins
+// must be served within their deadline or refused at once with a retry-after
+// time; none may be held until the deadline, and most must be served.
 TEST(InTime, BulletinsOnASlowedEngine)
 {
   Fleet fleet(OneEngine());
@@ -148,7 +148,7 @@
       EXPECT_FALSE(reply.Header("retry-after").empty()) << reply.mBody;
       EXPECT_EQ(JsonParseOrEmpty(reply.mBody)["run"].asString(), "not_run");
     }
-    EXPECT_LT(took, 1.4 + 0.3) << reply.mStatus; // and one slow token
+    EXPECT_LT(took, 1.4 + 0.3) << reply.mStatus; // plus one slow token
     std::this_thread::sleep_for(Millis(60));
   }
   ending = true;
@@ -160,9 +160,10 @@
   std::printf("served %d, refused %d of 40\n", served, refused);
 }
 
-// A burst of chat, several times what can be served in time. Those refused
-// come back when they were told, once, and most are served then. Told the
-// length of the queue as it stands, all would come back at one moment.
+// A burst of chat is several times what can be served in time. Refused requests
+// retry once at their retry-after time, and most must be served then. Guards
+// against a retry-after time equal to the length of the queue, which would make
+// all of them retry at the same moment.
 TEST(InTime, MostOfABurstAreServedOnRetry)
 {
   Fleet fleet(OneEngine());
@@ -170,12 +171,12 @@
     ASSERT_TRUE(fleet.Chat(0, fleet.mKeys["acme"], "chat-m0", 40).Ok());
   }
   std::atomic<int> first{ 0 };
-  std::atomic<int> back{ 0 };
-  std::atomic<int> then{ 0 };
+  std::atomic<int> retried{ 0 };
+  std::atomic<int> servedOnRetry{ 0 };
   std::vector<std::thread> burst;
   for (size_t i = 0; i < 150; ++i) {
     burst.emplace_back([&, i] {
-      // Another length each: what comes back is known by what it asks.
+      // Lengths differ, because a retry is recognised by its content.
       int tokens = 30 + static_cast<int>(i % 20);
       std::string key = fleet.mKeys[i % 2 ? "acme" : "globex"];
       HttpReply reply = fleet.Chat(i % 3, key, "chat-m0", tokens);
@@ -185,18 +186,20 @@
       }
       std::this_thread::sleep_for(
         Seconds(std::atoi(reply.Header("retry-after").c_str())));
-      ++back;
-      then += fleet.Chat(i % 3, key, "chat-m0", tokens).Ok() ? 1 : 0;
+      ++retried;
+      servedOnRetry += fleet.Chat(i % 3, key, "chat-m0", tokens).Ok() ? 1 : 0;
     });
   }
   for (std::thread& thread : burst) {
     thread.join();
   }
-  std::printf(
-    "first %d, back %d, then %d\n", first.load(), back.load(), then.load());
+  std::printf("served at first %d, retried %d, served on retry %d\n",
+              first.load(),
+              retried.load(),
+              servedOnRetry.load());
   EXPECT_GT(first, 20);
-  EXPECT_GT(back, 20);
-  EXPECT_GT(then * 2, back);
+  EXPECT_GT(retried, 20);
+  EXPECT_GT(servedOnRetry * 2, retried);
 }
 
 } // namespace caraway
--- a/tests/process/StoreGateTest.cpp
+++ b/tests/process/StoreGateTest.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A zone's loss in small: many models wake at once in both zones, and a
-// bulletin's model after them.
+// A zone's loss on a small scale: many models are requested at once in both
+// zones, and a bulletin's model after them.
 class ColdStartFleet : public ::testing::Test
 {
 protected:
@@ -25,7 +25,7 @@
     return plan;
   }
 
-  void Wake()
+  void StartColdRequests()
   {
     for (int model = 1; model < 15; ++model) {
       size_t at = model % 2 == 0 ? 0 : 2;
@@ -56,12 +56,12 @@
 
 } // namespace
 
-// Fourteen loads begin at once; the store would slow all of them, and the
-// bulletin that comes a moment later with them. Four go at a time, and the
-// bulletin's model before all that still wait.
+// Fourteen loads are requested at once, and a bulletin's load after them.
+// Without a limit all of them would slow each other at the store. Four may run
+// at a time, and the bulletin's model must load before all that still wait.
 TEST_F(ColdStartFleet, UrgentModelLoadsBeforeWaitingOnes)
 {
-  Wake();
+  StartColdRequests();
   EXPECT_TRUE(
     Eventually(Seconds(5), [&] { return Store()["order"].size() >= 4; }));
   HttpReply notice = mFleet.Chat(0, mFleet.mKeys["globex"], "notice", 1);
@@ -78,16 +78,17 @@
   EXPECT_LT(at, 10u) << store["order"];
 }
 
-// The zones can't reach each other, only the platform. Each goes on with its
-// part of the store's limit instead of waiting for a gate it can't ask. Until
-// all have noticed the cut there may be two gates with the whole limit.
+// The zones can reach the platform but not each other. Each must continue with
+// its part of the store's limit instead of waiting for a gate that it can't
+// reach. Until all have noticed the partition there may be two gates with the
+// full limit.
 TEST_F(ColdStartFleet, PartitionedZonesUseTheirParts)
 {
   mFleet.CutZone("uspallata-b", true);
   Json::Value pass;
   pass["mode"] = "pass";
   mFleet.ProxyMode(*mFleet.mPlatformProxies["uspallata-b"], pass);
-  Wake();
+  StartColdRequests();
   Join();
   EXPECT_EQ(mAnswered, 14);
   EXPECT_LE(Store()["peak"].asInt(), 2 * 4);
--- a/tests/soak/SoakCaller.cpp
+++ b/tests/soak/SoakCaller.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// How long callers wait for an answer, as they tell the instance.
+// Deadline of a request, as sent to the instance.
 constexpr Millis kDeadline{ 12000 };
 
-// A whole answer is due so long after the deadline at the latest.
+// A complete answer must arrive at most this long after the deadline.
 constexpr Millis kOverdue{ 1000 };
 
 const char*
@@ -37,10 +37,10 @@
 }
 
 void
-SoakCaller::Next(Millis aWait)
+SoakCaller::Next(Millis aDelay)
 {
   std::weak_ptr<SoakCaller> weak = weak_from_this();
-  mSite.World().mReactor.After(aWait, [weak] {
+  mSite.TestFleet().mReactor.After(aDelay, [weak] {
     auto self = weak.lock();
     if (self && !self->mSite.Ending() && !self->mCall) {
       self->Send();
@@ -53,9 +53,9 @@
 {
   mInstance = aInstance;
   mRequestsOnConnection = 0;
-  EntryTestFleet& world = mSite.World();
+  EntryTestFleet& testFleet = mSite.TestFleet();
   mChannel = Channel::Connect(
-    world.mReactor, world.CallerAddress(aInstance), Seconds(1));
+    testFleet.mReactor, testFleet.CallerAddress(aInstance), Seconds(1));
   std::weak_ptr<SoakCaller> weak = weak_from_this();
   Channel::Events events;
   events.mConnected = [weak] {
@@ -90,15 +90,15 @@
       { wire::kModel, "m" + std::to_string(model(mSite.Random())) });
     fields.push_back({ wire::kTokens, "20,30" });
   }
-  return mSite.World().RequestText(PathOf(aCall.mKind), aCall.mId, fields);
+  return mSite.TestFleet().RequestText(PathOf(aCall.mKind), aCall.mId, fields);
 }
 
 void
 SoakCaller::Send()
 {
-  bool kept = mChannel && mChannel->Open();
+  bool reuses = mChannel && mChannel->Open();
   std::optional<size_t> instance =
-    kept ? std::optional<size_t>(mInstance) : mSite.Pick();
+    reuses ? std::optional<size_t>(mInstance) : mSite.Pick();
   if (!instance) {
     Next(Millis(200));
     return;
@@ -108,16 +108,16 @@
   call.mInstance = *instance;
   call.mKind = static_cast<SoakKind>(
     std::uniform_int_distribution<int>(0, 3)(mSite.Random()));
-  call.mSent = mSite.World().mClock.Now();
-  if (!kept) {
+  call.mSent = mSite.TestFleet().mClock.Now();
+  if (!reuses) {
     Connect(*instance);
   }
-  call.mConnected = kept;
+  call.mConnected = reuses;
   call.mRequestsOnConnection = mRequestsOnConnection++;
   mCall = &call;
   mChannel->Write(TextOf(call));
   std::weak_ptr<SoakCaller> weak = weak_from_this();
-  mSite.World().mReactor.After(kDeadline + kOverdue, [weak, sent = &call] {
+  mSite.TestFleet().mReactor.After(kDeadline + kOverdue, [weak, sent = &call] {
     if (auto self = weak.lock()) {
       self->OnTimeUp(sent);
     }
@@ -129,7 +129,7 @@
 {
   std::string& input = mChannel->Input();
   if (!mCall) {
-    return; // the checks read what is left over
+    return; // left for the next call, whose answer then fails
   }
   if (!mHead) {
     HttpHead head;
@@ -143,7 +143,7 @@
     mCall->mStatus = mHead->mStatus;
   }
   if (mReader->Take(input, mCall->mBody) && mReader->Done()) {
-    mCall->mWhole = true;
+    mCall->mComplete = true;
     Finish(*mCall, mHead->mKeepAlive);
   }
 }
@@ -151,14 +151,14 @@
 void
 SoakCaller::Finish(SoakCall& aCall, bool aKeep)
 {
-  aCall.mEnded = mSite.World().mClock.Now();
+  aCall.mEnded = mSite.TestFleet().mClock.Now();
   mCall = nullptr;
   mHead.reset();
   mReader.reset();
   if (!aKeep) {
     mChannel->Close();
   }
-  // Many send the next one at once, as one stream ends.
+  // Negative draws send at once: many next requests are sent as a stream ends.
   std::uniform_int_distribution<int> wait(-400, 800);
   Next(Millis(std::max(0, wait(mSite.Random()))));
 }
@@ -175,7 +175,7 @@
 SoakCaller::OnTimeUp(const SoakCall* aCall)
 {
   if (mCall == aCall) {
-    mCall->mLeft = true;
+    mCall->mCallerLeft = true;
     Finish(*mCall, false);
   }
 }
--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -16,14 +16,14 @@
 namespace {
 
 constexpr Millis kStartTime{ 15000 };
-constexpr Millis kLook{ 10 };
+constexpr Millis kPollInterval{ 10 };
 
 std::string
 TemporaryFolder()
 {
   char name[] = "/tmp/caraway-fleet-XXXXXX";
   if (!mkdtemp(name)) {
-    throw std::runtime_error("no temporary folder");
+    throw std::runtime_error("can't create a temporary folder");
   }
   return name;
 }
@@ -46,7 +46,7 @@
     if (std::chrono::steady_clock::now() > until) {
       return false;
     }
-    std::this_thread::sleep_for(kLook);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
@@ -81,15 +81,16 @@
                              reply.mError);
   }
   if (!AwaitRevision(1, kStartTime)) {
-    throw std::runtime_error("the first revision doesn't get everywhere");
+    throw std::runtime_error("the first revision did not reach every instance");
   }
-  // What a balancer would wait for, and every slot has its holder.
-  bool held = Eventually(kStartTime, [&] {
+  // Waits until all instances are ready, as a balancer would, and every share
+  // slot has a holder.
+  bool slotsHeld = Eventually(kStartTime, [&] {
     int slots = 0;
     for (size_t i = 0; i < mInstances.size(); ++i) {
       Json::Value status = Status(i);
-      // Every one has its part: the first one's view of the table, in which it
-      // is alone and holds all, doesn't count.
+      // Each instance must hold slots. This excludes the first instance's early
+      // view of the table, in which it is alone and holds all of them.
       if (!status["ready"].asBool() || !status["share_settled"].asBool() ||
           (mZoneOf.size() <= 16 && status["share_slots"].asInt() == 0)) {
         return false;
@@ -98,12 +99,13 @@
     }
     return slots == 16 * static_cast<int>(mPlan.mZones.size());
   });
-  if (!held) {
-    throw std::runtime_error("the shares aren't held; see " + mFolder);
+  if (!slotsHeld) {
+    throw std::runtime_error("not all share slots are held; see " + mFolder);
   }
-  // Until all know all, two of them may hold themselves for the owner of one
-  // key. Tests of a fleet that is still meeting start instances themselves.
-  bool met = Eventually(kStartTime, [&] {
+  // Until all instances know each other, two of them may both act as the owner
+  // of one key. Tests of a fleet that is still forming start instances
+  // themselves.
+  bool allKnown = Eventually(kStartTime, [&] {
     for (size_t i = 0; i < mInstances.size(); ++i) {
       if (Status(i)["fit_instances"].asUInt64() != mInstances.size()) {
         return false;
@@ -111,14 +113,15 @@
     }
     return true;
   });
-  if (!met) {
-    throw std::runtime_error("not all know all; see " + mFolder);
+  if (!allKnown) {
+    throw std::runtime_error("not all instances know each other; see " +
+                             mFolder);
   }
 }
 
 Fleet::~Fleet()
 {
-  // Logs stay only when asked for.
+  // Logs are kept only on request.
   if (!std::getenv("CARAWAY_KEEP_LOGS")) {
     mInstances.clear();
     std::string command = "rm -rf " + mFolder;
@@ -278,8 +281,8 @@
     std::vector<std::string>{ "--config", stem + ".toml" },
     stem + ".log");
   if (mPlan.mProxies) {
-    // The instance says the proxy's address; its own is only in its log of
-    // what it bound.
+    // The instance reports the proxy's address; its own bound address is in
+    // "peer_bound".
     Json::Value mode;
     mode["mode"] = "pass";
     mode["target"] = child->Address("peer_bound");
@@ -332,7 +335,8 @@
   aChange(body["config"]);
   HttpReply reply = Call(admin, "POST", "/admin/v1/config", body, mAdminKey);
   if (!reply.Ok()) {
-    throw std::runtime_error("not accepted: " + reply.mBody + reply.mError);
+    throw std::runtime_error("configuration refused: " + reply.mBody +
+                             reply.mError);
   }
   return JsonParseOrEmpty(reply.mBody)["revision"].asInt64();
 }
@@ -480,16 +484,16 @@
   mode["mode"] = aCut ? "cut" : "pass";
   ProxyMode(*mPlatformProxies[aZone], mode);
   for (size_t i = 0; i < mPeerProxies.size(); ++i) {
-    Json::Value from;
-    from["mode"] = "pass";
-    from["cut_from"] = Json::Value(Json::arrayValue);
+    Json::Value mode;
+    mode["mode"] = "pass";
+    mode["cut_from"] = Json::Value(Json::arrayValue);
     for (const std::string& zone : mPlan.mZones) {
       bool crosses = (zone == aZone) != (mZoneOf[i] == aZone);
       if (aCut && crosses) {
-        from["cut_from"].append(zone);
+        mode["cut_from"].append(zone);
       }
     }
-    ProxyMode(*mPeerProxies[i], from);
+    ProxyMode(*mPeerProxies[i], mode);
   }
 }
 
--- a/tests/unit/ConfigCodecTest.cpp
+++ b/tests/unit/ConfigCodecTest.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 std::string
-Trouble(const std::string& aChange)
+ErrorAfter(const std::string& aChange)
 {
   Json::Value config = JsonParseOrEmpty(R"({
     "tenants":[{"name":"acme","rate":10,"burst":20}],
@@ -29,34 +29,35 @@
 
 } // namespace
 
-// An operator's slip is refused whole, with the place, before it is accepted.
+// Guards against accepting an invalid configuration: it must be refused as a
+// whole, with the path of the wrong field.
 TEST(ConfigCodec, InvalidConfigIsReportedWithItsLocation)
 {
-  EXPECT_EQ(Trouble("{}"), "");
-  EXPECT_EQ(Trouble(R"({"profiles":{"model":"x"}})"),
+  EXPECT_EQ(ErrorAfter("{}"), "");
+  EXPECT_EQ(ErrorAfter(R"({"profiles":{"model":"x"}})"),
             "profiles.p.model: no model x");
-  EXPECT_EQ(Trouble(R"({"profiles":{"adapter":"m"}})"),
+  EXPECT_EQ(ErrorAfter(R"({"profiles":{"adapter":"m"}})"),
             "profiles.p.adapter: no adapter of that model");
-  EXPECT_EQ(Trouble(R"({"profiles":{"tenant":"x"}})"),
+  EXPECT_EQ(ErrorAfter(R"({"profiles":{"tenant":"x"}})"),
             "profiles.p.tenant: no tenant x");
-  EXPECT_EQ(Trouble(R"({"profiles":{"service":"g"}})"),
-            "profiles.p.model: name either a model or a service");
-  EXPECT_EQ(Trouble(R"({"models":{"bytes":11}})"),
+  EXPECT_EQ(ErrorAfter(R"({"profiles":{"service":"g"}})"),
+            "profiles.p.model: expected either a model or a service");
+  EXPECT_EQ(ErrorAfter(R"({"models":{"bytes":11}})"),
             "models.m.bytes: fits no engine's memory");
-  EXPECT_EQ(Trouble(R"({"endpoints":{"address":"host:80"}})"),
+  EXPECT_EQ(ErrorAfter(R"({"endpoints":{"address":"host:80"}})"),
             "endpoints.e.address: expected ip:port");
-  EXPECT_EQ(Trouble(R"({"tenants":{"rate":"10/s"}})"),
+  EXPECT_EQ(ErrorAfter(R"({"tenants":{"rate":"10/s"}})"),
             "tenants.acme.rate: expected a number >= 0");
 }
 
-// A model's profile said that its calls must not be repeated, and they were
-// all the same: claims are made for services only. Refused, rather than
-// accepted and not kept.
+// Guards against a model profile that declares its calls non-repeatable and is
+// accepted: claims are made for services only, so the calls would still be
+// repeated.
 TEST(ConfigCodec, NonRepeatableModelProfileIsRejected)
 {
-  EXPECT_EQ(Trouble(R"({"profiles":{"repeatable":false}})"),
-            "profiles.p.repeatable: only a service's calls can be kept from "
-            "running twice");
+  EXPECT_EQ(ErrorAfter(R"({"profiles":{"repeatable":false}})"),
+            "profiles.p.repeatable: only profiles of a service can be "
+            "non-repeatable");
 }
 
 } // namespace caraway
--- a/tests/unit/EventLogTest.cpp
+++ b/tests/unit/EventLogTest.cpp
@@ -1,4 +1,4 @@
-// Logs never block and stay bounded.
+// The event log never blocks and its memory is bounded.
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -26,7 +26,8 @@
   EXPECT_TRUE(line["f"].asBool());
 }
 
-// One event floods: the others keep their lines, and what was left out is told.
+// Guards against one frequent event that displaces others; the dropped lines
+// must be counted in a line of their own.
 TEST(EventLog, FloodOfOneEventDoesNotDropOthers)
 {
   PausedClock clock;
@@ -42,14 +43,14 @@
   EXPECT_NE(std::string::npos, log.Gathered().find("\"lines\":800"));
 }
 
-// Nobody reads the pipe: writing returns at once, memory stays bounded, and
-// lines flow again when somebody reads.
+// Guards against a pipe that nobody reads: writes must return at once, memory
+// must stay bounded, and lines must flow again after a read.
 TEST(EventLog, FullPipeDoesNotBlock)
 {
-  int ends[2];
-  ASSERT_EQ(0, pipe(ends));
+  int pipeEnds[2];
+  ASSERT_EQ(0, pipe(pipeEnds));
   PausedClock clock;
-  EventLog log(clock, "i1", ends[1]);
+  EventLog log(clock, "i1", pipeEnds[1]);
   auto begin = std::chrono::steady_clock::now();
   for (int second = 0; second < 60; ++second) {
     for (int i = 0; i < 190; ++i) {
@@ -59,42 +60,42 @@
     clock.Advance(Seconds(1));
   }
   EXPECT_LT(std::chrono::steady_clock::now() - begin, Seconds(2));
-  EXPECT_LE(log.Waiting(), 300u * 1024);
+  EXPECT_LE(log.BufferedBytes(), 300u * 1024);
   EXPECT_GT(log.DroppedLines(), 0);
-  size_t waiting = log.Waiting();
+  size_t bufferedBefore = log.BufferedBytes();
   char bytes[65536];
-  ASSERT_GT(read(ends[0], bytes, sizeof bytes), 0);
+  ASSERT_GT(read(pipeEnds[0], bytes, sizeof bytes), 0);
   log.Flush();
-  EXPECT_LT(log.Waiting(), waiting);
-  close(ends[0]);
-  close(ends[1]);
+  EXPECT_LT(log.BufferedBytes(), bufferedBefore);
+  close(pipeEnds[0]);
+  close(pipeEnds[1]);
 }
 
-// Guards against half a line of a process that ended while nobody read, with
-// the first line of its successor behind it.
+// Guards against a partial line from a process that exited while nobody read,
+// followed by the first line of its successor.
 TEST(EventLog, ExitingProcessLeavesNoPartialLine)
 {
-  int ends[2];
-  ASSERT_EQ(0, pipe(ends));
+  int pipeEnds[2];
+  ASSERT_EQ(0, pipe(pipeEnds));
   PausedClock clock;
   for (const char* name : { "first", "second" }) {
-    EventLog log(clock, name, ends[1]);
+    EventLog log(clock, name, pipeEnds[1]);
     for (int i = 0; i < 190; ++i) {
       log.Line("busy").Text("text", std::string(600 + i, 'x'));
     }
     log.Flush();
-    EXPECT_GT(log.Waiting(), 0u);
+    EXPECT_GT(log.BufferedBytes(), 0u);
     char bytes[2000];
-    ASSERT_GT(read(ends[0], bytes, sizeof bytes), 0);
+    ASSERT_GT(read(pipeEnds[0], bytes, sizeof bytes), 0);
   }
-  close(ends[1]);
+  close(pipeEnds[1]);
   std::string text;
   char bytes[4096];
   ssize_t count = 0;
-  while ((count = read(ends[0], bytes, sizeof bytes)) > 0) {
+  while ((count = read(pipeEnds[0], bytes, sizeof bytes)) > 0) {
     text.append(bytes, static_cast<size_t>(count));
   }
-  close(ends[0]);
+  close(pipeEnds[0]);
   std::istringstream lines(text.substr(text.find('\n') + 1));
   std::string line;
   while (std::getline(lines, line)) {
--- a/tests/unit/EventTableTest.cpp
+++ b/tests/unit/EventTableTest.cpp
@@ -1,4 +1,5 @@
-// The operators' page lists every event with its fields, and none besides.
+// docs/OPERATIONS.md must list exactly the events that the code writes, with
+// their fields.
 
 #include <filesystem>
 #include <fstream>
@@ -24,7 +25,7 @@
 }
 
 std::set<std::string>
-WordsIn(const std::string& aText, const char* aPattern)
+MatchesIn(const std::string& aText, const char* aPattern)
 {
   std::set<std::string> words;
   std::regex pattern(aPattern);
@@ -36,7 +37,7 @@
   return words;
 }
 
-// Every statement that writes a line.
+// Finds every statement that writes a line.
 EventFields
 WrittenEvents()
 {
@@ -51,9 +52,9 @@
     std::sregex_iterator end;
     for (std::sregex_iterator at(text.begin(), text.end(), line); at != end;
          ++at) {
-      std::set<std::string> fields = WordsIn(
+      std::set<std::string> fields = MatchesIn(
         (*at)[2], "\\.(?:Text|Count|Number|Ms|Flag)\\(\\s*\"([a-z_]+)\"");
-      for (const std::string& event : WordsIn((*at)[1], "\"([a-z_]+)\"")) {
+      for (const std::string& event : MatchesIn((*at)[1], "\"([a-z_]+)\"")) {
         events[event].insert(fields.begin(), fields.end());
       }
     }
@@ -74,11 +75,11 @@
     if (!std::regex_match(text, match, row) || match[1] == "event") {
       continue;
     }
-    for (const std::string& event : WordsIn(match[1], "([a-z_]+)")) {
-      events[event] = WordsIn(match[2], "([a-z_]+)");
+    for (const std::string& event : MatchesIn(match[1], "([a-z_]+)")) {
+      events[event] = MatchesIn(match[2], "([a-z_]+)");
     }
   }
-  events.erase("log_left_out"); // written by the log itself
+  events.erase("log_left_out"); // written by EventLog itself
   return events;
 }
 
@@ -90,11 +91,13 @@
   EventFields listed = ListedEvents();
   ASSERT_GT(written.size(), 20u);
   for (const auto& [event, fields] : written) {
-    EXPECT_EQ(1u, listed.count(event)) << event << " isn't on the page";
+    EXPECT_EQ(1u, listed.count(event))
+      << event << " isn't listed in docs/OPERATIONS.md";
     EXPECT_EQ(fields, listed[event]) << event;
   }
   for (const auto& [event, fields] : listed) {
-    EXPECT_EQ(1u, written.count(event)) << event << " isn't written";
+    EXPECT_EQ(1u, written.count(event))
+      << event << " is listed but never written";
   }
 }
 
