--- a/include/caraway/EndpointSpec.h
+++ b/include/caraway/EndpointSpec.h
@@ -9,7 +9,7 @@
 
 enum class EndpointKind
 {
-  Engine,  // loads models on order
+  Engine,  // loads models when ordered to
   Service, // plain service that requests are routed to
 };
 
--- a/include/caraway/ErrorKind.h
+++ b/include/caraway/ErrorKind.h
@@ -49,7 +49,7 @@
   const char* mName;  // stable name in the problem document's type
   const char* mTitle; // one sentence for humans
   int mStatus;        // HTTP status
-  RunState mRun;      // default; a failure may carry a weaker one
+  RunState mRun;      // default; a failure may state another one
   Millis mRetryAfter; // default; 0 = a retry won't help
 };
 
--- a/include/caraway/Failure.h
+++ b/include/caraway/Failure.h
@@ -11,7 +11,8 @@
 struct Failure
 {
   ErrorKind mKind = ErrorKind::Internal;
-  std::string mDetail; // for humans; never contains a key or a body
+  // For humans; never contains a key or a body.
+  std::string mDetail;
   RunState mRun = RunState::NotRun; // whether the request has run
   Millis mRetryAfter{ 0 };          // 0 = a retry won't help
 };
--- a/include/caraway/PausedClock.h
+++ b/include/caraway/PausedClock.h
@@ -16,7 +16,8 @@
   void Advance(Micros aBy) { mMicros += aBy.count(); }
 
 private:
-  // Starts at one hour: a zero time point means "never" in several records.
+  // Starts at one hour, since a zero time point means "never" in several
+  // records.
   std::atomic<int64_t> mMicros{ 3'600'000'000 };
 };
 
--- a/include/caraway/Profile.h
+++ b/include/caraway/Profile.h
@@ -13,7 +13,7 @@
 struct Profile
 {
   std::string mName;    // sent by callers as `model`
-  std::string mTenant;  // owner; "" = all tenants
+  std::string mTenant;  // the only user; "" = all tenants
   std::string mModel;   // "" for a plain service
   std::string mAdapter; // "" = none
   std::string mService; // endpoint group of a plain service
--- a/include/caraway/TenantKey.h
+++ b/include/caraway/TenantKey.h
@@ -8,7 +8,7 @@
 
 struct TenantKey
 {
-  std::string mId; // by which operators revoke it
+  std::string mId; // operators revoke the key by it
   std::string mTenant;
   std::string mDigest; // SHA-256 of the key, hexadecimal
 };
