--- a/src/decide/HeadroomHistory.cpp
+++ b/src/decide/HeadroomHistory.cpp
@@ -37,9 +37,8 @@
 void
 HeadroomHistory::ForgetBefore(TimePoint aTime)
 {
-  // The dropped entry may be the minimum for a reservation made between it and
-  // the next entry. At worst, a reservation older than what is kept gets too
-  // small a refund.
+  // Only a reservation made before aTime can have its minimum in a dropped
+  // entry. TokenBucket no longer refunds such a reservation.
   while (!mEntries.empty() && mEntries.front().mAt < aTime) {
     mEntries.pop_front();
   }
--- a/src/decide/HeadroomHistory.h
+++ b/src/decide/HeadroomHistory.h
@@ -25,6 +25,7 @@
   // A refund of aTokens raised the level, which reduces every recorded
   // headroom.
   void Lower(double aTokens);
+  // Afterwards MinSince() is valid only for times from aTime on.
   void ForgetBefore(TimePoint aTime);
   size_t Size() const { return mEntries.size(); }
 
--- a/src/decide/LeaseStep.h
+++ b/src/decide/LeaseStep.h
@@ -106,7 +106,7 @@
   LeaseTimes mTimes;
   std::optional<LeaseRecord> mSeen; // as last read
   TimePoint mSeenAt{};              // when that revision was first read
-  int64_t mToken = 0;               // > 0 while held by this process
+  int64_t mToken = 0;               // 0 = not held by this process
   TimePoint mExpiresAt{};
   TimePoint mActFrom{};
   TimePoint mNextActionAt{};
--- a/src/decide/LeavePlan.h
+++ b/src/decide/LeavePlan.h
@@ -8,7 +8,7 @@
 
 struct LeaveTimes
 {
-  Millis mGrace{ 8000 }; // from the signal to the kill; setting
+  Millis mGrace{ 8000 }; // from the signal to the kill, as configured
   // The load balancer probes once a second and stops sending callers after two
   // failed probes.
   Millis mBalancerLag{ 2500 };
@@ -27,8 +27,8 @@
   void Shorten(Millis aGrace);
   bool Leaving() const { return mLeaving; }
 
-  // The load balancer may still send callers here. Once false, tenants' tokens
-  // are handed over to other instances.
+  // Whether the load balancer may still send callers here. Once it may not,
+  // tenants' tokens are handed over to other instances.
   bool ExpectsCallers(TimePoint aNow) const;
   // Whether a request may be sent to a server at aStart. aAnswerBy: time by
   // which it has its final answer, whatever the server does. aUsual: usual
--- a/src/decide/LoadClaims.h
+++ b/src/decide/LoadClaims.h
@@ -5,7 +5,8 @@
 // Two zones would then load the same model for a few requests that one server
 // could serve. So zones announce the loads they have queued or started, and a
 // zone that receives such a claim in time drops its own load. While the claims
-// don't get through, both zones load the model.
+// don't get through, both zones load the model: neither can know that the other
+// serves it.
 #ifndef caraway_decide_LoadClaims_h
 #define caraway_decide_LoadClaims_h
 
@@ -40,6 +41,7 @@
   // Time at which another zone expects aModel to be loaded, if one does.
   std::optional<TimePoint> Elsewhere(const std::string& aModel,
                                      TimePoint aNow) const;
+  // Drops claims whose loads are overdue.
   void Forget(TimePoint aNow);
 
 private:
--- a/src/decide/LoadPriority.h
+++ b/src/decide/LoadPriority.h
@@ -28,9 +28,9 @@
   Millis mLoad{ 0 }; // usual load time
 };
 
-// Requests per second. One load occupies a server for about a second; at this
-// rate it serves more requests than the load of a rare model, requested every
-// five seconds or so, ever does.
+// Requests per second. A load occupies a server for about a second. From this
+// rate on, it serves more requests than the load of a rare model, which is
+// requested every five seconds or so.
 inline constexpr double kPopularRate = 2.0;
 
 // Smaller keys are loaded first.
--- a/src/decide/ModelOrder.h
+++ b/src/decide/ModelOrder.h
@@ -16,9 +16,10 @@
   bool mLoad = true; // false = unload
   std::string mModel;
   std::string mAdapter; // "" = the model itself
-  int64_t mOrders = 0;  // accepted so far; the server refuses a different count
-  std::string mHolder;  // instance that sends the order
-  int64_t mToken = 0;   // fencing token of the lease
+  // Orders that the server has accepted so far; it refuses another count.
+  int64_t mOrders = 0;
+  std::string mHolder; // instance that sends the order
+  int64_t mToken = 0;  // fencing token of the lease
 };
 
 enum class OrderAnswer
--- a/src/decide/PlacementPlan.cpp
+++ b/src/decide/PlacementPlan.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-// Weight of evictions: seconds of reload that they will cost, times the request
-// rate. With 1, evicting a model with one request per second costs as much as
-// the wait of the current request.
+// Weight of an eviction, which costs the seconds of the reload times the rate
+// of requests. With 1, a second of reload for a model with one request per
+// second costs as much as a second of waiting of the current request.
 constexpr double kEvictWeight = 1.0;
 
-// Share of a model's slots above which its replicas are busy and another one is
-// worth loading.
+// Share of the slots of a model's replicas that its own requests occupy. From
+// this share on, another replica is worth loading.
 constexpr double kBusyShare = 0.5;
 
-// Share of slots, taken by any model, above which requests for the model will
-// soon wait or be refused.
+// Share of the same slots that requests for any model occupy. From this share
+// on, requests for the model will soon wait or be refused.
 constexpr double kFullShare = 0.75;
 
 // Requests per second from which a replica serves more of them than the load of
@@ -31,17 +31,19 @@
 struct EvictionCandidate
 {
   std::string mModel;
-  double mValue = 0; // seconds of waiting that its loss costs other requests
+  // Seconds of waiting that its eviction costs other requests.
+  double mValue = 0;
   double mMb = 0;
 };
 
-// Candidate zone for the next replica: fewest replicas first, then those with a
-// copy of the weights on a disk.
+// Candidate zone for the next replica. Zones with the fewest replicas rank
+// first, and among these the ones with a copy of the weights on a disk.
 struct ZoneReplicas
 {
   std::string mZone;
   int mReplicas = 0;
-  bool mNoDiskCopy = true; // no server has a copy on its disk
+  // No server without a replica has a copy on its disk.
+  bool mNoDiskCopy = true;
 
   std::tuple<int, bool, std::string> Rank() const
   {
@@ -76,7 +78,8 @@
   int replicas =
     count == aFacts.mReplicas.end() ? 1 : std::max(1, count->second);
   // A reload comes from this server's disk, where a copy remains. Another
-  // replica serves meanwhile, unless the demand needs both.
+  // replica serves meanwhile, unless the demand needs both, so its presence
+  // halves the cost.
   double seconds = static_cast<double>(model->second.mDisk.count()) / 1000.0;
   double others = replicas > 1 ? 0.5 : 1.0;
   return rate->second * seconds * others / replicas;
@@ -170,7 +173,7 @@
 {
   // Disk goes before memory although memory is faster: entries are a heartbeat
   // old, and each load evicts a copy from memory, so most of the copies listed
-  // there are gone by the time of the load. Copies on disk last.
+  // there are gone by the time of the load. Copies on disk are kept for long.
   if (aBackend.mEntry.mOnDisk.count(aModel)) {
     return WeightSource::Disk;
   }
--- a/src/decide/PlacementPlan.h
+++ b/src/decide/PlacementPlan.h
@@ -50,15 +50,15 @@
   std::vector<std::string> mEvict; // in this order
   WeightSource mSource = WeightSource::Store;
   Millis mWait{ 0 };   // until the server and the store are free
-  Millis mUnload{ 0 }; // all evictions
-  Millis mLoad{ 0 };   // the load itself
+  Millis mUnload{ 0 }; // duration of all evictions
+  Millis mLoad{ 0 };   // duration of the load itself
 
   Millis Whole() const { return mWait + mUnload + mLoad; }
 };
 
-// Time a server needs to unload an unused model; it accepts no other order
+// Time that a server needs to unload an unused model; it accepts no other order
 // meanwhile. A load sent at once would be refused twice, and every order has a
-// cost: with this delay a placement takes two orders instead of four.
+// cost. With this delay a placement takes two orders instead of four.
 inline constexpr Millis kUnloadTime{ 50 };
 
 // Number of servers that hold each model, without draining ones.
--- a/src/decide/RateSplit.cpp
+++ b/src/decide/RateSplit.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Minimum size of a part: a few usual requests, so that it can pay one without
-// borrowing.
+// Minimum size of a part, for limits in tokens and in requests: a few usual
+// requests, so that the part can pay one without borrowing.
 constexpr double kMinPartTokens = 4000;
 constexpr double kMinPartRequests = 4;
 
--- a/src/decide/RateSplit.h
+++ b/src/decide/RateSplit.h
@@ -1,9 +1,9 @@
 // RateSplit.h: splits a tenant's rate and burst into parts, one per instance.
 //
 // Each zone has an equal part, whatever the state of the others, so that a zone
-// that is cut off continues with it. Within a zone it is split between as many
-// instances as it makes useful parts for, chosen by rendezvous hashing;
-// instances that lack tokens borrow from those that have them.
+// that is cut off continues with it. Within a zone that part is split between
+// as many instances as can each get a useful amount, chosen by rendezvous
+// hashing. Instances that lack tokens borrow from those that have them.
 #ifndef caraway_decide_RateSplit_h
 #define caraway_decide_RateSplit_h
 
--- a/src/decide/Rendezvous.h
+++ b/src/decide/Rendezvous.h
@@ -8,10 +8,10 @@
 
 namespace caraway {
 
-// The member with the highest random weight. A member that joins or leaves
-// moves only its own keys. "" if there are no members. Ownership is a hint: a
-// wrong guess costs a round trip, since the platform's conditional update
-// decides.
+// The member with the highest hash weight for aKey. A member that joins or
+// leaves moves only its own keys. "" if there are no members. Ownership is a
+// hint: a wrong guess costs a round trip, since the platform's conditional
+// update decides.
 std::string
 RendezvousOwner(const std::vector<std::string>& aMembers,
                 const std::string& aKey);
--- a/src/decide/RequestFacts.h
+++ b/src/decide/RequestFacts.h
@@ -13,7 +13,7 @@
 
 struct RequestFacts
 {
-  std::string mId; // of this attempt by the caller
+  std::string mId; // of this attempt of the caller
   std::string mHost;
   std::string mPath; // without the query
   std::string mKey;  // "" = none given
@@ -28,7 +28,7 @@
 // Facts about a server's answer, apart from its body.
 struct AnswerFacts
 {
-  bool mFromServer = false; // produced by the server itself, not on the way
+  bool mFromServer = false; // from the server itself, not an intermediary
   bool mNotRun = false;     // proof that the request didn't run
   bool mEncoded = false;    // has a content coding, which no request asks for
   std::string mId;          // id of the request it answers
--- a/src/decide/RunTimeEstimates.cpp
+++ b/src/decide/RunTimeEstimates.cpp
@@ -8,13 +8,13 @@
 
 // Weights of the newest run, as in RFC 6298.
 constexpr double kMeanGain = 0.125;
-
 constexpr double kDeviationGain = 0.25;
 
+// UsualTime() is the mean plus this many deviations.
 constexpr double kDeviations = 2;
 
-// Bounds the memory used: routes come and go with configurations. The estimates
-// dropped are learned again.
+// Bounds the memory used: routes come and go with configurations. At the limit
+// all estimates are dropped and learned again.
 constexpr size_t kMaxRoutes = 4096;
 
 } // namespace
--- a/src/decide/ServerInventory.cpp
+++ b/src/decide/ServerInventory.cpp
@@ -41,8 +41,8 @@
          (aAdapter.empty() || model->second.count(aAdapter) > 0);
 }
 
-// A late order under a count that has passed is refused by the server, so it no
-// longer counts.
+// The server refuses a late order whose count of orders has passed, so such an
+// order is left out.
 HeldModels
 ServerInventory::UpperBound(TimePoint aNow) const
 {
--- a/src/decide/ServerInventory.h
+++ b/src/decide/ServerInventory.h
@@ -50,8 +50,8 @@
             const ModelOrder& aLoad,
             TimePoint aNow) const;
 
-  // Returns true if the report establishes the content: it is of the same start
-  // time, of an idle server, and not older than an accepted order.
+  // Returns true if the report establishes the content: it has the same start
+  // time, comes from an idle server, and isn't older than an accepted order.
   bool OnReport(const ServerReport& aReport);
   // The server accepted aOrder under the count Orders(). aDone: it has been
   // carried out already.
@@ -77,7 +77,8 @@
   // Subsets of mHeld.
   std::set<std::pair<std::string, std::string>> mPendingLoads;
   std::set<std::pair<std::string, std::string>> mPendingUnloads;
-  // The last of the mOrders accepted; empty = not a load.
+  // Model and adapter of the last accepted order if that was a load; empty if
+  // it was an unload or isn't known.
   std::pair<std::string, std::string> mLastLoad;
   std::vector<LateOrder> mUnanswered; // since the server's start
   std::vector<LateOrder> mLateOrders; // from before a restart
--- a/src/decide/ServerRetryBudget.cpp
+++ b/src/decide/ServerRetryBudget.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Share of the ratio and the slack that is used: the windows of servers and
-// instances aren't aligned, and instances come and go.
+// Share of the allowed retries that is used. The rest is a margin: the windows
+// of servers and instances aren't aligned, and instances come and go.
 constexpr double kPlannedShare = 0.6;
 
 void
--- a/src/decide/ServerRetryBudget.h
+++ b/src/decide/ServerRetryBudget.h
@@ -2,7 +2,7 @@
 //
 // When servers fail, every instance retries what failed, and the retries keep
 // the servers overloaded. Each instance spends in proportion to its own
-// requests, plus an equal part of the fixed slack; so the total stays within
+// requests, plus an equal part of the fixed slack. So the total stays within
 // the limit without any message between instances.
 #ifndef caraway_decide_ServerRetryBudget_h
 #define caraway_decide_ServerRetryBudget_h
@@ -18,7 +18,7 @@
 struct ServerRetryLimits
 {
   double mRatio = 0.2; // retries per request
-  double mSlack = 0;   // retries per window besides, over all instances
+  double mSlack = 0;   // further retries per window, over all instances
   Millis mWindow{ 10000 };
 };
 
--- a/src/decide/ServerView.cpp
+++ b/src/decide/ServerView.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Costs are in requests per slot: 0.1 equals a tenth of a server's slots. A
-// server in another zone adds two zone crossings and billed traffic.
+// server in another zone costs two zone crossings and billed traffic.
 constexpr double kCrossZoneCost = 0.12;
 // A server that fails half of its requests costs as much as a full one.
 constexpr double kFailureCost = 2.0;
@@ -15,8 +15,8 @@
 // all choose the same server.
 constexpr double kTieBreakNoise = 0.03;
 
-// Time for which a server is avoided after a connection failure. It doubles
-// with each consecutive failure; afterwards the next request serves as a probe.
+// Time for which a server is avoided after a connection failure; it doubles
+// with each consecutive one. The next request after it serves as a probe.
 constexpr Millis kFirstAvoidTime{ 200 };
 constexpr int kMaxDoublings = 4;
 
@@ -29,8 +29,8 @@
 // about it to be sent again.
 constexpr Millis kSuspectedMissingTime{ 60 };
 
-// Weight of one outcome in the failure share: three failures in a row show, a
-// single one doesn't.
+// Weight of one outcome in the failure share. Three failures in a row make a
+// server about as costly as a full one; a single failure does not.
 constexpr double kSampleWeight = 0.2;
 
 double
--- a/src/decide/ServerView.h
+++ b/src/decide/ServerView.h
@@ -12,7 +12,7 @@
 
 namespace caraway {
 
-// A server's entry, and what this instance has observed of it.
+// A server's entry, and what this instance knows about the server.
 struct Backend
 {
   BackendEntry mEntry;
@@ -30,7 +30,7 @@
   double mFailureShare = 0;     // moving average, 0 to 1
   TimePoint mAvoidUntil{};
   TimePoint mAddressReusedUntil{}; // another server answers at its address
-  // Accepts no order before, as the lease holder reported.
+  // It accepts no order before this time, as the lease holder reported.
   TimePoint mLoadingUntil{};
 
   // Time until it accepts an order, as far as is known; 0 = now.
@@ -50,7 +50,7 @@
   std::string mModel; // "" = a plain service
   std::string mAdapter;
   std::string mZone;               // of this instance
-  std::set<std::string> mExcluded; // servers that may not get it
+  std::set<std::string> mExcluded; // servers that must not get it
   std::set<std::string> mOnly;     // unless empty, only these
   double mMaxPerSlot = 1;          // limit on requests in flight per slot
 };
@@ -106,9 +106,10 @@
   void Began(const std::string& aId, const std::string& aName);
   void Ended(const std::string& aId, const std::string& aName);
   void Heard(const std::string& aId, ServerOutcome aOutcome, TimePoint aNow);
-  // Another server answered at its address: addresses are assigned again after
-  // a server ends. The server gets no requests for aFor, within which its entry
-  // is removed; each request sent there would be refused and need a retry.
+  // Another server answered at its address: an address is assigned again after
+  // its server ends. The server gets no requests for aFor, within which its
+  // entry is removed; each request sent there would be refused and need a
+  // retry.
   void Elsewhere(const std::string& aId, Millis aFor, TimePoint aNow);
 
   // Replaces all counts that aPeer reported before.
--- a/src/decide/StoreLoadTracker.cpp
+++ b/src/decide/StoreLoadTracker.cpp
@@ -11,16 +11,17 @@
 constexpr double kInitialCapacity = 4;
 constexpr double kMaxCapacity = 16;
 
-// A load that took this factor longer than usual was slowed by concurrent
-// loads; each load that wasn't raises the estimate by this much.
+// A load that took more than this multiple of its usual time was slowed by
+// concurrent loads. Each load that wasn't may raise the estimate by
+// kCapacityProbe.
 constexpr double kSlowdownThreshold = 1.12;
 constexpr double kCapacityProbe = 0.25;
 
 // Weight of one slowed load in the estimate.
 constexpr double kSampleWeight = 0.5;
 
-// A load of another zone is assumed to end by this multiple of its remaining
-// time, if its end isn't reported.
+// A load of another zone whose end isn't reported is assumed to have ended
+// after this multiple of its remaining time.
 constexpr int kOverdueFactor = 2;
 
 // Servers of a zone per concurrent load from the store. Such a load blocks all
@@ -81,7 +82,7 @@
                   : std::chrono::duration_cast<Millis>(first - aNow);
     wait = std::max(left, kRecheckInterval);
   }
-  // At least one: a part below one per window would never admit a load.
+  // At least one: a part of less than one load per window would admit none.
   double inWindow = std::max(
     1.0,
     std::floor(mPerSecond * static_cast<double>(kWindow.count()) + kRounding));
--- a/src/decide/StoreLoadTracker.h
+++ b/src/decide/StoreLoadTracker.h
@@ -5,7 +5,8 @@
 // many it serves at full speed: this is estimated from the duration of loads.
 // The zones report their loads to each other and together stay within the
 // estimate. The store also forbids loads beyond a rate; each zone keeps to an
-// equal part of it, so that the sum holds while zones can't reach each other.
+// equal part of it, so that the total stays within the rate while zones can't
+// reach each other.
 #ifndef caraway_decide_StoreLoadTracker_h
 #define caraway_decide_StoreLoadTracker_h
 
@@ -54,7 +55,7 @@
   double mEstimatedCapacity;
   std::deque<TimePoint> mBegan;
   std::map<std::string, Load> mRunning;             // by server
-  std::map<std::string, TimePoint> mOtherZoneLoads; // expected end, by server
+  std::map<std::string, TimePoint> mOtherZoneLoads; // assumed end, by server
 };
 
 } // namespace caraway
--- a/src/decide/TenantTokenBucket.cpp
+++ b/src/decide/TenantTokenBucket.cpp
@@ -39,7 +39,8 @@
 constexpr Millis kMinRetryAfter{ 100 };
 constexpr Millis kMaxRetryAfter{ 30000 };
 
-// Minimum share of the rate assumed for refused requests in an overload.
+// Minimum share of the rate that retry-after times of refused requests are
+// based on, when new demand takes all of it.
 constexpr double kMinPaceShare = 0.05;
 
 double
@@ -214,10 +215,10 @@
   return paid;
 }
 
-// Refused requests get successive retry-after times, spaced at the rate at
-// which tokens exceed the new demand. In an overload these are far away: an
-// earlier retry would only take tokens from requests that can still be served
-// in time.
+// Refused requests get successive retry-after times, spaced by the rate at
+// which tokens accrue beyond the new demand. In an overload these are far away:
+// an earlier retry would only take tokens from requests that can still be
+// served in time.
 TokenRefused
 TenantTokenBucket::Refuse(const QueuedTokenRequest& aRequest, TimePoint aNow)
 {
--- a/src/decide/TenantTokenBucket.h
+++ b/src/decide/TenantTokenBucket.h
@@ -5,7 +5,7 @@
 // so its demand reaches few instances and moves between them, while each
 // instance holds an equal part of the limit. A request that the own part can't
 // pay waits briefly while the instance borrows from the other holders, one
-// after the other. Lenders keep what their own callers are likely to ask for.
+// after the other. Lenders keep what their own callers are likely to need.
 // If no holder has spare tokens, the request is refused at once, with the time
 // at which its tokens should be available.
 #ifndef caraway_decide_TenantTokenBucket_h
--- a/src/decide/TokenBucket.cpp
+++ b/src/decide/TokenBucket.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Requests, and so their reservations, last no longer than this; an older
-// refund is lost.
+// Requests, and so their reservations, last no longer than this; a later refund
+// is lost.
 constexpr Seconds kRefundWindow{ 300 };
 
 double
--- a/src/decide/TokenBucket.h
+++ b/src/decide/TokenBucket.h
@@ -17,8 +17,8 @@
 
   // Takes all of aTokens or none.
   bool Take(double aTokens, TimePoint aNow);
-  // aTokens of those taken at aTakenAt weren't used. Returns how many of them
-  // are credited; see HeadroomHistory.
+  // Refunds aTokens of those taken at aTakenAt, which weren't used. Returns how
+  // many of them are credited; see HeadroomHistory.
   double GiveBack(double aTokens, TimePoint aTakenAt, TimePoint aNow);
   // Adds tokens from another bucket. Returns how many fit under the burst.
   double Add(double aTokens, TimePoint aNow);
--- a/src/decide/WatchStep.h
+++ b/src/decide/WatchStep.h
@@ -17,9 +17,9 @@
 
 namespace caraway {
 
-// Smaller ranks come first: larger CPU shares, since the reader has the most to
-// do; among equals an instance that leads its zone comes last, and otherwise
-// the name decides.
+// Smaller ranks come first. A larger CPU share gives a smaller rank, since the
+// reader has the most to do. Among equals an instance that leads its zone comes
+// last, and otherwise the name decides.
 std::string
 WatchRank(double aCpuShare, const std::string& aName, bool aLeads = false);
 
@@ -28,15 +28,15 @@
 public:
   // Older updates aren't relied on. A reader has an update at least every
   // second. A server that is leaving may receive requests for two seconds; the
-  // difference is enough to detect the loss and read the list.
+  // difference is enough to detect the loss of the reader and read the list.
   static constexpr Millis kMaxUpdateAge{ 1300 };
 
   explicit WatchStep(std::string aRank);
 
   // aFrom, a rank, sends what it read from the store at aUpdateAt. Returns true
   // if this instance now follows it. aOwnUpdateAt: time of this instance's own
-  // last read, none while it follows another; own reads count for as long as
-  // others'.
+  // last read, zero while it follows another. kMaxUpdateAge applies to own
+  // reads as well.
   bool OnTold(const std::string& aFrom,
               TimePoint aUpdateAt,
               TimePoint aOwnUpdateAt,
@@ -50,7 +50,7 @@
 
 private:
   std::string mSelf;     // rank
-  std::string mLeader;   // rank; "" = none followed yet
+  std::string mLeader;   // rank of the reader that it follows; "" = none yet
   TimePoint mUpdateAt{}; // last update of mLeader
 };
 
--- a/src/decide/ZoneChoice.cpp
+++ b/src/decide/ZoneChoice.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Time that a queued load occupies a server; most load from disk.
+// Time that a queued load occupies a server. Most loads are from disk.
 constexpr double kSecondsPerLoad = 0.8;
 
 // Seconds of waiting that another zone must save to be preferred: its answers
--- a/src/decide/ZoneChoice.h
+++ b/src/decide/ZoneChoice.h
@@ -20,7 +20,7 @@
   std::string mZone;
   int mServers = 0;     // that could hold the model
   int mQueued = 0;      // loads already waiting there
-  Millis mReadyIn{ 0 }; // until its best server has it, without the queue
+  Millis mReadyIn{ 0 }; // until its best server holds it, without the queue
 };
 
 // Returns "" if there is no offer. aOwnZone: this instance's zone.
--- a/src/decide/ZoneMembers.cpp
+++ b/src/decide/ZoneMembers.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-constexpr int kMissedHeartbeats = 3; // of a silent peer
+// Consecutive heartbeats missed by a peer that counts as silent.
+constexpr int kMissedHeartbeats = 3;
 
 } // namespace
 
@@ -21,8 +22,9 @@
   mSilenceTimeout = std::max(kSilenceTimeout, aInterval * kMissedHeartbeats);
 }
 
-// Its entry may have been removed meanwhile, however many peers it hears from
-// afterwards.
+// Without contact for the silence timeout, this instance's entry may have been
+// removed. Hearing from a majority again doesn't disprove that, so the instance
+// has to be counted anew.
 void
 ZoneMembers::Tick(TimePoint aNow)
 {
@@ -67,7 +69,8 @@
 {
   Tick(aNow);
   if (!mJoined || aAskedAt < mJoinedAt) {
-    return; // the list may lack this instance, or peers that joined with it
+    // The list may lack this instance, or peers that joined with it.
+    return;
   }
   std::map<std::string, MemberPeer> peers;
   bool self = false;
@@ -105,7 +108,8 @@
     return;
   }
   if (marked) {
-    return; // the entry is rewritten first, so that no late call removes it
+    // The entry is rewritten first, so that no late call removes it.
+    return;
   }
   mSeenAt = aAskedAt;
   UpdateCounted();
@@ -207,7 +211,8 @@
     std::any_of(mZonePeers.begin(), mZonePeers.end(), [](const auto& aOne) {
       return aOne.second.mMarkedSince != TimePoint();
     });
-  // Already at half the timeout, so that the list is there when it is needed.
+  // Checked at half the timeout, so that the list has arrived when it is
+  // needed.
   bool noMajority = !mCounted || !Majority(aNow, mSilenceTimeout / 2);
   return mJoined && !mLeft && (noMajority || removing);
 }
--- a/src/decide/ZoneMembers.h
+++ b/src/decide/ZoneMembers.h
@@ -51,7 +51,7 @@
   // Silent for this long, a peer is considered dead without asking a majority:
   // where most of a zone was lost at once, there is none.
   static constexpr Millis kPresumedDead{ 60000 };
-  // Allowance for clock differences and calls in flight.
+  // Allowance for clock differences and calls in flight, before a removal.
   static constexpr Millis kMargin{ 1000 };
 
   explicit ZoneMembers(std::string aSelf);
@@ -125,9 +125,10 @@
   TimePoint mJoinedAt{};
   TimePoint mSeenAt{}; // when this instance's entry was last seen unmarked
   bool mJoined = false;
-  bool mReplaced = false; // the entry replaced by joining was counted
-  bool mListed = false;   // a list was read since joining
-  bool mCounted = false;  // by all peers
+  // This instance's entry was counted, before it joined or as last listed.
+  bool mReplaced = false;
+  bool mListed = false;  // a list was read since joining
+  bool mCounted = false; // by all peers
   bool mMissing = false;
   bool mMarked = false;
   bool mLeft = false;
--- a/src/decide/ZoneTakeover.cpp
+++ b/src/decide/ZoneTakeover.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-constexpr int kMissedHeartbeats = 6; // of a live instance
+// Consecutive heartbeats missed by all instances of a silent zone.
+constexpr int kMissedHeartbeats = 6;
 
 } // namespace
 
@@ -62,9 +63,9 @@
          aNow - mLastHeardAt >= mSilenceTimeout;
 }
 
-// Candidates of higher rank ask later, after those before them had the chance
-// to take over, and less often: a silent zone costs the store a few calls,
-// however many instances see it.
+// Candidates that rank later request lists later, after those before them had
+// the chance to take over, and less often. So a silent zone costs the store a
+// few calls, however many instances see it.
 bool
 ZoneTakeover::NeedsList(TimePoint aNow) const
 {
--- a/src/decide/ZoneTakeover.h
+++ b/src/decide/ZoneTakeover.h
@@ -16,8 +16,9 @@
 class ZoneTakeover
 {
 public:
-  // While a fleet starts, zones appear without the instances that are about to
-  // join.
+  // Time after its own start before this instance may lead another zone. While
+  // a fleet starts, zones appear empty because their instances are still about
+  // to join.
   static constexpr Millis kStartupDelay{ 10000 };
   // A zone may be empty after this time without a heartbeat of its instances.
   static constexpr Millis kSilenceTimeout{ 1500 };
@@ -35,7 +36,8 @@
   // number of heartbeat intervals or this time per rank, whichever is longer.
   static constexpr int kRankDelayHeartbeats = 2;
   static constexpr Millis kRankDelay{ 500 };
-  // Delay per rank before acquiring a free lease.
+  // Delay per rank before acquiring a free lease, which leaves it to candidates
+  // that rank before.
   static constexpr Millis kRankYield{ 300 };
 
   // aNow: this instance's start.
@@ -54,12 +56,13 @@
   // The store listed aEntries instances of the zone to a call started at
   // aAskedAt.
   void OnListed(int aEntries, TimePoint aAskedAt);
-  // Another outsider leads the zone, or (OnLedHere) this instance does.
+  // Another outsider leads the zone.
   void OnLedByOther(TimePoint aNow);
+  // Whether this instance leads the zone.
   void OnLedHere(bool aLedHere) { mLedHere = aLedHere; }
 
-  // No instance of the zone was heard from recently, so rank and lease holder
-  // matter.
+  // No instance of the zone was heard from recently, so the rank and the lease
+  // holder are needed.
   bool Silent(TimePoint aNow) const;
   // A fresh list is needed, to start or continue leading.
   bool NeedsList(TimePoint aNow) const;
