--- a/tests/property/EmptyZoneProperty.cpp
+++ b/tests/property/EmptyZoneProperty.cpp
@@ -23,12 +23,12 @@
 
 constexpr Millis kStep{ 50 };
 
-// From the last fault until a holder acts: a list in its backoff, or the delay
-// after a start (10 s), two lists, a whole lease (6 s), the yields of ranks,
-// and the silence (3 s).
+// Longest time from the last fault until a holder acts: a list in its backoff,
+// or the delay after a start (10 s), two lists, a whole lease (6 s), the yields
+// of ranks, and the silence (3 s).
 constexpr Millis kMaxLeaderlessTime{ 24000 };
 
-// From the start of an insider until it acts.
+// Longest time from the start of an insider until it acts.
 constexpr Millis kMaxHandBackTime{ 6000 };
 
 constexpr int kHeartbeatSteps = 5;
@@ -110,7 +110,7 @@
   }
 
   // Ends all faults. Entries of dead instances are removed, as their zone would
-  // do; a live insider stays where it is.
+  // do, and dead outsiders restart. A live insider keeps running.
   void EndFaults()
   {
     mFaultsStopped = true;
@@ -271,7 +271,7 @@
     aOne.mLease.SetWanted(takeover.MayLead(mNow), mNow);
   }
 
-  // Same as in LeaseLoop.
+  // Reports to the lease step what LeaseLoop would.
   void ObserveHolder(Instance& aOne)
   {
     if (aOne.mLease.Released()) {
@@ -356,16 +356,17 @@
       int64_t token = one->mLease.Token();
       bool other = one->mName != mActor;
       if (token < mToken || (other && token == mToken)) {
-        mFault = one->mName + " acts under an old token";
+        mFault = one->mName + " acts under an outdated fencing token";
       }
       if (other && !mActor.empty() && mNow - mActedAt < LeaseTimes().mSilence) {
-        mFault = one->mName + " acts beside " + mActor;
+        mFault = one->mName + " acts within the silence after " + mActor;
       }
       auto listed = mListedEmpty.find(one->mName);
       if (!one->mInside &&
           (listed == mListedEmpty.end() || listed->second == TimePoint() ||
            mNow - listed->second >= ZoneTakeover::kMaxListAge)) {
-        mFault = one->mName + " acts without an empty list";
+        mFault =
+          one->mName + " acts without a recent list that shows no instance";
       }
       mActor = one->mName;
       mActedAt = mNow;
@@ -379,7 +380,8 @@
   bool mFaultsStopped = false;
   std::vector<std::unique_ptr<Instance>> mInstances;
   std::map<std::string, bool> mEntries; // whether it belongs to the zone
-  // By reader; when it last listed no instance.
+  // By reader: when it last listed no instance; zero if its last list showed
+  // one.
   std::map<std::string, TimePoint> mListedEmpty;
   std::optional<LeaseRecord> mRecord;
   int64_t mRevision = 0;
@@ -394,7 +396,7 @@
 } // namespace
 
 // Guards against two holders that act at once, and against an outsider that
-// acts while the zone's entries remain.
+// acts while the zone still has entries.
 TEST(EmptyZoneRandom, OneHolderActsAndOutsidersOnlyWhenListIsEmpty)
 {
   int takeovers = 0;
--- a/tests/property/EntryDecisionsProperty.cpp
+++ b/tests/property/EntryDecisionsProperty.cpp
@@ -53,8 +53,9 @@
 
 } // namespace
 
-// Instances with independent traffic: the retries of all of them stay within
-// ratio x requests + slack in every window.
+// Guards against retries that keep failing servers overloaded: over instances
+// with independent traffic, they stay within ratio x requests + slack in every
+// window.
 RC_GTEST_PROP(ServerRetryBudgetRandom,
               AllInstancesTogetherStayWithinTheLimit,
               ())
@@ -172,6 +173,8 @@
   EXPECT_EQ("s1", ChoosePlacement(Engine(), "m9", servers, facts)->mServer);
 }
 
+// Guards against evicting a model, or the base of an adapter, that has requests
+// in flight.
 TEST(PlacementPlan, ModelInUseIsNotEvicted)
 {
   ServerView servers;
@@ -206,8 +209,8 @@
             ChoosePlacement(Engine(), "m9", servers, facts)->mEvict);
 }
 
-// An entry may list a copy in memory that is already gone; the load time is
-// estimated by the copy on disk.
+// Guards against an optimistic load time: an entry may list a copy in memory
+// that is already gone, so the copy on disk counts.
 TEST(PlacementPlan, CopyOnDiskGoesBeforeCopyInMemory)
 {
   BackendEntry entry = Entry("s1", "a", {}, { "m9" });
@@ -274,7 +277,7 @@
   EXPECT_EQ(ReplicaNeed::Now, need("b", 3));
   // The other zone has fewer replicas.
   EXPECT_EQ(ReplicaNeed::None, need("a", 3));
-  // Requests for a rare model wait.
+  // A rare model gets no further replica; its requests wait.
   EXPECT_EQ(ReplicaNeed::None, need("b", 0.3));
 }
 
@@ -297,8 +300,9 @@
   EXPECT_EQ(ReplicaNeed::None, need("a"));
 }
 
-// Guards against a popular model that waits behind a burst for rare ones: it is
-// late for its first request already, and is still loaded first.
+// Guards against a popular model that waits behind a burst for rare ones after
+// its only servers have gone. It is late for its first request already, and is
+// still loaded first.
 TEST(LoadPriority, PopularModelGoesBeforeABurstOfRareOnes)
 {
   LoadPriorityFacts rare;
@@ -321,6 +325,8 @@
   EXPECT_LT(RankLoad(rare, now), RankLoad(late, now));
 }
 
+// Guards against planning by a server's own entry, which is older than the
+// content reported by the lease holder.
 TEST(PlacementPlan, FreeMemoryFollowsReportedContent)
 {
   ServerView servers;
@@ -352,8 +358,9 @@
             servers.Choose(requirements, kStart, random).mBackend->mEntry.mId);
 }
 
-// Requests of other instances count: the server with the fewest is chosen.
-TEST(ServerView, PeerRequestsCount)
+// Guards against instances that see only their own requests and all send to
+// the same busy server.
+TEST(ServerView, PeerRequestsAreIncludedInTheCost)
 {
   ServerView servers;
   servers.Put(Entry("s1", "a", { "m1" }), kStart);
@@ -370,8 +377,8 @@
   EXPECT_EQ(0, servers.Find("s1")->RequestsInFlight());
 }
 
-// Guards against sending a request again to the server that has just reported
-// its model as missing, whatever that server is assumed to hold.
+// Guards against sending a request again to a server that has just reported its
+// model as missing, while the server's last reported content still lists it.
 TEST(ServerView, ServerSuspectedMissingTheModelIsSkipped)
 {
   ServerView servers;
@@ -412,7 +419,8 @@
   EXPECT_EQ(0, servers.Find("s1")->RequestsInFlight());
 }
 
-// A server that restarts under its id holds nothing from before.
+// Guards against requests for models that a server held before it restarted
+// under the same id.
 TEST(ServerView, RestartDiscardsEarlierState)
 {
   ServerView servers;
@@ -427,6 +435,8 @@
   EXPECT_FALSE(servers.PutContent("s1", 0, 8, { { "m1", {} } }, kStart));
 }
 
+// Guards against keeping models that are no longer requested: demand moves to
+// other models within seconds.
 TEST(DemandTracker, OldDemandDecaysWithinSeconds)
 {
   DemandTracker demand;
--- a/tests/property/LeaseStepProperty.cpp
+++ b/tests/property/LeaseStepProperty.cpp
@@ -1,5 +1,5 @@
-// A lease in the object store has one holder at a time, whatever happens to
-// calls and processes.
+// A lease in the object store has one holder at a time, even when calls are
+// lost or late and processes pause, are killed or restart.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -63,6 +63,8 @@
 
 } // namespace
 
+// Guards against two holders that act at once, or under the same token, when
+// processes pause or restart and writes are carried out late.
 RC_GTEST_PROP(LeaseStepRandom, OneActsAtATimeUnderRisingTokens, ())
 {
   LeaseObject object;
@@ -149,9 +151,10 @@
 
 } // namespace
 
-// Guards against waiting for a whole lease after a release: another instance
-// that had read the lease before acquires it at its next check.
-TEST(LeaseStep, LeaseGivenUpIsTakenSoon)
+// Guards against waiting for a whole lease length after a release: another
+// instance that read the lease before the release acquires it at its next
+// check.
+TEST(LeaseStep, ReleasedLeaseIsAcquiredSoon)
 {
   LeaseObject object;
   LeaseStep first("a", LeaseTimes());
@@ -203,9 +206,9 @@
   EXPECT_TRUE(second.MayAct(now + Millis(300) + LeaseTimes().mSilence));
 }
 
-// A restarted process reacquires its machine's lease at once, under a new
-// token.
-TEST(LeaseStep, OwnLeaseIsTakenBackAtOnce)
+// Guards against a restarted process that waits for its own earlier lease to
+// expire: it reacquires the lease at once, under a new token.
+TEST(LeaseStep, OwnLeaseIsReacquiredAtOnce)
 {
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
@@ -220,9 +223,9 @@
   EXPECT_GT(next.Token(), token);
 }
 
-// Both see the same free lease; the one with a yield waits, hears who acquired
-// it, and makes no call for it.
-TEST(LeaseStep, LeaseYieldLetsOthersTakeAFreeLease)
+// Guards against a candidate that competes for a free lease despite its yield:
+// it waits, hears who acquired the lease, and makes no call.
+TEST(LeaseStep, YieldLetsOthersAcquireAFreeLease)
 {
   TimePoint now{ Seconds(1000) };
   LeaseTimes times;
@@ -241,7 +244,7 @@
 
 // Guards against a release that is lost because a renewal was in flight: the
 // zone would have no holder until the lease expires.
-TEST(LeaseStep, ReleaseDuringARenewalStillGivesItUp)
+TEST(LeaseStep, ReleaseDuringARenewalTakesEffect)
 {
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
@@ -262,7 +265,7 @@
 
 // Guards against an instance that leaves and acquires the lease after all,
 // because its write was in flight.
-TEST(LeaseStep, ReleaseDuringAnAcquisitionGivesItUp)
+TEST(LeaseStep, ReleaseDuringAnAcquisitionTakesEffect)
 {
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
@@ -278,9 +281,9 @@
   EXPECT_EQ("", object.mRecord->mHolder);
 }
 
-// Guards against a release that clears another holder's lease, while the record
-// was being read.
-TEST(LeaseStep, ReleaseDuringAReadingLeavesOthersAlone)
+// Guards against a release that clears another holder's lease because the
+// record was being read at that moment.
+TEST(LeaseStep, ReleaseDuringAReadLeavesOtherHoldersAlone)
 {
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
--- a/tests/property/LeavePlanProperty.cpp
+++ b/tests/property/LeavePlanProperty.cpp
@@ -1,3 +1,5 @@
+// What an instance may start while it shuts down, for any times and points.
+
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -9,7 +11,7 @@
 
 namespace {
 
-constexpr int kMaxMs = 20000; // ms
+constexpr int kMaxMs = 20000;
 
 Millis
 AnyTime()
@@ -57,9 +59,9 @@
   }
 }
 
-// Guards against an instance that admits callers without expecting them: once
-// callers are no longer expected, they never are again.
-RC_GTEST_PROP(LeavePlan, CallersAreExpectedFirstOnly, ())
+// Guards against an instance that hands its tokens over and expects callers
+// again afterwards: once callers are no longer expected, they never are again.
+RC_GTEST_PROP(LeavePlan, CallersAreNeverExpectedAgain, ())
 {
   TimePoint now = TimePoint(Seconds(1000));
   LeaveTimes times;
--- a/tests/property/ServerInventoryProperty.cpp
+++ b/tests/property/ServerInventoryProperty.cpp
@@ -1,6 +1,6 @@
 // Model test with a server, orders that are carried out late, outdated reports
-// and successive lease holders: no more is ever ordered than fits, and leaving
-// out any safeguard makes the test fail.
+// and successive lease holders: no more is ever loaded than fits, and without
+// any one of the safeguards more is.
 
 #include <gtest/gtest.h>
 
@@ -19,11 +19,11 @@
 constexpr size_t kAdapterCapacity = 3;
 constexpr Millis kStep{ 50 };
 
-// The safeguard that a holder leaves out.
+// The safeguard that the lease holder leaves out.
 enum class OmittedSafeguard
 {
   None,
-  IdleReport,   // accepts the report of a busy server as settled
+  IdleReport,   // treats the report of a busy server as final
   PendingUnload // counts the accepted unload of an adapter in use as finished
 };
 
@@ -130,7 +130,7 @@
     mInventory.Restart(mStartTime);
   }
 
-  // Whether the order is accepted, and whether it is finished at once.
+  // Returns whether the order is accepted, and whether it is finished at once.
   std::pair<bool, bool> CarryOut(const ModelOrder& aOrder)
   {
     if (mBusy || aOrder.mOrders != mOrders) {
@@ -296,7 +296,7 @@
 
 // Guards against a load beyond a server's memory, which fails all requests that
 // run there.
-TEST(ServerInventoryRandom, NeverMoreThanFits)
+TEST(ServerInventoryRandom, LoadsNeverExceedTheCapacity)
 {
   EXPECT_EQ(0, CountOverCapacityLoads(OmittedSafeguard::None, 2000));
 }
--- a/tests/property/WatchStepProperty.cpp
+++ b/tests/property/WatchStepProperty.cpp
@@ -15,7 +15,7 @@
 
 constexpr Millis kRound{ 100 };
 
-// An instance and the age of what it knows.
+// An instance and the times of its updates.
 struct Reader
 {
   explicit Reader(const std::string& aName)
@@ -26,7 +26,7 @@
   std::string mName;
   WatchStep mStep;
   TimePoint mReadAt{};   // last answer of the store
-  TimePoint mUpdateAt{}; // of its knowledge, read or received
+  TimePoint mUpdateAt{}; // of its latest update, read or received
   bool mRejected = false;
   bool mFrozen = false;
 
@@ -63,9 +63,10 @@
 
 } // namespace
 
-// Instances freeze, the store rejects some, and messages are lost: an instance
-// that isn't frozen and follows another has an update younger than the bound;
-// the others read. Without faults one reader is left, the first by name.
+// Guards against an instance that relies on outdated updates, and against
+// needless readers. Instances freeze, the store rejects some, and messages are
+// lost: whoever follows another has an update younger than the bound, and the
+// others read. Without faults one reader is left, the first by name.
 RC_GTEST_PROP(WatchStepRandom, UpdatesAreFreshAndOneReadsWithoutFaults, ())
 {
   std::vector<Reader> readers;
@@ -101,6 +102,7 @@
   RC_ASSERT(reading == 1);
 }
 
+// Guards against a reader that has too little CPU time to keep up.
 TEST(WatchStep, LargerCpuShareComesFirst)
 {
   EXPECT_LT(WatchRank(0.5, "z"), WatchRank(0.12, "a"));
@@ -125,8 +127,8 @@
   EXPECT_FALSE(step.OnTold(WatchRank(0.25, "b", true), now, now, now));
 }
 
-// Two readers receive each other's updates at the same moment: one of them
-// keeps reading.
+// Guards against two readers that receive each other's updates at the same
+// moment and both stop reading.
 TEST(WatchStep, TwoReadersDoNotFollowEachOther)
 {
   TimePoint now{ Seconds(1000) };
--- a/tests/property/ZoneTokensProperty.cpp
+++ b/tests/property/ZoneTokensProperty.cpp
@@ -152,7 +152,7 @@
     }
   }
 
-  // Its peers are notified once the store has removed its entry.
+  // The node's peers are notified once the store has removed its entry.
   void Leave(Node& aNode)
   {
     aNode.mZone.Leave();
@@ -236,7 +236,8 @@
     }
   }
 
-  // Marks and removes entries. Some calls are carried out late.
+  // Marks and removes entries. Some calls are carried out late, as if their
+  // answers had been lost.
   void RemoveLost(Node& aNode)
   {
     const ZoneMembers& zone = aNode.mZone;
@@ -370,7 +371,7 @@
     double excess = -mLimit.mBurst;
     double lowest = 0;
     double sum = 0;
-    // Sum of a window less its rate, by running minimum.
+    // Largest sum of a window less rate x time, by a running minimum.
     for (const Grant& grant : mGrants) {
       double rate = mLimit.mRate *
                     std::chrono::duration<double>(grant.mAt - kStart).count();
@@ -505,10 +506,11 @@
   }
 }
 
-// A tenant's callers keep connections to a few of seven instances and ask for
-// up to six times the limit. With all instances connected and past the first
-// two seconds, 0.95 of what is asked for and allowed is granted.
-TEST(TenantTokenBucket, LimitIsReachedWhereverItIsAskedFor)
+// Guards against tokens that stay unused at instances without demand: a
+// tenant's callers keep connections to a few of seven instances and ask for up
+// to six times the limit. With all instances connected and past the first two
+// seconds, 0.95 of what is asked for and allowed is granted.
+TEST(TenantTokenBucket, LimitIsReachedWhereverTheDemandIs)
 {
   TenantLimit limit = Limit(30000, 45000);
   std::vector<std::vector<double>> shapes = { { 1, 1, 1, 1, 1, 1, 1 },
@@ -537,9 +539,9 @@
   EXPECT_GE(model.Granted(), 4000);
 }
 
-// A tenant asks for three times its limit, mostly on its least urgent routes:
-// its urgent requests still get tokens.
-TEST(TenantTokenBucket, UrgentRoutesFindTokensInAnOverload)
+// Guards against urgent requests that find no tokens because the tenant asks
+// for three times its limit, mostly on its least urgent routes.
+TEST(TenantTokenBucket, UrgentRoutesGetTokensInAnOverload)
 {
   TenantLimit limit = Limit(10000, 10000);
   TenantTokenBucket bucket;
--- a/tests/unit/LeavePlanTest.cpp
+++ b/tests/unit/LeavePlanTest.cpp
@@ -1,4 +1,4 @@
-// What a leaving instance may start, at the bounds of its times.
+// What an instance may start while it shuts down, at the bounds of its times.
 
 #include <gtest/gtest.h>
 
@@ -33,8 +33,9 @@
   EXPECT_EQ(TimePoint::max(), plan.End());
 }
 
-// Guards against off-by-one errors at the balancer's lag and at the end.
-TEST(LeavePlan, BoundsOfTheGrantedTime)
+// Guards against off-by-one errors at the end of the load balancer's lag and at
+// the end of the plan.
+TEST(LeavePlan, TimesEndExactlyAtTheirBounds)
 {
   LeavePlan plan = LeavingPlan(Seconds(8));
   EXPECT_TRUE(plan.Leaving());
@@ -55,8 +56,8 @@
   EXPECT_FALSE(plan.MayStart(late, plan.End() + Millis(1), Millis(0)));
 }
 
-// Guards against starting a request of the last callers that usually outlasts
-// the instance.
+// Guards against starting a request of the last callers although such requests
+// usually take longer than the time left.
 TEST(LeavePlan, LastCallersAreJudgedByUsualTime)
 {
   LeavePlan plan = LeavingPlan(Seconds(8));
@@ -69,7 +70,7 @@
   EXPECT_FALSE(plan.MayStart(last + Millis(1), never, Millis(0)));
 }
 
-// Guards against a short grace period that is spent on new callers alone.
+// Guards against spending a short grace period on new callers alone.
 TEST(LeavePlan, ShortGraceIsMostlyForRequestsInFlight)
 {
   LeavePlan plan = LeavingPlan(Seconds(3));
@@ -77,7 +78,8 @@
   EXPECT_EQ(kNow + Millis(2500), plan.End());
 }
 
-// Guards against a start at the end itself, when the last answers are sent.
+// Guards against starting a request at the end itself, when only the last
+// answers are sent.
 TEST(LeavePlan, NothingStartsAtTheEnd)
 {
   for (Millis grace : { Millis(0), Millis(300), Millis(700), Millis(8000) }) {
@@ -99,7 +101,7 @@
 }
 
 // Guards against a plan that extends beyond a shortened grace period.
-TEST(LeavePlan, ShorterGraceEndsItSooner)
+TEST(LeavePlan, ShorterGraceMovesTheEndEarlier)
 {
   LeavePlan plan = LeavingPlan(Seconds(8));
   plan.Shorten(Seconds(3));
@@ -109,7 +111,8 @@
   EXPECT_EQ(kNow + Millis(2500), plan.End());
 }
 
-// Guards against a reload of the settings that ends an instance in service.
+// Guards against reloaded settings that make an instance in service refuse
+// requests.
 TEST(LeavePlan, InServiceNothingIsShortened)
 {
   LeavePlan plan;
--- a/tests/unit/RunTimeEstimatesTest.cpp
+++ b/tests/unit/RunTimeEstimatesTest.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-// Guards against an unknown route that counts as slow.
+// Guards against an unknown route that is taken for slow.
 TEST(RunTimeEstimates, UnknownRouteIsZero)
 {
   RunTimeEstimates times;
@@ -56,7 +56,7 @@
   EXPECT_GE(kRuns / 10, over);
 }
 
-// Guards against a route that became slower and still counts as fast.
+// Guards against a route that became slower and is still taken for fast.
 TEST(RunTimeEstimates, FollowsARouteThatBecomesSlower)
 {
   RunTimeEstimates times;
@@ -69,7 +69,8 @@
   EXPECT_LE(Millis(5000), times.UsualTime(kRoute));
 }
 
-// Guards against one slow run that makes a fast route count as slow for long.
+// Guards against one slow run after which a fast route is taken for slow for
+// long.
 TEST(RunTimeEstimates, SlowOutlierIsForgottenWithinTenRuns)
 {
   RunTimeEstimates times;
