--- a/src/decide/LeaseStep.cpp
+++ b/src/decide/LeaseStep.cpp
@@ -44,7 +44,7 @@
     mCallPending = true;
     return LeaseAction::Read;
   }
-  mNextActionAt = TakeableFrom();
+  mNextActionAt = AcquirableFrom();
   if (aNow < mNextActionAt) {
     return LeaseAction::None;
   }
@@ -78,7 +78,7 @@
 
 // Earliest time at which the lease last read may be acquired.
 TimePoint
-LeaseStep::TakeableFrom() const
+LeaseStep::AcquirableFrom() const
 {
   if (IsOwn(*mSeen)) {
     return mSeenAt;
--- a/src/decide/LeaseStep.h
+++ b/src/decide/LeaseStep.h
@@ -97,7 +97,7 @@
 private:
   LeaseAction BeginRelease(TimePoint aNow);
   void FinishRelease(TimePoint aNow);
-  TimePoint TakeableFrom() const;
+  TimePoint AcquirableFrom() const;
   void RecordSeen(const LeaseRecord& aRecord, TimePoint aNow);
   bool IsOwn(const LeaseRecord& aRecord) const;
   bool NoOtherHolderBefore() const;
--- a/src/decide/RateSplit.cpp
+++ b/src/decide/RateSplit.cpp
@@ -25,8 +25,8 @@
 double
 SplitBurst(const TenantLimit& aLimit)
 {
-  double life = std::chrono::duration<double>(kLoanLife).count();
-  return std::max(aLimit.mBurst - aLimit.mRate * life,
+  double loanSeconds = std::chrono::duration<double>(kLoanLife).count();
+  return std::max(aLimit.mBurst - aLimit.mRate * loanSeconds,
                   kMinSplitShare * aLimit.mBurst);
 }
 
--- a/src/decide/TenantTokenBucket.cpp
+++ b/src/decide/TenantTokenBucket.cpp
@@ -254,12 +254,12 @@
 std::optional<TokenLoanCall>
 TenantTokenBucket::NextCall(TimePoint aNow)
 {
-  if (mLoanCallPending || aNow < mCallNext || mWaiting.empty()) {
+  if (mLoanCallPending || aNow < mNextCallAt || mWaiting.empty()) {
     return std::nullopt;
   }
   for (const std::string& holder : mHolders) {
-    auto next = mAskNext.find(holder);
-    if (next != mAskNext.end() && aNow < next->second) {
+    auto next = mNextAskAt.find(holder);
+    if (next != mNextAskAt.end() && aNow < next->second) {
       continue;
     }
     double missing = -Borrowed() - std::max(0.0, mBucket.Level(aNow));
@@ -272,7 +272,7 @@
       return std::nullopt;
     }
     mLoanCallPending = true;
-    mCallNext = aNow + kMinCallInterval;
+    mNextCallAt = aNow + kMinCallInterval;
     return TokenLoanCall{ holder, missing, mWaiting.front().mReserve };
   }
   return std::nullopt;
@@ -293,11 +293,11 @@
   step.mCall = NextCall(aNow);
   TimePoint nextLoanAt = TimePoint::max();
   for (const std::string& holder : mHolders) {
-    auto next = mAskNext.find(holder);
+    auto next = mNextAskAt.find(holder);
     nextLoanAt =
-      std::min(nextLoanAt, next == mAskNext.end() ? aNow : next->second);
+      std::min(nextLoanAt, next == mNextAskAt.end() ? aNow : next->second);
   }
-  nextLoanAt = mLoanCallPending ? aNow : std::max(nextLoanAt, mCallNext);
+  nextLoanAt = mLoanCallPending ? aNow : std::max(nextLoanAt, mNextCallAt);
   TimePoint payableAt = mWaiting.empty()
                           ? TimePoint::max()
                           : std::min(OwnTokensAt(aNow), nextLoanAt);
@@ -330,7 +330,7 @@
   if (aLoan.mTokens > 0 && aNow - aAskedAt < kLoanLife) {
     mBorrowedTokens.push_back({ aHolder, aLoan.mTokens, aAskedAt + kLoanLife });
   }
-  mAskNext[aHolder] =
+  mNextAskAt[aHolder] =
     aNow + std::clamp(aLoan.mAfter, Millis(0), kMaxAskInterval);
 }
 
@@ -338,7 +338,7 @@
 TenantTokenBucket::OnNoLoan(const std::string& aHolder, TimePoint aNow)
 {
   mLoanCallPending = false;
-  mAskNext[aHolder] = aNow + kSilentHolderPause;
+  mNextAskAt[aHolder] = aNow + kSilentHolderPause;
 }
 
 TokenLoan
--- a/src/decide/TenantTokenBucket.h
+++ b/src/decide/TenantTokenBucket.h
@@ -130,10 +130,10 @@
   std::deque<QueuedTokenRequest> mWaiting;
   std::vector<BorrowedTokens> mBorrowedTokens;
   std::vector<std::string> mHolders;
-  std::map<std::string, TimePoint> mAskNext; // by holder
+  std::map<std::string, TimePoint> mNextAskAt; // by holder
   bool mLoanCallPending = false;
-  TimePoint mCallNext{}; // limits loan calls when many requests are refused
-  double mDemand = 0;    // decaying sum
+  TimePoint mNextCallAt{}; // limits loan calls when many requests are refused
+  double mDemand = 0;      // decaying sum
   TimePoint mDemandAt{};
   double mPaidTokens = 0; // decaying sum
   TimePoint mPaidTokensAt{};
--- a/src/decide/WatchStep.cpp
+++ b/src/decide/WatchStep.cpp
@@ -34,26 +34,26 @@
                   TimePoint aOwnUpdateAt,
                   TimePoint aNow)
 {
-  bool same = NameOf(aFrom) == NameOf(mLeader);
+  bool same = NameOf(aFrom) == NameOf(mFollowed);
   if (aNow - aUpdateAt >= kMaxUpdateAge || NameOf(aFrom) == NameOf(mSelf)) {
     return false;
   }
   if (Follows(aNow)) {
-    if (aFrom > mLeader && !same) {
+    if (aFrom > mFollowed && !same) {
       return false;
     }
   } else if (aNow - aOwnUpdateAt < kMaxUpdateAge && aFrom > mSelf) {
     return false;
   }
   mUpdateAt = same ? std::max(mUpdateAt, aUpdateAt) : aUpdateAt;
-  mLeader = aFrom;
+  mFollowed = aFrom;
   return true;
 }
 
 bool
 WatchStep::Follows(TimePoint aNow) const
 {
-  return !mLeader.empty() && aNow - mUpdateAt < kMaxUpdateAge;
+  return !mFollowed.empty() && aNow - mUpdateAt < kMaxUpdateAge;
 }
 
 } // namespace caraway
--- a/src/decide/WatchStep.h
+++ b/src/decide/WatchStep.h
@@ -43,15 +43,15 @@
               TimePoint aNow);
   // If false, this instance reads the store itself.
   bool Follows(TimePoint aNow) const;
-  const std::string& Leader() const { return mLeader; }
+  const std::string& Followed() const { return mFollowed; }
   // Changes this instance's rank.
   void SetSelf(const std::string& aRank) { mSelf = aRank; }
-  void Forget() { mLeader.clear(); }
+  void Forget() { mFollowed.clear(); }
 
 private:
   std::string mSelf;     // rank
-  std::string mLeader;   // rank of the reader that it follows; "" = none yet
-  TimePoint mUpdateAt{}; // last update of mLeader
+  std::string mFollowed; // rank of the reader that it follows; "" = none yet
+  TimePoint mUpdateAt{}; // last update of mFollowed
 };
 
 } // namespace caraway
--- a/src/decide/ZoneMembers.cpp
+++ b/src/decide/ZoneMembers.cpp
@@ -31,7 +31,7 @@
   if (mCounted && aNow - mSeenAt > mSilenceTimeout &&
       !Majority(aNow, mSilenceTimeout)) {
     mCounted = false;
-    mReplaced = false;
+    mEntryCounted = false;
     mListed = false;
   }
 }
@@ -49,7 +49,7 @@
 void
 ZoneMembers::OnJoined(bool aCounted, TimePoint aAskedAt)
 {
-  mReplaced = aCounted;
+  mEntryCounted = aCounted;
   mCounted = mCounted && aCounted && mJoined && !mMissing;
   mListed = mListed && mCounted;
   mJoined = true;
@@ -79,7 +79,7 @@
     if (entry.mName == mSelf) {
       self = true;
       marked = entry.mMarked;
-      mReplaced = mReplaced || entry.mCounted;
+      mEntryCounted = mEntryCounted || entry.mCounted;
       continue;
     }
     MemberPeer peer = AddPeer(entry.mName, aNow);
@@ -162,7 +162,8 @@
 void
 ZoneMembers::UpdateCounted()
 {
-  if (mJoined && mListed && !mMissing && (mReplaced || Unconfirmed().empty())) {
+  if (mJoined && mListed && !mMissing &&
+      (mEntryCounted || Unconfirmed().empty())) {
     mCounted = true;
   }
 }
--- a/src/decide/ZoneMembers.h
+++ b/src/decide/ZoneMembers.h
@@ -126,7 +126,7 @@
   TimePoint mSeenAt{}; // when this instance's entry was last seen unmarked
   bool mJoined = false;
   // This instance's entry was counted, before it joined or as last listed.
-  bool mReplaced = false;
+  bool mEntryCounted = false;
   bool mListed = false;  // a list was read since joining
   bool mCounted = false; // by all peers
   bool mMissing = false;
--- a/tests/property/EmptyZoneProperty.cpp
+++ b/tests/property/EmptyZoneProperty.cpp
@@ -217,7 +217,7 @@
       UpdateTakeover(aOne);
     }
     ObserveHolder(aOne);
-    Serve(aOne);
+    CarryOutDue(aOne);
   }
 
   void SendHeartbeat(Instance& aFrom)
@@ -277,15 +277,15 @@
     if (aOne.mLease.Released()) {
       return;
     }
-    std::string claimer;
+    std::string claimant;
     for (const auto& [name, heard] : aOne.mHeard) {
       if (heard.second && Hears(aOne, name)) {
-        claimer = name;
+        claimant = name;
       }
     }
-    if (!claimer.empty()) {
-      aOne.mLease.OnClaim(claimer, mNow);
-      aOne.mLastClaimant = claimer;
+    if (!claimant.empty()) {
+      aOne.mLease.OnClaim(claimant, mNow);
+      aOne.mLastClaimant = claimant;
     } else if (Hears(aOne, aOne.mLastClaimant)) {
       aOne.mLease.OnHolderReleased(mNow);
       aOne.mLastClaimant.clear();
@@ -296,7 +296,7 @@
     }
   }
 
-  void Serve(Instance& aOne)
+  void CarryOutDue(Instance& aOne)
   {
     LeaseAction action = aOne.mLease.Due(mNow);
     bool lost = aOne.mCutFromStore || (!mFaultsStopped && Chance(10));
--- a/tests/property/LeaseStepProperty.cpp
+++ b/tests/property/LeaseStepProperty.cpp
@@ -135,7 +135,7 @@
 namespace {
 
 void
-Serve(LeaseStep& aStep, LeaseObject& aObject, TimePoint aNow)
+CarryOutDue(LeaseStep& aStep, LeaseObject& aObject, TimePoint aNow)
 {
   LeaseAction action = aStep.Due(aNow);
   if (action == LeaseAction::Read) {
@@ -160,19 +160,19 @@
   LeaseStep first("a", LeaseTimes());
   LeaseStep second("b", LeaseTimes());
   TimePoint now{ Seconds(1000) };
-  Serve(first, object, now);
-  Serve(first, object, now);
+  CarryOutDue(first, object, now);
+  CarryOutDue(first, object, now);
   ASSERT_TRUE(first.Holds(now));
-  Serve(second, object, now); // reads it, and waits
-  Serve(second, object, now);
+  CarryOutDue(second, object, now); // reads it, and waits
+  CarryOutDue(second, object, now);
   second.OnClaim("a", now);
   now += Millis(300);
   first.Release(now);
-  Serve(first, object, now);
+  CarryOutDue(first, object, now);
   ASSERT_TRUE(first.Released());
   second.OnHolderReleased(now);
   for (int i = 0; i < 4; ++i, now += Millis(100)) {
-    Serve(second, object, now);
+    CarryOutDue(second, object, now);
   }
   EXPECT_TRUE(second.Holds(now));
   EXPECT_FALSE(second.MayAct(now));
@@ -188,19 +188,19 @@
   LeaseStep first("a", LeaseTimes());
   LeaseStep second("b", LeaseTimes());
   TimePoint now{ Seconds(1000) };
-  Serve(first, object, now);
-  Serve(first, object, now);
+  CarryOutDue(first, object, now);
+  CarryOutDue(first, object, now);
   ASSERT_TRUE(first.MayAct(now));
   first.Release(now);
-  Serve(first, object, now);
-  Serve(second, object, now);
+  CarryOutDue(first, object, now);
+  CarryOutDue(second, object, now);
   ASSERT_EQ(LeaseAction::Write, second.Due(now));
   ASSERT_TRUE(object.Write(second.WantedRecord()));
   second.OnFailed(now);
   now += Seconds(1);
-  Serve(second, object, now);
-  Serve(second, object, now);
-  Serve(second, object, now + Millis(300));
+  CarryOutDue(second, object, now);
+  CarryOutDue(second, object, now);
+  CarryOutDue(second, object, now + Millis(300));
   ASSERT_TRUE(second.Holds(now + Millis(300)));
   EXPECT_FALSE(second.MayAct(now + Millis(300)));
   EXPECT_TRUE(second.MayAct(now + Millis(300) + LeaseTimes().mSilence));
@@ -213,12 +213,12 @@
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
   LeaseStep earlier("a", LeaseTimes());
-  Serve(earlier, object, now);
-  Serve(earlier, object, now);
+  CarryOutDue(earlier, object, now);
+  CarryOutDue(earlier, object, now);
   int64_t token = earlier.Token();
   LeaseStep next("a", LeaseTimes());
-  Serve(next, object, now + Seconds(1));
-  Serve(next, object, now + Seconds(1));
+  CarryOutDue(next, object, now + Seconds(1));
+  CarryOutDue(next, object, now + Seconds(1));
   EXPECT_TRUE(next.MayAct(now + Seconds(1)));
   EXPECT_GT(next.Token(), token);
 }
@@ -249,15 +249,15 @@
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
   LeaseStep step("a", LeaseTimes());
-  Serve(step, object, now);
-  Serve(step, object, now);
+  CarryOutDue(step, object, now);
+  CarryOutDue(step, object, now);
   ASSERT_TRUE(step.Holds(now));
   now += LeaseTimes().mRenew;
   ASSERT_EQ(LeaseAction::Write, step.Due(now));
   LeaseRecord renewal = step.WantedRecord();
   step.Release(now);
   step.OnWritten(*object.Write(renewal), now, now);
-  Serve(step, object, now);
+  CarryOutDue(step, object, now);
   EXPECT_TRUE(step.Released());
   EXPECT_FALSE(step.Holds(now));
   EXPECT_EQ("", object.mRecord->mHolder);
@@ -270,12 +270,12 @@
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
   LeaseStep step("a", LeaseTimes());
-  Serve(step, object, now);
+  CarryOutDue(step, object, now);
   ASSERT_EQ(LeaseAction::Write, step.Due(now));
   LeaseRecord acquisition = step.WantedRecord();
   step.Release(now);
   step.OnWritten(*object.Write(acquisition), now, now);
-  Serve(step, object, now);
+  CarryOutDue(step, object, now);
   EXPECT_TRUE(step.Released());
   EXPECT_FALSE(step.Holds(now));
   EXPECT_EQ("", object.mRecord->mHolder);
@@ -288,14 +288,14 @@
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
   LeaseStep other("b", LeaseTimes());
-  Serve(other, object, now);
-  Serve(other, object, now);
+  CarryOutDue(other, object, now);
+  CarryOutDue(other, object, now);
   LeaseStep step("a", LeaseTimes());
   ASSERT_EQ(LeaseAction::Read, step.Due(now));
   step.Release(now);
   step.OnRead(object.mRecord, now);
-  Serve(step, object, now);
-  Serve(step, object, now + Seconds(10));
+  CarryOutDue(step, object, now);
+  CarryOutDue(step, object, now + Seconds(10));
   EXPECT_TRUE(step.Released());
   EXPECT_EQ("b", object.mRecord->mHolder);
 }
--- a/tests/property/ServerInventoryProperty.cpp
+++ b/tests/property/ServerInventoryProperty.cpp
@@ -258,9 +258,9 @@
       return;
     }
     bool unload = !aOrder.mLoad && !aOrder.mAdapter.empty();
-    bool believed =
+    bool treatedAsDone =
       done || (unload && mOmitted == OmittedSafeguard::PendingUnload);
-    mInventory.OnAccepted(aOrder, believed);
+    mInventory.OnAccepted(aOrder, treatedAsDone);
     if (aOrder.mLoad) {
       mInventory.OnLoadFinished();
     }
@@ -285,11 +285,11 @@
 int
 CountOverCapacityLoads(OmittedSafeguard aOmitted, unsigned aRuns)
 {
-  int overfull = 0;
+  int overCapacityLoads = 0;
   for (unsigned seed = 1; seed <= aRuns; ++seed) {
-    overfull += ServerModel(seed, aOmitted).Run(400);
+    overCapacityLoads += ServerModel(seed, aOmitted).Run(400);
   }
-  return overfull;
+  return overCapacityLoads;
 }
 
 } // namespace
