--- a/src/decide/LeaseStep.h
+++ b/src/decide/LeaseStep.h
@@ -97,7 +97,7 @@
 private:
   LeaseAction BeginRelease(TimePoint aNow);
   void FinishRelease(TimePoint aNow);
-  TimePoint TakeableFrom() const;
+  TimePoint AcquirableFrom() const;
   void RecordSeen(const LeaseRecord& aRecord, TimePoint aNow);
   bool IsOwn(const LeaseRecord& aRecord) const;
   bool NoOtherHolderBefore() const;
@@ -106,7 +106,7 @@
   LeaseTimes mTimes;
   std::optional<LeaseRecord> mSeen; // as last read
   TimePoint mSeenAt{};              // when that revision was first read
-  int64_t mToken = 0;               // > 0 while held by this process
+  int64_t mToken = 0;               // 0 = not held by this process
   TimePoint mExpiresAt{};
   TimePoint mActFrom{};
   TimePoint mNextActionAt{};
--- a/src/decide/TenantTokenBucket.h
+++ b/src/decide/TenantTokenBucket.h
@@ -5,7 +5,7 @@
 // so its demand reaches few instances and moves between them, while each
 // instance holds an equal part of the limit. A request that the own part can't
 // pay waits briefly while the instance borrows from the other holders, one
-// after the other. Lenders keep what their own callers are likely to ask for.
+// after the other. Lenders keep what their own callers are likely to need.
 // If no holder has spare tokens, the request is refused at once, with the time
 // at which its tokens should be available.
 #ifndef caraway_decide_TenantTokenBucket_h
@@ -130,10 +130,10 @@
   std::deque<QueuedTokenRequest> mWaiting;
   std::vector<BorrowedTokens> mBorrowedTokens;
   std::vector<std::string> mHolders;
-  std::map<std::string, TimePoint> mAskNext; // by holder
+  std::map<std::string, TimePoint> mNextAskAt; // by holder
   bool mLoanCallPending = false;
-  TimePoint mCallNext{}; // limits loan calls when many requests are refused
-  double mDemand = 0;    // decaying sum
+  TimePoint mNextCallAt{}; // limits loan calls when many requests are refused
+  double mDemand = 0;      // decaying sum
   TimePoint mDemandAt{};
   double mPaidTokens = 0; // decaying sum
   TimePoint mPaidTokensAt{};
--- a/tests/property/LeaseStepProperty.cpp
+++ b/tests/property/LeaseStepProperty.cpp
@@ -1,5 +1,5 @@
-// A lease in the object store has one holder at a time, whatever happens to
-// calls and processes.
+// A lease in the object store has one holder at a time, even when calls are
+// lost or late and processes pause, are killed or restart.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -63,6 +63,8 @@
 
 } // namespace
 
+// Guards against two holders that act at once, or under the same token, when
+// processes pause or restart and writes are carried out late.
 RC_GTEST_PROP(LeaseStepRandom, OneActsAtATimeUnderRisingTokens, ())
 {
   LeaseObject object;
@@ -133,7 +135,7 @@
 namespace {
 
 void
-Serve(LeaseStep& aStep, LeaseObject& aObject, TimePoint aNow)
+CarryOutDue(LeaseStep& aStep, LeaseObject& aObject, TimePoint aNow)
 {
   LeaseAction action = aStep.Due(aNow);
   if (action == LeaseAction::Read) {
@@ -149,27 +151,28 @@
 
 } // namespace
 
-// Guards against waiting for a whole lease after a release: another instance
-// that had read the lease before acquires it at its next check.
-TEST(LeaseStep, LeaseGivenUpIsTakenSoon)
+// Guards against waiting for a whole lease length after a release: another
+// instance that read the lease before the release acquires it at its next
+// check.
+TEST(LeaseStep, ReleasedLeaseIsAcquiredSoon)
 {
   LeaseObject object;
   LeaseStep first("a", LeaseTimes());
   LeaseStep second("b", LeaseTimes());
   TimePoint now{ Seconds(1000) };
-  Serve(first, object, now);
-  Serve(first, object, now);
+  CarryOutDue(first, object, now);
+  CarryOutDue(first, object, now);
   ASSERT_TRUE(first.Holds(now));
-  Serve(second, object, now); // reads it, and waits
-  Serve(second, object, now);
+  CarryOutDue(second, object, now); // reads it, and waits
+  CarryOutDue(second, object, now);
   second.OnClaim("a", now);
   now += Millis(300);
   first.Release(now);
-  Serve(first, object, now);
+  CarryOutDue(first, object, now);
   ASSERT_TRUE(first.Released());
   second.OnHolderReleased(now);
   for (int i = 0; i < 4; ++i, now += Millis(100)) {
-    Serve(second, object, now);
+    CarryOutDue(second, object, now);
   }
   EXPECT_TRUE(second.Holds(now));
   EXPECT_FALSE(second.MayAct(now));
@@ -185,44 +188,44 @@
   LeaseStep first("a", LeaseTimes());
   LeaseStep second("b", LeaseTimes());
   TimePoint now{ Seconds(1000) };
-  Serve(first, object, now);
-  Serve(first, object, now);
+  CarryOutDue(first, object, now);
+  CarryOutDue(first, object, now);
   ASSERT_TRUE(first.MayAct(now));
   first.Release(now);
-  Serve(first, object, now);
-  Serve(second, object, now);
+  CarryOutDue(first, object, now);
+  CarryOutDue(second, object, now);
   ASSERT_EQ(LeaseAction::Write, second.Due(now));
   ASSERT_TRUE(object.Write(second.WantedRecord()));
   second.OnFailed(now);
   now += Seconds(1);
-  Serve(second, object, now);
-  Serve(second, object, now);
-  Serve(second, object, now + Millis(300));
+  CarryOutDue(second, object, now);
+  CarryOutDue(second, object, now);
+  CarryOutDue(second, object, now + Millis(300));
   ASSERT_TRUE(second.Holds(now + Millis(300)));
   EXPECT_FALSE(second.MayAct(now + Millis(300)));
   EXPECT_TRUE(second.MayAct(now + Millis(300) + LeaseTimes().mSilence));
 }
 
-// A restarted process reacquires its machine's lease at once, under a new
-// token.
-TEST(LeaseStep, OwnLeaseIsTakenBackAtOnce)
+// Guards against a restarted process that waits for its own earlier lease to
+// expire: it reacquires the lease at once, under a new token.
+TEST(LeaseStep, OwnLeaseIsReacquiredAtOnce)
 {
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
   LeaseStep earlier("a", LeaseTimes());
-  Serve(earlier, object, now);
-  Serve(earlier, object, now);
+  CarryOutDue(earlier, object, now);
+  CarryOutDue(earlier, object, now);
   int64_t token = earlier.Token();
   LeaseStep next("a", LeaseTimes());
-  Serve(next, object, now + Seconds(1));
-  Serve(next, object, now + Seconds(1));
+  CarryOutDue(next, object, now + Seconds(1));
+  CarryOutDue(next, object, now + Seconds(1));
   EXPECT_TRUE(next.MayAct(now + Seconds(1)));
   EXPECT_GT(next.Token(), token);
 }
 
-// Both see the same free lease; the one with a yield waits, hears who acquired
-// it, and makes no call for it.
-TEST(LeaseStep, LeaseYieldLetsOthersTakeAFreeLease)
+// Guards against a candidate that competes for a free lease despite its yield:
+// it waits, hears who acquired the lease, and makes no call.
+TEST(LeaseStep, YieldLetsOthersAcquireAFreeLease)
 {
   TimePoint now{ Seconds(1000) };
   LeaseTimes times;
@@ -241,20 +244,20 @@
 
 // Guards against a release that is lost because a renewal was in flight: the
 // zone would have no holder until the lease expires.
-TEST(LeaseStep, ReleaseDuringARenewalStillGivesItUp)
+TEST(LeaseStep, ReleaseDuringARenewalTakesEffect)
 {
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
   LeaseStep step("a", LeaseTimes());
-  Serve(step, object, now);
-  Serve(step, object, now);
+  CarryOutDue(step, object, now);
+  CarryOutDue(step, object, now);
   ASSERT_TRUE(step.Holds(now));
   now += LeaseTimes().mRenew;
   ASSERT_EQ(LeaseAction::Write, step.Due(now));
   LeaseRecord renewal = step.WantedRecord();
   step.Release(now);
   step.OnWritten(*object.Write(renewal), now, now);
-  Serve(step, object, now);
+  CarryOutDue(step, object, now);
   EXPECT_TRUE(step.Released());
   EXPECT_FALSE(step.Holds(now));
   EXPECT_EQ("", object.mRecord->mHolder);
@@ -262,37 +265,37 @@
 
 // Guards against an instance that leaves and acquires the lease after all,
 // because its write was in flight.
-TEST(LeaseStep, ReleaseDuringAnAcquisitionGivesItUp)
+TEST(LeaseStep, ReleaseDuringAnAcquisitionTakesEffect)
 {
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
   LeaseStep step("a", LeaseTimes());
-  Serve(step, object, now);
+  CarryOutDue(step, object, now);
   ASSERT_EQ(LeaseAction::Write, step.Due(now));
   LeaseRecord acquisition = step.WantedRecord();
   step.Release(now);
   step.OnWritten(*object.Write(acquisition), now, now);
-  Serve(step, object, now);
+  CarryOutDue(step, object, now);
   EXPECT_TRUE(step.Released());
   EXPECT_FALSE(step.Holds(now));
   EXPECT_EQ("", object.mRecord->mHolder);
 }
 
-// Guards against a release that clears another holder's lease, while the record
-// was being read.
-TEST(LeaseStep, ReleaseDuringAReadingLeavesOthersAlone)
+// Guards against a release that clears another holder's lease because the
+// record was being read at that moment.
+TEST(LeaseStep, ReleaseDuringAReadLeavesOtherHoldersAlone)
 {
   LeaseObject object;
   TimePoint now{ Seconds(1000) };
   LeaseStep other("b", LeaseTimes());
-  Serve(other, object, now);
-  Serve(other, object, now);
+  CarryOutDue(other, object, now);
+  CarryOutDue(other, object, now);
   LeaseStep step("a", LeaseTimes());
   ASSERT_EQ(LeaseAction::Read, step.Due(now));
   step.Release(now);
   step.OnRead(object.mRecord, now);
-  Serve(step, object, now);
-  Serve(step, object, now + Seconds(10));
+  CarryOutDue(step, object, now);
+  CarryOutDue(step, object, now + Seconds(10));
   EXPECT_TRUE(step.Released());
   EXPECT_EQ("b", object.mRecord->mHolder);
 }
