--- a/src/decide/ClaimStep.cpp
+++ b/src/decide/ClaimStep.cpp
@@ -42,8 +42,9 @@
   return action;
 }
 
-// Checks the deadline last before bytes are sent: an attempt that was paused
-// here may resume after its caller has been told that the deadline passed.
+// Last check of the deadline before bytes are sent: an attempt that was paused
+// since the previous check may resume after its caller was told that the
+// deadline had passed.
 ClaimAction
 ForwardOrder(ClaimState& aState, TimePoint aNow)
 {
@@ -73,8 +74,8 @@
 }
 
 // Once refused, this attempt forwards nothing, even if its create takes effect
-// later. An earlier attempt elsewhere may have run the order, though, and only
-// the platform knows: so the refusal never claims "not run".
+// later. But an earlier attempt elsewhere may have run the order, which only
+// the platform knows, so the refusal never claims "not run".
 ClaimAction
 OnPlatformError(ClaimState& aState, ClaimActionKind aNext, TimePoint aNow)
 {
--- a/src/decide/ClaimStep.h
+++ b/src/decide/ClaimStep.h
@@ -4,7 +4,8 @@
 // driver carries out each action and reports the result as an event. Mutual
 // exclusion rests on the platform's conditional create: only the attempt whose
 // nonce is in the stored claim forwards the order, and a stored claim is taken
-// over only after its holder has stated for good that it won't forward.
+// over only after its holder has confirmed that it will never forward the
+// order.
 #ifndef caraway_decide_ClaimStep_h
 #define caraway_decide_ClaimStep_h
 
@@ -21,13 +22,13 @@
   Create,       // conditional create with this attempt's nonce
   TakeOver,     // conditional replace of mVersion with this attempt's nonce
   Read,         // read the claim again
-  QueryCreator, // ask mPeer for the status of mNonce; may block briefly there
+  QueryCreator, // ask mPeer for the status of mNonce; the call may block a bit
   ForwardOrder, // send the order to an endpoint, once
   StoreAnswer,  // conditional replace: Answered
   StoreLost,    // conditional replace: Lost; then finish anyway
   Release,      // conditional replace: Released; then finish anyway
   FinishAnswer, // return mAnswer to the caller
-  FinishRefuse, // refuse with mError; mRun says whether the order ran
+  FinishRefuse, // refuse with mError; mRun: whether the order may have run
 };
 
 struct ClaimAction
@@ -70,8 +71,8 @@
 enum class ClaimPhase
 {
   Idle,
-  Claiming,        // a claim write may take effect at any time
-  Rereading,       // reading again after a write of unknown outcome
+  Claiming,        // this attempt's claim may take effect at any time
+  Rereading,       // reading again: platform error, or the creator still runs
   QueryingCreator, // another attempt holds the claim
   Forwarding,      // the claim is held; bytes may have been sent
   StoringAnswer,   // the answer has arrived and is being stored
@@ -89,7 +90,7 @@
   int mPlatformRetriesLeft = 4; // platform errors tolerated
 
   ClaimPhase mPhase = ClaimPhase::Idle;
-  int64_t mVersion = 0;     // of the claim, once held
+  int64_t mVersion = 0;     // of the claim: this attempt's, or the one queried
   bool mHoldsClaim = false; // the stored claim has mNonce
   ClaimAnswer mAnswer;
   ErrorKind mReleaseError = ErrorKind::NoEndpoint;
--- a/src/decide/EngineReport.h
+++ b/src/decide/EngineReport.h
@@ -26,7 +26,8 @@
   int mActive = 0;                  // requests in its batch; may lag
   int mWaiting = 0;                 // requests in its own queue; may lag
   std::vector<EngineReplica> mReplicas;
-  std::vector<std::string> mCachedInMemory; // checkpoints, nearest source first
+  // Names of cached checkpoints, nearest tier first.
+  std::vector<std::string> mCachedInMemory;
   std::vector<std::string> mCachedOnDisk;
 };
 
--- a/src/decide/HomeZone.cpp
+++ b/src/decide/HomeZone.cpp
@@ -29,8 +29,8 @@
               TimePoint aNow)
 {
   CountRequest(aState, aParameters, aNow);
-  // Requests wait here because the home zone failed. Sending others to it
-  // meanwhile would load a second replica there.
+  // Requests that wait in this zone do so because the home zone failed.
+  // Redirecting others to it meanwhile would load a second replica there.
   if (aView.mIsHome || aView.mServing || aView.mWaiting ||
       aNow < aState.mServeLocallyUntil) {
     return HomeZoneAction::Local;
--- a/src/decide/HomeZone.h
+++ b/src/decide/HomeZone.h
@@ -43,7 +43,7 @@
 {
   Local,         // serve in this zone, loading the model if needed
   Remote,        // serve at the home zone
-  RemoteAndLoad, // serve at the home zone and begin a load in this one
+  RemoteAndLoad, // begin a load here; serve at the home zone until it ends
 };
 
 // Decides where a request of this zone is served.
--- a/src/decide/LoadGate.h
+++ b/src/decide/LoadGate.h
@@ -57,7 +57,7 @@
 {
   std::string mId;                                 // of the load
   RequestClass mClass = RequestClass::Interactive; // may become more urgent
-  bool mAlreadyAdmitted = false; // by another gate; counted, never stopped
+  bool mAlreadyAdmitted = false; // by another gate; counted, never refused
 };
 
 struct LoadGateReply
--- a/src/decide/LoadPlan.cpp
+++ b/src/decide/LoadPlan.cpp
@@ -55,7 +55,7 @@
     [&](const PlacedReplica& aReplica) { return aReplica.mBase == aModel; });
 }
 
-// Evicts the longest idle first, until aBytes fit.
+// Chooses the replicas idle longest, until aBytes fit.
 Eviction
 ChooseEvictions(const LoadCandidate& aCandidate,
                 int64_t aBytes,
@@ -66,8 +66,8 @@
     const EngineReplica* seen = Reported(aCandidate.mReport, replica);
     bool busy =
       !seen || seen->mActive > 0 || seen->mIdle < aParameters.mMinIdle;
-    // Without fencing such a replica is provably gone only after minutes, too
-    // late for the waiting request.
+    // Without fencing, a replica whose load order wasn't acknowledged is
+    // provably gone only after minutes, too late for the waiting request.
     bool lingers = !aCandidate.mRecord.mChecksFencing && !replica.mAcknowledged;
     if (replica.mState != ReplicaState::Ready || busy || lingers ||
         HasAdapters(aCandidate.mRecord, replica.mName)) {
--- a/src/decide/LoadPlan.h
+++ b/src/decide/LoadPlan.h
@@ -39,7 +39,7 @@
   bool mJoin = false; // the engine has it already, loading or ready
 };
 
-// Whether that engine would load aName from the weight store.
+// Whether the engine of aReport would load aName from the weight store.
 bool
 LoadPlanFromStore(const EngineReport& aReport, const std::string& aName);
 
@@ -53,10 +53,11 @@
                   Millis aBase,
                   const LoadPlanParameters& aParameters);
 
-// Joins a load in progress, else chooses the cheapest engine. Its cost is made
-// up of the source of the checkpoint, the requests in flight and the evictions:
-// the reload time of each evicted replica times the probability that it is
-// needed again soon, which falls with its idle time.
+// Chooses an engine that has the model or is loading it, else the cheapest
+// one. The cost of an engine is made up of the source of the checkpoint, the
+// requests in flight and the evictions: the reload time of each evicted replica
+// times the probability that it is needed again soon, which falls with its idle
+// time.
 LoadPlan
 LoadPlanChoose(const std::vector<LoadCandidate>& aCandidates,
                const std::string& aName,
--- a/src/decide/PlacementRecord.h
+++ b/src/decide/PlacementRecord.h
@@ -28,8 +28,9 @@
   bool mAcknowledged = false; // the only load order sent was answered
 };
 
-// One record per engine, always replaced as a whole by conditional update.
-// An order is sent only for what the stored record contains.
+// One record per engine, always replaced as a whole by conditional update. The
+// update is the fence between deciders: an order is sent only for what the
+// stored record contains.
 struct PlacementRecord
 {
   std::string mEndpoint;
--- a/src/decide/PlacementStep.cpp
+++ b/src/decide/PlacementStep.cpp
@@ -63,8 +63,9 @@
     return false;
   }
   if (aReplica.mState == ReplicaState::Ready && !seen) {
-    // The engine lost the replica, for example by a restart. Unload it
-    // regularly, so that its bytes are reused only once it can't come back.
+    // The engine lost the replica, for example by a restart. It is unloaded
+    // like any other, so that its bytes are reused only once it can't come
+    // back.
     aReplica.mState = ReplicaState::Unloading;
     aReplica.mFencingToken = ++aRecord.mFencingToken;
     return true;
--- a/src/decide/PlacementStep.h
+++ b/src/decide/PlacementStep.h
@@ -2,9 +2,9 @@
 //
 // Each function changes a copy; the driver stores the copy by conditional
 // update and sends orders only if the update took effect. Bytes are charged
-// from the decision to load until the engine reports the replica gone, so that
-// the engine never holds more than the record charges, nor the record more
-// than the engine's memory.
+// from the decision to load until the engine reports the replica gone and no
+// order can bring it back. So the engine never holds more than the record
+// charges, and the record never charges more than the engine's memory.
 #ifndef caraway_decide_PlacementStep_h
 #define caraway_decide_PlacementStep_h
 
--- a/src/decide/RetrySchedule.cpp
+++ b/src/decide/RetrySchedule.cpp
@@ -10,7 +10,7 @@
 constexpr Millis kLateTolerance{ 1500 };
 constexpr size_t kMaxRetriesPerTenant = 2000; // to bound memory
 constexpr double kInitialReturnRate = 0.5;    // until observed
-constexpr double kReturnRateWeight = 0.1;
+constexpr double kReturnRateWeight = 0.1;     // of one return in the average
 
 } // namespace
 
--- a/src/decide/RetrySchedule.h
+++ b/src/decide/RetrySchedule.h
@@ -39,6 +39,7 @@
   double ReturnProbability(const std::string& aTenant) const;
   // Tokens expected of retries that are due before aUntil.
   double Tokens(const std::string& aTenant, TimePoint aUntil) const;
+  // The same of all other tenants, with at most aMaxPerTenant for each.
   double OthersTokens(const std::string& aTenant,
                       TimePoint aUntil,
                       double aMaxPerTenant) const;
--- a/src/decide/ShareLease.h
+++ b/src/decide/ShareLease.h
@@ -30,8 +30,8 @@
 
 struct ShareLeaseParameters
 {
-  Millis mLease{ 3000 };             // validity after a renewal
-  Millis mMargin{ 1000 };            // covers clock drift over a lease
+  Millis mLease{ 3000 };  // validity after a renewal
+  Millis mMargin{ 1000 }; // covers clock drift over a lease, with reserve
   Millis mIsolationLimit{ 3600000 }; // of spending on promises alone
 };
 
--- a/src/decide/ShareTable.h
+++ b/src/decide/ShareTable.h
@@ -12,7 +12,8 @@
 namespace caraway {
 
 // Slots per zone, over which tenants are spread by hash. In a small zone an
-// instance holds several; in one of 58, 16 instances share the requests.
+// instance holds several; in a zone of 58 instances, 16 of them share the
+// requests for tokens.
 constexpr int kShareSlots = 16;
 
 struct ShareMember
@@ -42,9 +43,9 @@
   std::vector<ShareSlot> mSlots = std::vector<ShareSlot>(kShareSlots);
 };
 
-// Slots of one tenant, which hold half of its zone's share each. With two or
-// more members they have different holders: while one holder is dead and not
-// yet replaced, the tenant still has the other half.
+// Slots per tenant, each with half of the tenant's share in the zone. With two
+// or more members they have different holders: while one holder is dead and
+// not yet replaced, the tenant still has the other half.
 constexpr int kShareHalves = 2;
 std::array<int, kShareHalves>
 ShareSlotsOf(const std::string& aTenant);
--- a/src/decide/WaitQueue.cpp
+++ b/src/decide/WaitQueue.cpp
@@ -175,10 +175,11 @@
                   TimePoint aNow)
 {
   ClassQueue& classQueue = mClasses[static_cast<int>(aItem.mClass)];
-  // A retry before its time can't be distinguished from another caller's same
-  // request, so it gets a second reservation; that the first goes unused lowers
-  // RetrySchedule::ReturnProbability. Given the first's time, all callers with
-  // the same request would retry at once for the capacity of one.
+  // A retry before its time can't be distinguished from the same request of
+  // another caller, so it gets a second reservation. If the first one then goes
+  // unused, that lowers RetrySchedule::ReturnProbability. If it got the time of
+  // the first, all callers with the same request would retry at once for the
+  // capacity of one.
   Millis wait =
     std::max(PredictWait(aItem, aRate, aNow, TimePoint::max()), aReadyIn);
   if (wait <= kMaxRetry) {
@@ -211,8 +212,8 @@
   double likely =
     reserved ? 0 : classQueue.mRetrySchedule.ReturnProbability(aItem.mTenant);
   auto budget = std::chrono::duration_cast<Millis>(aItem.mStartBy - aNow);
-  // New requests queue behind the expected retries, which arrive with their
-  // whole waiting time left.
+  // A new request queues behind the expected retries, which arrive with their
+  // whole waiting time left. The likelier they are, the less it may wait.
   Millis allowedWait(static_cast<int64_t>(static_cast<double>(budget.count()) *
                                           (1 - likely / 2)));
   Millis wait = std::max(PredictWait(aItem, aRate, aNow, until), aReadyIn);
@@ -239,7 +240,8 @@
   return std::nullopt;
 }
 
-// Removes an item. Returns the same tenant's queue, or the next if it is empty.
+// Removes an item. Returns the same tenant's queue, or the next tenant's if it
+// is empty.
 WaitQueue::TenantQueues::iterator
 WaitQueue::Remove(ClassQueue& aClass,
                   TenantQueues::iterator aQueue,
--- a/src/decide/WaitQueue.h
+++ b/src/decide/WaitQueue.h
@@ -17,8 +17,9 @@
 
 struct WaitQueueLimits
 {
-  size_t mItems = 256; // waiting, for each class: a flood of briefings
-                       // must not take the capacity of bulletins
+  // Waiting, for each class: a flood of briefings must not take the capacity of
+  // bulletins.
+  size_t mItems = 256;
   double mMaxTenantFraction = 0.5; // of mItems
 };
 
@@ -38,15 +39,16 @@
 public:
   explicit WaitQueue(WaitQueueLimits aLimits = {});
 
-  // Queues the request, or refuses it at once if it can't start before its
-  // deadline, rather than when the deadline passes. aRate is the observed
-  // service rate in tokens a second over all replicas, 0 = unknown; aReadyIn is
-  // the time until the first replica can serve, during a load.
+  // Queues the request and returns nullopt, or refuses it: if the queue is full
+  // or, at once rather than when the deadline passes, if it can't start in
+  // time. aRate is the observed service rate in tokens a second over all
+  // replicas, 0 = unknown; aReadyIn is the time until the first replica can
+  // serve, during a load.
   std::optional<WaitRefusal> Offer(const QueuedRequest& aItem,
                                    double aRate,
                                    Millis aReadyIn,
                                    TimePoint aNow);
-  // Takes the next request of class aClassLimit or more urgent.
+  // Takes the next request of class aClassLimit or more urgent, if any.
   std::optional<QueuedRequest> Next(RequestClass aClassLimit);
   // Removes and returns the requests whose deadline has passed.
   std::vector<QueuedRequest> Expire(TimePoint aNow);
