--- a/src/own/EndpointReconciler.h
+++ b/src/own/EndpointReconciler.h
@@ -20,8 +20,9 @@
   Millis mRereadInterval{ 10000 }; // between reads of an unchanged record
   Millis mMaxOrderDelay{ 120000 }; // no order arrives later than this
   Millis mResendInterval{ 5000 };  // for orders without effect
-  Millis mIdleLimit{ 300000 };     // before an idle replica is unloaded, if a
-                                   // reload would come from the remote store
+  // Before an idle replica is unloaded, if a reload would come from the remote
+  // store.
+  Millis mIdleLimit{ 300000 };
   LoadPlanParameters mParameters;
 };
 
--- a/src/own/EngineClient.h
+++ b/src/own/EngineClient.h
@@ -25,7 +25,7 @@
 public:
   EngineClient();
 
-  // Sent once, on a connection of its own.
+  // Each order is sent once, on a connection of its own.
   OrderOutcome Load(const std::string& aAddress, const PlacedReplica& aReplica);
   OrderOutcome Unload(const std::string& aAddress,
                       const PlacedReplica& aReplica);
--- a/src/own/Loader.cpp
+++ b/src/own/Loader.cpp
@@ -11,9 +11,8 @@
 
 namespace {
 
-constexpr Millis kNoMemoryRetry{
-  100
-}; // retry while no engine can take the model
+// Pause between attempts while no engine has memory for the model.
+constexpr Millis kNoMemoryRetry{ 100 };
 
 const PlacedReplica*
 FindByDecision(const PlacementRecord& aRecord, const std::string& aDecision)
@@ -115,8 +114,8 @@
       !plan.mJoin &&
       LoadPlanFromStore(candidates[plan.mCandidate].mReport, aModel.mName);
     if (fromStore && !permit.HasPermit()) {
-      // Before the decision, so that no memory is charged for a load that
-      // waits. Afterwards the reports are stale and read again.
+      // The permit is awaited before the decision, so that no memory is charged
+      // for a load that waits. Afterwards the reports are stale and read again.
       permit.Await(aUntil);
       continue;
     }
@@ -192,7 +191,7 @@
                     aUntil);
 }
 
-// Checks the age of the record last before an order is sent. After a pause the
+// Last check of the record's age before an order is sent. After a pause the
 // decision may have been cancelled, and an engine that ignores fencing would
 // load a replica that isn't in the record. For such engines mMaxOrderDelay is
 // longer than mMaxRecordAge and the longest network delay together.
@@ -250,8 +249,8 @@
         if (!replica.mReady) {
           continue;
         }
-        // Stored once only: after a conflict the report is older than the
-        // record. The reconciler then records the replica as ready.
+        // Only one attempt to store: after a conflict the report is older than
+        // the record. The reconciler then records the replica as ready.
         PlacementRecord next = aStored.mRecord;
         const PlacedReplica* placed =
           PlacementFind(next, aModel.mName, aModel.mVersion);
@@ -329,7 +328,7 @@
   AdapterPermit permit(mGate, aUntil);
   if (!permit.HasPermit()) {
     return Fail(ErrorKind::NoCapacity,
-                "too many adapter loads in progress until the deadline");
+                "adapter load not admitted in time: too many in progress");
   }
   return LoadAdapter(aEndpoint, aAdapter, aUntil);
 }
--- a/src/own/Loader.h
+++ b/src/own/Loader.h
@@ -25,7 +25,7 @@
 enum class LoadNeed
 {
   Required, // requests wait for the load
-  Optional  // saves requests the way to the home zone; none waits
+  Optional  // spares requests the redirect to the home zone; none waits
 };
 
 struct LoaderCounts
@@ -47,7 +47,7 @@
   void SetStoreGate(StoreGate& aGate) { mGate = &aGate; }
 
   // Blocks until the model is ready at an engine of this zone. Fails with
-  // NoCapacity when none has enough memory in time, NoEndpoint when none
+  // NoCapacity if no engine has it ready by aUntil, with NoEndpoint if none
   // answers. An optional load evicts no recently used replica and fails at once
   // when memory is short: an additional replica isn't worth another model's
   // cold start.
--- a/src/own/ModelGroup.cpp
+++ b/src/own/ModelGroup.cpp
@@ -38,7 +38,7 @@
 RequestClass
 ModelGroupAdmissibleClass(const ServingReplica& aReplica)
 {
-  constexpr int kFewSlots = 4; // with fewer slots none is reserved
+  constexpr int kFewSlots = 4; // with fewer, none is reserved for bulletins
   int slots = aReplica.mEndpoint.mSlots;
   if (slots < kFewSlots) {
     bool fits = aReplica.mBatchInFlight < std::max(1, slots - 1);
--- a/src/own/ModelGroup.h
+++ b/src/own/ModelGroup.h
@@ -73,7 +73,8 @@
 // deadline.
 RequestClass
 ModelGroupAdmissibleClass(const ServingReplica& aReplica);
-// Expected time until the model can serve, by its last load; 0 when it can.
+// Expected time until the model is ready, by the duration of its last load; 0
+// if it is.
 Millis
 ModelGroupReadyIn(const ModelGroup& aGroup, TimePoint aNow);
 // Updates mRate: a slot of aReplica generated aTokens in aSeconds.
--- a/src/own/ModelOwner.h
+++ b/src/own/ModelOwner.h
@@ -36,9 +36,9 @@
   // Without this call, every zone is the home zone of all models.
   void SetHomeZones(HomeZones& aHomes) { mHomes = &aHomes; }
 
-  // Blocks for kMaxPollWait at most. Gives a slot, a zone to ask instead, a
-  // refusal (the request has not run), or a ticket for Await. A front that
-  // waited in one long call would not notice a frozen owner.
+  // Blocks for kMaxPollWait at most, since a front that waited in one long call
+  // would not notice a frozen owner. Returns a slot, a zone to ask instead, a
+  // refusal (the request has not run), or a ticket for Await.
   Result<EngineSlotGrant> Acquire(const EngineSlotRequest& aRequest);
   Result<EngineSlotGrant> Await(uint64_t aTicket);
   void ReleaseSlot(const EngineSlotRelease& aRelease);
--- a/src/own/PlacementStore.cpp
+++ b/src/own/PlacementStore.cpp
@@ -26,7 +26,8 @@
   return stored;
 }
 
-// Memory and fencing come from the configuration, the rest from the object.
+// Memory and fencing are settings of the operators and come from the
+// configuration, the rest comes from the object.
 StoredPlacement
 FromObject(const EndpointSpec& aEndpoint,
            const PlatformObject& aObject,
--- a/src/own/StoreGate.cpp
+++ b/src/own/StoreGate.cpp
@@ -31,7 +31,7 @@
   return request;
 }
 
-// No gate could be reached: an admitted load stays admitted.
+// No gate replied. A load that was admitted stays admitted.
 LoadGateReply
 RetryLater(const LoadGateRequest& aRequest)
 {
