--- a/src/share/ShareBuckets.h
+++ b/src/share/ShareBuckets.h
@@ -13,8 +13,8 @@
 
 namespace caraway {
 
-// Kept in step with the slots held and the configured tenants. A new bucket
-// begins empty, unless its slot was never held (full) or was handed over
+// Sync creates and drops buckets as slots and configured tenants change. A new
+// bucket begins empty, unless its slot was never held (full) or was handed over
 // gracefully (the tokens left).
 class ShareBuckets
 {
--- a/src/share/ShareClient.cpp
+++ b/src/share/ShareClient.cpp
@@ -211,7 +211,7 @@
                 "request costs " + std::to_string(aTokens) + " tokens; " +
                   std::to_string(maxTokens) + " is the most admitted at once");
   }
-  TimePoint begun{}; // first request that brought tokens
+  TimePoint begun{}; // start of the first request that brought tokens
   ShareTicket ticket;
   ticket.mTenant = aTenant.mName;
   double missing = aTokens;
@@ -233,7 +233,8 @@
       ticket.mGrants.push_back(reply.mGrant);
     }
   }
-  // Tokens are debited after begun and used before this check.
+  // The tokens were debited no earlier than begun, and the request is admitted
+  // with this check.
   bool inTime = mClock.Now() - begun <= mSettings.mGrantLifetime;
   if (missing <= kTokenEpsilon && inTime) {
     if (ticket.mGrants.size() > 1) {
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -276,8 +276,8 @@
   ShareLeaseOnAllPromised(mLease, begun);
 }
 
-// Retries at once when another member's renewal comes first, since nobody
-// spends the closed slots meanwhile.
+// Retries at once when another member's renewal comes first, since nobody can
+// spend the closed slots meanwhile.
 void
 ShareManager::HandOverSlots(bool aLeaving)
 {
@@ -295,7 +295,7 @@
   NotifySlotHolders(handedOver);
 }
 
-// Done also when there is nothing to hand over.
+// Returns Done also when there is nothing to hand over.
 WriteOutcome
 ShareManager::TryHandOver(bool aLeaving, std::set<int>& aHandedOver)
 {
@@ -335,7 +335,7 @@
       ShareLeaseReopen(mLease, newlyClosed);
       break;
     default:
-      break; // outcome unknown: closed until a newer table
+      break; // outcome unknown: closed until a newer table arrives
   }
   return result.mEnd;
 }
--- a/src/share/ShareManager.h
+++ b/src/share/ShareManager.h
@@ -34,13 +34,13 @@
                ConfigHolder& aConfig,
                const Clock& aClock);
 
-  // Takes up to aTokens, or as many as there are. Nothing when this instance
-  // doesn't hold the slot or its lease has expired.
   struct TakeResult
   {
     ShareGrant mGrant;
     Millis mRetryAfter{ 0 }; // until aTokens are available; < 0 = never
   };
+  // Takes up to aTokens, or as many as there are. Returns nullopt if this
+  // instance doesn't hold the slot or its lease has expired.
   std::optional<TakeResult> Take(const std::string& aTenant,
                                  int aSlot,
                                  double aTokens);
