--- a/tests/property/ClaimProperty.cpp
+++ b/tests/property/ClaimProperty.cpp
@@ -69,7 +69,8 @@
     return event;
   }
 
-  // In force with a reply; in force, reply lost; lost; or late.
+  // The write takes effect with a reply, takes effect but the reply is lost, is
+  // lost itself, or is late.
   ClaimEvent Write(const Attempt& aAttempt,
                    ClaimRecordState aState,
                    int64_t aExpected,
--- a/tests/property/HomeZoneProperty.cpp
+++ b/tests/property/HomeZoneProperty.cpp
@@ -67,8 +67,8 @@
       aZone.mWaiting = true;
     }
   }
-  // As a front instance does. The home zone doesn't redirect what is sent to
-  // it.
+  // Sends a request as a front instance does. The home zone doesn't redirect
+  // requests that were sent to it.
   void Request(Zone& aZone)
   {
     HomeZoneAction action = Route(aZone);
@@ -146,8 +146,8 @@
   }
 }
 
-// Guards against requests redirected without end or waiting for a failed home
-// zone again and again, and against repeated loads. Zones are cut off and
+// Guards against requests that are redirected without end or each wait for a
+// home zone that has failed, and against repeated loads. Zones are cut off and
 // reconnected at any moment. Each request is served locally or by a home zone
 // that doesn't redirect it; a busy zone begins one load a minute at most,
 // however its loads end.
--- a/tests/property/LoadGateProperty.cpp
+++ b/tests/property/LoadGateProperty.cpp
@@ -136,8 +136,9 @@
   RC_ASSERT(model.DrainsWithin(bound));
 }
 
-// A bulletin joins a briefing that waits for a load of the same model, which is
-// as urgent as the bulletin from then on.
+// Guards against a bulletin that waits at the rank of a briefing: it joins the
+// briefing's load of the same model, which is as urgent as the bulletin from
+// then on.
 TEST(LoadGate, TakesTheMostUrgentClassOfItsWaiters)
 {
   TimePoint now = TimePoint(Seconds(1000));
--- a/tests/support/MemoryPlatform.h
+++ b/tests/support/MemoryPlatform.h
@@ -18,7 +18,7 @@
   Refused,    // never sent
   AnswerLost, // takes effect
   WriteLost,  // takes no effect
-  Late,       // takes effect if the test applies it
+  Late,       // takes effect only when the test calls ApplyLate
 };
 
 // Maps a random number to a fault: 0 to 3 are faults, higher numbers None.
--- a/tests/unit/ModelGroupTest.cpp
+++ b/tests/unit/ModelGroupTest.cpp
@@ -21,7 +21,8 @@
   EXPECT_EQ(ModelGroupAdmissibleClass(replica), RequestClass::Urgent);
 }
 
-// An engine with a single slot serves every class.
+// An engine with a single slot serves every class. With two slots batch work
+// may use one, and no slot is reserved for bulletins.
 TEST(ModelGroup, NothingIsReservedWithFewSlots)
 {
   ServingReplica replica;
