--- a/src/decide/LoadPlan.cpp
+++ b/src/decide/LoadPlan.cpp
@@ -36,7 +36,7 @@
 }
 
 const EngineReplica*
-Reported(const EngineReport& aReport, const PlacedReplica& aReplica)
+FindReported(const EngineReport& aReport, const PlacedReplica& aReplica)
 {
   for (const EngineReplica& seen : aReport.mReplicas) {
     if (seen.mName == aReplica.mName && seen.mVersion == aReplica.mVersion) {
@@ -63,7 +63,7 @@
 {
   std::vector<std::pair<Millis, PlacedReplica>> idle;
   for (const PlacedReplica& replica : aCandidate.mRecord.mReplicas) {
-    const EngineReplica* seen = Reported(aCandidate.mReport, replica);
+    const EngineReplica* seen = FindReported(aCandidate.mReport, replica);
     bool busy =
       !seen || seen->mActive > 0 || seen->mIdle < aParameters.mMinIdle;
     // Without fencing, a replica whose load order wasn't acknowledged is
--- a/src/decide/ShareLease.cpp
+++ b/src/decide/ShareLease.cpp
@@ -47,19 +47,20 @@
   if (seen == aLease.mLastRenewals.end()) {
     return false;
   }
-  const ShareLeaseParameters& terms = aLease.mParameters;
-  Millis silenceLimit = terms.mLease;
+  const ShareLeaseParameters& parameters = aLease.mParameters;
+  Millis silenceLimit = parameters.mLease;
   auto self = aLease.mTable.mMembers.find(aLease.mSelf);
   auto member = aLease.mTable.mMembers.find(aMember);
   bool knowsSelf = self != aLease.mTable.mMembers.end() &&
                    member != aLease.mTable.mMembers.end() &&
                    member->second.mKnownSerial >= self->second.mJoinedSerial;
   auto unlisted = aLease.mUnlistedSince.find(aMember);
-  bool notListed = unlisted != aLease.mUnlistedSince.end() &&
-                   aNow - unlisted->second > terms.mLease + terms.mMargin;
+  bool notListed =
+    unlisted != aLease.mUnlistedSince.end() &&
+    aNow - unlisted->second > parameters.mLease + parameters.mMargin;
   if (!knowsSelf && !notListed) {
     // It may be spending on promises for which it didn't ask this instance.
-    silenceLimit = terms.mIsolationLimit + terms.mMargin;
+    silenceLimit = parameters.mIsolationLimit + parameters.mMargin;
   }
   return aNow - seen->second.mSeenAt > silenceLimit;
 }
@@ -121,12 +122,12 @@
       aLease.mTable.mSlots[aSlot].mHolder != aLease.mSelf) {
     return false;
   }
-  const ShareLeaseParameters& terms = aLease.mParameters;
-  if (aNow < aLease.mRenewedAt + terms.mLease) {
+  const ShareLeaseParameters& parameters = aLease.mParameters;
+  if (aNow < aLease.mRenewedAt + parameters.mLease) {
     return true;
   }
-  return aNow < aLease.mPromisedAt + terms.mLease &&
-         aNow < aLease.mRenewedAt + terms.mIsolationLimit;
+  return aNow < aLease.mPromisedAt + parameters.mLease &&
+         aNow < aLease.mRenewedAt + parameters.mIsolationLimit;
 }
 
 void
--- a/src/decide/WaitQueue.cpp
+++ b/src/decide/WaitQueue.cpp
@@ -117,19 +117,20 @@
   }
   // A tenant with nothing queued is served after at most one request of each
   // other tenant, whatever they send meanwhile.
-  const auto& peers = mClasses[ownClass].mArrivals;
+  const auto& tenantArrivals = mClasses[ownClass].mArrivals;
   if (mClasses[ownClass].mTenantQueues.count(aItem.mTenant) == 0) {
     return std::max(left, aRate * kMinRateFraction);
   }
   double fairRate =
-    left / static_cast<double>(std::max<size_t>(1, peers.size()));
-  double peerRate = 0;
-  for (const auto& arrivals : peers) {
+    left / static_cast<double>(std::max<size_t>(1, tenantArrivals.size()));
+  double otherTenantsRate = 0;
+  for (const auto& arrivals : tenantArrivals) {
     if (arrivals.first != aItem.mTenant) {
-      peerRate += std::min(std::max(0.0, fairRate), arrivals.second.At(aNow));
+      otherTenantsRate +=
+        std::min(std::max(0.0, fairRate), arrivals.second.At(aNow));
     }
   }
-  return std::max(left - peerRate, aRate * kMinRateFraction);
+  return std::max(left - otherTenantsRate, aRate * kMinRateFraction);
 }
 
 Millis
@@ -209,13 +210,13 @@
   }
   bool reserved = isRetry || aItem.mClass == RequestClass::Urgent;
   TimePoint until = reserved ? aNow : aItem.mStartBy;
-  double likely =
+  double returnProbability =
     reserved ? 0 : classQueue.mRetrySchedule.ReturnProbability(aItem.mTenant);
   auto budget = std::chrono::duration_cast<Millis>(aItem.mStartBy - aNow);
   // A new request queues behind the expected retries, which arrive with their
   // whole waiting time left. The likelier they are, the less it may wait.
   Millis allowedWait(static_cast<int64_t>(static_cast<double>(budget.count()) *
-                                          (1 - likely / 2)));
+                                          (1 - returnProbability / 2)));
   Millis wait = std::max(PredictWait(aItem, aRate, aNow, until), aReadyIn);
   size_t tenantLimit = static_cast<size_t>(static_cast<double>(mLimits.mItems) *
                                            mLimits.mMaxTenantFraction);
