--- a/src/own/HomeZones.cpp
+++ b/src/own/HomeZones.cpp
@@ -29,10 +29,10 @@
 std::string
 HomeZones::HomeOf(const std::string& aModel, const ConfigSnapshot& aConfig)
 {
-  std::set<std::string> answering = mMembers.RespondingZones();
+  std::set<std::string> responding = mMembers.RespondingZones();
   std::vector<std::string> zones;
   for (const std::string& zone : mNearZones) {
-    if (answering.count(zone) && HasEngines(zone, aConfig)) {
+    if (responding.count(zone) && HasEngines(zone, aConfig)) {
       zones.push_back(zone);
     }
   }
--- a/src/own/Loader.cpp
+++ b/src/own/Loader.cpp
@@ -87,9 +87,9 @@
                TimePoint aUntil)
 {
   bool optional = aNeed == LoadNeed::Optional;
-  LoadPlanParameters terms = mSettings.mParameters;
+  LoadPlanParameters parameters = mSettings.mParameters;
   if (optional) {
-    terms.mMinIdle = terms.mOptionalMinIdle;
+    parameters.mMinIdle = parameters.mOptionalMinIdle;
   }
   std::vector<EndpointSpec> engines = EnginesOf(aConfig, mSettings.mZone);
   LoadPermit permit(mGate, aUrgency);
@@ -100,7 +100,7 @@
       return Fail(ErrorKind::NoEndpoint, "no engine in this zone answers");
     }
     LoadPlan plan = LoadPlanChoose(
-      candidates, aModel.mName, aModel.mVersion, aModel.mBytes, terms);
+      candidates, aModel.mName, aModel.mVersion, aModel.mBytes, parameters);
     if (plan.mCandidate < 0 && optional) {
       ++mCounts.mOptionalAbandoned;
       return Fail(ErrorKind::NoCapacity,
@@ -232,7 +232,7 @@
                    LoadPermit& aPermit,
                    TimePoint aUntil)
 {
-  constexpr Millis kResend{ 1000 };
+  constexpr Millis kResendInterval{ 1000 };
   TimePoint lastSent = aOrdered ? mClock.Now() : TimePoint{};
   bool singleOrder = aOrdered;
   while (mClock.Now() < aUntil) {
@@ -263,7 +263,7 @@
         return {};
       }
     }
-    if (!seen && mClock.Now() - lastSent > kResend) {
+    if (!seen && mClock.Now() - lastSent > kResendInterval) {
       // The order, sent here or by a decider that died, hasn't arrived. The
       // engine treats a second copy as the same order.
       BOOST_LEAF_AUTO(reread, mStore.Read(aEndpoint));
