--- a/src/share/ShareBuckets.cpp
+++ b/src/share/ShareBuckets.cpp
@@ -7,8 +7,9 @@
 double
 ShareSlotBurst(const Tenant& aTenant, const ShareSettings& aSettings)
 {
-  double life = std::chrono::duration<double>(aSettings.mGrantLifetime).count();
-  double burst = aTenant.mBurst - aTenant.mRate * life;
+  double lifetime =
+    std::chrono::duration<double>(aSettings.mGrantLifetime).count();
+  double burst = aTenant.mBurst - aTenant.mRate * lifetime;
   return std::max(0.0, burst) / (aSettings.mZones * kShareHalves);
 }
 
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -284,11 +284,12 @@
   std::set<int> handedOver;
   {
     std::lock_guard<std::mutex> write(mWriteLock);
-    WriteOutcome end = WriteOutcome::Conflict;
-    for (int i = 0; i < kMaxAttempts && end == WriteOutcome::Conflict; ++i) {
-      end = TryHandOver(aLeaving, handedOver);
+    WriteOutcome outcome = WriteOutcome::Conflict;
+    for (int i = 0; i < kMaxAttempts && outcome == WriteOutcome::Conflict;
+         ++i) {
+      outcome = TryHandOver(aLeaving, handedOver);
     }
-    if (end != WriteOutcome::Done) {
+    if (outcome != WriteOutcome::Done) {
       return;
     }
   }
--- a/src/share/ShareManagerPeers.cpp
+++ b/src/share/ShareManagerPeers.cpp
@@ -78,10 +78,11 @@
 ShareManager::OnPromise(const Json::Value& aParams)
 {
   std::lock_guard<std::mutex> lock(mLock);
-  bool ours = aParams["of"].asString() == mSelf;
+  bool forThisIncarnation = aParams["of"].asString() == mSelf;
   Json::Value reply;
   reply["promised"] =
-    ours && ShareLeaseCanPromise(mLease, aParams["member"].asString());
+    forThisIncarnation &&
+    ShareLeaseCanPromise(mLease, aParams["member"].asString());
   return reply;
 }
 
