--- a/tests/property/PlacementProperty.cpp
+++ b/tests/property/PlacementProperty.cpp
@@ -30,7 +30,7 @@
   int64_t mVersion = 0;
   TimePoint mAsOf{};
   std::string mToSend; // decision whose load order it is about to send
-  std::map<std::string, TimePoint> mSince;
+  std::map<std::string, TimePoint> mFirstSeen;
 };
 
 struct PlacementModel
@@ -50,7 +50,7 @@
     aDecider.mVersion = mVersion;
     aDecider.mAsOf = aNow;
     for (const PlacedReplica& replica : mRecord.mReplicas) {
-      aDecider.mSince.emplace(
+      aDecider.mFirstSeen.emplace(
         replica.mDecision + std::to_string(replica.mFencingToken), aNow);
     }
   }
@@ -139,7 +139,7 @@
     }
   }
 
-  void Settle(Decider& aDecider, TimePoint aNow)
+  void Acknowledge(Decider& aDecider, TimePoint aNow)
   {
     for (const std::string& decision : mAnswered) {
       PlacementRecord next = aDecider.mRecord;
@@ -164,10 +164,10 @@
     }
     std::set<std::string> expired;
     for (const PlacedReplica& replica : aDecider.mRecord.mReplicas) {
-      auto since = aDecider.mSince.find(replica.mDecision +
-                                        std::to_string(replica.mFencingToken));
+      auto since = aDecider.mFirstSeen.find(
+        replica.mDecision + std::to_string(replica.mFencingToken));
       if (replica.mState == ReplicaState::Unloading &&
-          since != aDecider.mSince.end() &&
+          since != aDecider.mFirstSeen.end() &&
           aNow - since->second > kMaxOrderDelay) {
         expired.insert(replica.mDecision);
       }
@@ -218,7 +218,7 @@
         model.Unload(decider, choices.Below(4), now);
         break;
       case 5:
-        model.Settle(decider, now);
+        model.Acknowledge(decider, now);
         break;
       case 6:
         model.Observe(decider, now);
--- a/tests/property/ShareProperty.cpp
+++ b/tests/property/ShareProperty.cpp
@@ -106,7 +106,7 @@
   RandomChoices choices = RandomChoices::OfLength(500);
   const double rate = 100;
   const double burst = 60;
-  const Millis life(100);
+  const Millis lifetime(100);
   const int holders = 6;
   const double part = (burst - rate * 0.1) / holders;
   TimePoint now = TimePoint(Seconds(1000));
@@ -134,7 +134,7 @@
       }
       at += Millis(choices.Below(40));
     }
-    if (missing <= 1e-9 && at - begun <= life) {
+    if (missing <= 1e-9 && at - begun <= lifetime) {
       spends.push_back({ at, cost });
     }
     now = std::max(now, at);
--- a/tests/property/WaitQueueProperty.cpp
+++ b/tests/property/WaitQueueProperty.cpp
@@ -136,20 +136,20 @@
 TEST(WaitQueue, RetryAtTheGivenTimeIsAdmitted)
 {
   BusyQueue busyQueue;
-  uint64_t like = 1000;
+  uint64_t digest = 1000;
   std::optional<WaitRefusal> refusal;
   while (!refusal) {
-    refusal = busyQueue.Offer("acme", ++like);
+    refusal = busyQueue.Offer("acme", ++digest);
   }
-  uint64_t refused = like;
+  uint64_t refused = digest;
   for (int i = 0; i < 5; ++i) {
-    busyQueue.Offer("acme", ++like); // get later retry times
+    busyQueue.Offer("acme", ++digest); // get later retry times
   }
   TimePoint due = busyQueue.mNow + refusal->mRetryAfter;
   while (busyQueue.mNow < due) {
     busyQueue.Serve(Millis(200));
-    busyQueue.Offer("acme", ++like);
-    busyQueue.Offer("acme", ++like);
+    busyQueue.Offer("acme", ++digest);
+    busyQueue.Offer("acme", ++digest);
   }
   EXPECT_FALSE(busyQueue.Offer("acme", refused));
 }
@@ -186,10 +186,10 @@
 TEST(WaitQueue, UnusedReservationsDoNotHoldCapacity)
 {
   BusyQueue busyQueue;
-  uint64_t like = 0;
+  uint64_t digest = 0;
   for (int i = 0; i < 500; ++i) {
-    busyQueue.Offer("acme", ++like);
-    busyQueue.Offer("acme", ++like);
+    busyQueue.Offer("acme", ++digest);
+    busyQueue.Offer("acme", ++digest);
     busyQueue.Serve(Millis(200));
   }
   // The queue holds as much as the start deadlines allow, 1.4 s of work.
--- a/tests/unit/ModelGroupTest.cpp
+++ b/tests/unit/ModelGroupTest.cpp
@@ -23,7 +23,7 @@
 
 // An engine with a single slot serves every class. With two slots batch work
 // may use one, and no slot is reserved for bulletins.
-TEST(ModelGroup, NothingIsReservedWithFewSlots)
+TEST(ModelGroup, FewSlotsReserveNoneForBulletins)
 {
   ServingReplica replica;
   replica.mEndpoint.mSlots = 1;
