--- a/src/decide/ClaimStep.h
+++ b/src/decide/ClaimStep.h
@@ -47,7 +47,7 @@
 {
   Start,
   Written,      // the attempt's conditional write took effect at mVersion
-  Standing,     // another record is stored: mRecord at mVersion
+  Standing,     // stored: mRecord at mVersion; may be the attempt's own
   Absent,       // no record is stored
   NoPlatform,   // platform did not answer; a write may take effect, even later
   PeerRunning,  // the creator is still working on the order
@@ -96,8 +96,9 @@
   ErrorKind mReleaseError = ErrorKind::NoEndpoint;
 };
 
-// Status of this attempt as reported to an instance that queries its nonce.
-// GaveUp is final: the attempt's phase never leaves Done after it.
+// Status of an attempt as reported to an instance that queries its nonce.
+// GaveUp is final: the attempt's phase stays Done, so the other instance may
+// take the claim over.
 enum class ClaimAttemptStatus
 {
   Running,
--- a/src/own/EngineSlotRequest.h
+++ b/src/own/EngineSlotRequest.h
@@ -32,7 +32,7 @@
 {
   uint64_t mTicket = 0;       // not 0: still queued
   std::string mRedirectZone;  // not "": the home zone, to be asked instead
-  uint64_t mEngineSlotId = 0; // to be released
+  uint64_t mEngineSlotId = 0; // of the granted slot, for its release
   std::string mEndpoint;
   std::string mAddress;
   bool mCold = false; // the request waited for a load
