--- a/tests/property/BriefingProperty.cpp
+++ b/tests/property/BriefingProperty.cpp
@@ -39,6 +39,7 @@
     }
   }
 
+  // Sets random faults for this step's calls to the platform.
   void DrawFaults(RandomChoices& aChoices)
   {
     mPlatform.mOnWrite = [&aChoices](const PlatformWrite&) {
--- a/tests/property/HomeZoneProperty.cpp
+++ b/tests/property/HomeZoneProperty.cpp
@@ -179,7 +179,8 @@
   EXPECT_EQ(model.Route(zone), HomeZoneAction::Local);
 }
 
-// A zone that reaches the home zone again returns to it once its own idle
+// Guards against a zone that keeps a replica of its own for good after a cut:
+// once it reaches the home zone again, it returns to it when its own idle
 // replica is unloaded.
 TEST(HomeZone, ReturnsToHomeZoneAfterItsReplicaIsGone)
 {
--- a/tests/unit/ModelGroupTest.cpp
+++ b/tests/unit/ModelGroupTest.cpp
@@ -21,8 +21,9 @@
   EXPECT_EQ(ModelGroupAdmissibleClass(replica), RequestClass::Urgent);
 }
 
-// An engine with a single slot serves every class. With two slots batch work
-// may use one, and no slot is reserved for bulletins.
+// Guards against a small engine whose only slot is kept free for bulletins. An
+// engine with a single slot serves every class. With two slots batch work may
+// use one, and no slot is reserved for bulletins.
 TEST(ModelGroup, FewSlotsReserveNoneForBulletins)
 {
   ServingReplica replica;
