--- a/tests/property/ConfigProperty.cpp
+++ b/tests/property/ConfigProperty.cpp
@@ -31,7 +31,7 @@
   ConfigStore mStore;
   ConfigHolder mHolder;
   ConfigFollower mFollower;
-  int64_t mSeen = 0; // highest revision observed
+  int64_t mHighestRevision = 0; // observed
 };
 
 // Reply to a heartbeat; it arrives later, or never.
@@ -39,7 +39,7 @@
 {
   size_t mTo = 0;
   ConfigFreshness mFreshness;
-  TimePoint mAsked{};
+  TimePoint mRequestedAt{};
   ConfigSnapshot mConfig;
 };
 
@@ -52,13 +52,13 @@
   std::map<int64_t, std::string> mTexts;    // by revision, once observed
   std::map<int64_t, TimePoint> mInForce;    // when it came into force
   std::map<int64_t, std::string> mAccepted; // acknowledged to the operator
-  bool mStale = false;                      // reads may be stale
+  bool mStaleReads = false;
   int mKeys = 0;
   int64_t mVersion = 0;  // of the index in force
   int64_t mRevision = 0; // of the configuration in force
 
-  explicit ConfigModel(bool aStale)
-    : mStale(aStale)
+  explicit ConfigModel(bool aStaleReads)
+    : mStaleReads(aStaleReads)
   {
     for (int i = 0; i < 3; ++i) {
       mFollowers.push_back(std::make_unique<Follower>(mPlatform, mClock));
@@ -73,7 +73,7 @@
     };
     mPlatform.mOnRead = [this, &aChoices] {
       int what = aChoices.Below(16);
-      return what == 0 ? -1 : what < 4 && mStale ? what : 0;
+      return what == 0 ? -1 : what < 4 && mStaleReads ? what : 0;
     };
   }
 
@@ -119,7 +119,7 @@
     HeartbeatReply reply = mReplies.front();
     mReplies.erase(mReplies.begin());
     mFollowers[reply.mTo]->mFollower.OnPeerFreshness(
-      reply.mFreshness, reply.mAsked, [&] {
+      reply.mFreshness, reply.mRequestedAt, [&] {
         return aChoices.Below(4) == 0 ? std::nullopt
                                       : std::optional(reply.mConfig);
       });
@@ -160,11 +160,11 @@
     }
     for (const auto& follower : mFollowers) {
       ConfigPtr current = follower->mHolder.Current();
-      RC_ASSERT(current->mRevision >= follower->mSeen);
-      if (current->mRevision == follower->mSeen) {
+      RC_ASSERT(current->mRevision >= follower->mHighestRevision);
+      if (current->mRevision == follower->mHighestRevision) {
         continue;
       }
-      follower->mSeen = current->mRevision;
+      follower->mHighestRevision = current->mRevision;
       auto known = mTexts.emplace(current->mRevision, TextOf(*current)).first;
       RC_ASSERT(known->second == TextOf(*current));
     }
--- a/tests/support/ShareModel.h
+++ b/tests/support/ShareModel.h
@@ -31,10 +31,10 @@
   }
   bool Awake() const { return !mDead && mFrozenSteps == 0; }
 
-  TimePoint Now(TimePoint aTrue) const
+  TimePoint Now(TimePoint aTrueTime) const
   {
     return TimePoint(std::chrono::duration_cast<TimePoint::duration>(
-      aTrue.time_since_epoch() * mClockRate));
+      aTrueTime.time_since_epoch() * mClockRate));
   }
 };
 
