--- a/src/decide/WaitQueue.cpp
+++ b/src/decide/WaitQueue.cpp
@@ -117,19 +117,20 @@
   }
   // A tenant with nothing queued is served after at most one request of each
   // other tenant, whatever they send meanwhile.
-  const auto& peers = mClasses[ownClass].mArrivals;
+  const auto& tenantArrivals = mClasses[ownClass].mArrivals;
   if (mClasses[ownClass].mTenantQueues.count(aItem.mTenant) == 0) {
     return std::max(left, aRate * kMinRateFraction);
   }
   double fairRate =
-    left / static_cast<double>(std::max<size_t>(1, peers.size()));
-  double peerRate = 0;
-  for (const auto& arrivals : peers) {
+    left / static_cast<double>(std::max<size_t>(1, tenantArrivals.size()));
+  double otherTenantsRate = 0;
+  for (const auto& arrivals : tenantArrivals) {
     if (arrivals.first != aItem.mTenant) {
-      peerRate += std::min(std::max(0.0, fairRate), arrivals.second.At(aNow));
+      otherTenantsRate +=
+        std::min(std::max(0.0, fairRate), arrivals.second.At(aNow));
     }
   }
-  return std::max(left - peerRate, aRate * kMinRateFraction);
+  return std::max(left - otherTenantsRate, aRate * kMinRateFraction);
 }
 
 Millis
@@ -175,10 +176,11 @@
                   TimePoint aNow)
 {
   ClassQueue& classQueue = mClasses[static_cast<int>(aItem.mClass)];
-  // A retry before its time can't be distinguished from another caller's same
-  // request, so it gets a second reservation; that the first goes unused lowers
-  // RetrySchedule::ReturnProbability. Given the first's time, all callers with
-  // the same request would retry at once for the capacity of one.
+  // A retry before its time can't be distinguished from the same request of
+  // another caller, so it gets a second reservation. If the first one then goes
+  // unused, that lowers RetrySchedule::ReturnProbability. If it got the time of
+  // the first, all callers with the same request would retry at once for the
+  // capacity of one.
   Millis wait =
     std::max(PredictWait(aItem, aRate, aNow, TimePoint::max()), aReadyIn);
   if (wait <= kMaxRetry) {
@@ -208,13 +210,13 @@
   }
   bool reserved = isRetry || aItem.mClass == RequestClass::Urgent;
   TimePoint until = reserved ? aNow : aItem.mStartBy;
-  double likely =
+  double returnProbability =
     reserved ? 0 : classQueue.mRetrySchedule.ReturnProbability(aItem.mTenant);
   auto budget = std::chrono::duration_cast<Millis>(aItem.mStartBy - aNow);
-  // New requests queue behind the expected retries, which arrive with their
-  // whole waiting time left.
+  // A new request queues behind the expected retries, which arrive with their
+  // whole waiting time left. The likelier they are, the less it may wait.
   Millis allowedWait(static_cast<int64_t>(static_cast<double>(budget.count()) *
-                                          (1 - likely / 2)));
+                                          (1 - returnProbability / 2)));
   Millis wait = std::max(PredictWait(aItem, aRate, aNow, until), aReadyIn);
   size_t tenantLimit = static_cast<size_t>(static_cast<double>(mLimits.mItems) *
                                            mLimits.mMaxTenantFraction);
@@ -239,7 +241,8 @@
   return std::nullopt;
 }
 
-// Removes an item. Returns the same tenant's queue, or the next if it is empty.
+// Removes an item. Returns the same tenant's queue, or the next tenant's if it
+// is empty.
 WaitQueue::TenantQueues::iterator
 WaitQueue::Remove(ClassQueue& aClass,
                   TenantQueues::iterator aQueue,
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -276,26 +276,27 @@
   ShareLeaseOnAllPromised(mLease, begun);
 }
 
-// Retries at once when another member's renewal comes first, since nobody
-// spends the closed slots meanwhile.
+// Retries at once when another member's renewal comes first, since nobody can
+// spend the closed slots meanwhile.
 void
 ShareManager::HandOverSlots(bool aLeaving)
 {
   std::set<int> handedOver;
   {
     std::lock_guard<std::mutex> write(mWriteLock);
-    WriteOutcome end = WriteOutcome::Conflict;
-    for (int i = 0; i < kMaxAttempts && end == WriteOutcome::Conflict; ++i) {
-      end = TryHandOver(aLeaving, handedOver);
+    WriteOutcome outcome = WriteOutcome::Conflict;
+    for (int i = 0; i < kMaxAttempts && outcome == WriteOutcome::Conflict;
+         ++i) {
+      outcome = TryHandOver(aLeaving, handedOver);
     }
-    if (end != WriteOutcome::Done) {
+    if (outcome != WriteOutcome::Done) {
       return;
     }
   }
   NotifySlotHolders(handedOver);
 }
 
-// Done also when there is nothing to hand over.
+// Returns Done also when there is nothing to hand over.
 WriteOutcome
 ShareManager::TryHandOver(bool aLeaving, std::set<int>& aHandedOver)
 {
@@ -335,7 +336,7 @@
       ShareLeaseReopen(mLease, newlyClosed);
       break;
     default:
-      break; // outcome unknown: closed until a newer table
+      break; // outcome unknown: closed until a newer table arrives
   }
   return result.mEnd;
 }
