--- a/src/entry/LoadMessages.h
+++ b/src/entry/LoadMessages.h
@@ -1,5 +1,5 @@
-// LoadMessages.h: what instances tell each other about models: wants, and what
-// servers hold.
+// LoadMessages.h: messages between instances about load requests and the
+// content of servers.
 #ifndef caraway_entry_LoadMessages_h
 #define caraway_entry_LoadMessages_h
 
@@ -10,10 +10,10 @@
 
 namespace caraway {
 
-// A zone has taken up the load of a model; see LoadClaims.
+// A zone has queued or started the load of a model; see LoadClaims.
 inline constexpr char kClaimMessage[] = "load_claim";
 
-// A load from the weight store begins or has ended; see StoreLoadTracker.
+// A load from the weight store has started or ended; see StoreLoadTracker.
 inline constexpr char kStoreLoadMessage[] = "store_load";
 
 Json::Value
@@ -21,8 +21,8 @@
 LoadRequest
 ReadLoadRequest(const Json::Value& aWant);
 
-// A server, its life, orders accepted, what it holds, and for how long it will
-// take no other order. Readers throw
+// A server with its start time, the number of orders accepted, its content, and
+// the time for which it will accept no other order. The readers throw
 // Json::Exception when a field has another type.
 Json::Value
 ContentJson(const Backend& aBackend, Millis aLoading);
--- a/src/entry/LoadRequester.h
+++ b/src/entry/LoadRequester.h
@@ -1,4 +1,5 @@
-// LoadRequester.h: asks for a model or adapter that no server holds.
+// LoadRequester.h: requests the load of a model or adapter that no server
+// holds.
 #ifndef caraway_entry_LoadRequester_h
 #define caraway_entry_LoadRequester_h
 
@@ -10,7 +11,7 @@
 
 namespace caraway {
 
-// The least urgent; 0 is the most.
+// The least urgent priority; 0 is the most urgent.
 inline constexpr int kLowestPriority = 9;
 
 struct LoadRequest
@@ -19,17 +20,18 @@
   std::string mModel;
   std::string mAdapter; // "" = the model itself
   int mPriority = 5;    // 0 = most urgent
-  Millis mLeft{ 0 };    // until the request's answer begins late
-  bool mMore = false;   // another replica, though there is one
+  Millis mLeft{ 0 };    // until an answer that starts is late
+  bool mMore = false;   // another replica beside an existing one
 };
 
 class LoadRequester
 {
 public:
   virtual ~LoadRequester() = default;
-  // Asks again at most every so often; whoever waits may call it at any time.
+  // Sends a load request, repeated at a limited rate; a waiting request may
+  // call this at any time.
   virtual void Want(const LoadRequest& aWant) = 0;
-  // Until it is expected to be there; nothing while that isn't known.
+  // Time until the load is expected to end; nothing while that is not known.
   virtual std::optional<Millis> Expected(const LoadRequest& aWant) = 0;
 };
 
--- a/src/entry/LoadScheduler.cpp
+++ b/src/entry/LoadScheduler.cpp
@@ -5,7 +5,6 @@
 namespace {
 
 constexpr Millis kPump{ 25 };
-
 constexpr Millis kGrow{ 500 };
 
 } // namespace
--- a/src/entry/LoadScheduler.h
+++ b/src/entry/LoadScheduler.h
@@ -1,9 +1,10 @@
-// LoadScheduler.h: brings models and adapters to servers.
+// LoadScheduler.h: loads models and adapters on the servers of one zone.
 //
-// The holder of a zone's lease decides and orders. It alone orders servers of
-// the zone, one order at a time for each, under the count of orders that it
-// believes a server has accepted: an order that is carried out late, after
-// others, then does nothing. Any instance asks it, see ZoneSchedulers.
+// Only the holder of the zone's lease sends orders to its servers, one at a
+// time to each server. An order names the number of orders that the server is
+// assumed to have accepted before it, so an order that arrives late, after
+// others, has no effect. Every instance sends its load requests to the lease
+// holder; see ZoneSchedulers.
 #ifndef caraway_entry_LoadScheduler_h
 #define caraway_entry_LoadScheduler_h
 
@@ -29,10 +30,11 @@
 class LoadScheduler
 {
 public:
-  // Tells the other zones' holders.
+  // Sends a message to the lease holders of the other zones.
   using Tell = std::function<void(const char* aKind, const Json::Value& aNote)>;
 
-  // aLease: of aZone. aChanged: what some server holds is believed anew.
+  // aLease: the lease of aZone. aChanged: called when the known content of a
+  // server has changed.
   LoadScheduler(EntryState& aState,
                 Peers& aPeers,
                 LeaseLoop& aLease,
@@ -41,36 +43,37 @@
                 std::function<void()> aChanged);
 
   void Start();
-  // The list of servers or the configuration changed.
+  // Called when the list of servers or the configuration has changed.
   void OnChanged();
 
   const std::string& Zone() const { return mZone; }
-  // It gives the orders of its zone.
+  // This instance holds the zone's lease.
   bool Holds() const { return mLease.Holds(); }
   size_t Loads() const { return mJobs.size(); }
   size_t Waiting() const { return mQueue.size(); }
 
-  // Somebody asks for a model or adapter; when it is expected.
+  // Queues a load request of any instance. The result says in how many ms the
+  // model or adapter is expected to be loaded.
   Json::Value OnLoadRequest(const LoadRequest& aWant);
-  // Of another zone's holder.
+  // Messages from the lease holder of another zone.
   void OnClaim(const Json::Value& aNote);
   void OnStoreLoad(const Json::Value& aNote);
-  // Of this zone's holder, about one of its servers.
+  // A message from the lease holder of this zone about one of its servers.
   void OnContent(const Json::Value& aNote) { mInventories.OnContent(aNote); }
 
 private:
   // Service, model, adapter.
   using Key = std::tuple<std::string, std::string, std::string>;
 
-  // A want that waits for a server or for the weight store.
+  // A load request that waits for a server or for the weight store.
   struct Queued
   {
     LoadRequest mWant;
     TimePoint mSince{};
     TimePoint mAskedAt{};
-    TimePoint mNeedBy{}; // the youngest request's answer begins late after it
+    TimePoint mNeedBy{}; // latest start of an answer in time, over all requests
   };
-  // The orders that bring one model or adapter to one server.
+  // The orders that load one model or adapter on one server.
   struct Job
   {
     LoadRequest mWant;
@@ -82,20 +85,20 @@
     Millis mLoad{ 0 };
     TimePoint mBegan{};
     TimePoint mExpected{};
-    bool mLoading = false; // its last order was accepted
-    // Only own orders can be under way at the server: the last one was
-    // accepted, and no answer was missed since.
+    bool mLoading = false; // the last order, the load, was accepted
+    // No order of another sender can be in progress at the server: the last
+    // order of this job was accepted, and none has gone unanswered since.
     bool mCounted = false;
     int mUnanswered = 0;
-    int mTries = 0; // of the step at hand
-    int mBusy = 0;  // answers that another order is under way
+    int mTries = 0; // attempts at the current step
+    int mBusy = 0;  // answers that an order is already in progress
     uint64_t mId = 0;
   };
 
   static Key KeyOf(const LoadRequest& aWant);
   const EngineSpec* EngineOf(const std::string& aService) const;
 
-  // Deciding.
+  // Decisions.
   void Pump();
   LoadPriorityFacts PriorityFactsOf(const Queued& aQueued) const;
   Millis ShortestLoadTime(const LoadRequest& aWant) const;
@@ -108,11 +111,11 @@
   std::optional<Millis> Estimate(const LoadRequest& aWant);
   std::optional<Millis> ExpectedFromOtherZone(const LoadRequest& aWant);
   void AddReplicas();
-  // To the other zones' holders, for a model that nobody holds.
+  // Announces to the other zones a load of a model that no server holds.
   void SendClaim(const LoadRequest& aWant, bool aBegun, Millis aExpected);
   void SendStoreLoad(const std::string& aServer, Millis aLeft);
 
-  // Ordering.
+  // Orders.
   Job* Find(const std::string& aServer, uint64_t aId);
   void StartJob(Job aJob);
   void SendStep(const std::string& aServer, uint64_t aId);
@@ -136,11 +139,11 @@
   std::map<Key, Queued> mQueue;
   std::map<std::string, Job> mJobs; // by server
   ServerInventories mInventories;
-  // Until when, by server and model; see PlacementFacts.
+  // End of the eviction protection by server and model; see PlacementFacts.
   std::map<std::pair<std::string, std::string>, TimePoint> mRecentlyLoaded;
   StoreLoadTracker mStoreLoads;
   LoadClaims mClaims;
-  // By service, with when demand and replicas were counted.
+  // By service, with the time when demand and replicas were last counted.
   std::map<std::string, std::pair<TimePoint, PlacementFacts>> mFacts;
   bool mScheduleDue = false;
   TimePoint mScheduledAt{};
--- a/src/entry/LoadSchedulerBegin.cpp
+++ b/src/entry/LoadSchedulerBegin.cpp
@@ -4,16 +4,16 @@
 
 namespace {
 
-// An adapter's way to a server: a few milliseconds, and a share by size.
+// Loading an adapter takes a few milliseconds and a time proportional to its
+// size.
 constexpr Millis kAdapterBase{ 4 };
-
 constexpr double kAdapterMbPerMs = 5.0;
 
 } // namespace
 
-// What a want becomes: the orders of a job, on a server that is chosen for it.
+// Turns a load request into a job: chooses the server and lists the orders.
 
-// True when the want needn't wait here any longer.
+// Returns true when the request need not stay queued.
 bool
 LoadScheduler::Begin(const LoadRequest& aWant, PlacementFacts& aFacts)
 {
@@ -24,7 +24,7 @@
   for (const auto& [server, job] : mJobs) {
     if (job.mWant.mModel == aWant.mModel &&
         job.mWant.mService == aWant.mService) {
-      // The model is on its way; an adapter of it waits for that.
+      // The model is being loaded already; its adapters wait for that.
       return aWant.mAdapter.empty() || aWant.mAdapter == job.mWant.mAdapter;
     }
   }
@@ -38,7 +38,8 @@
       return BeginAdapter(aWant);
     }
     if (!aWant.mMore) {
-      // Who asks hasn't heard of it yet, or found it missing.
+      // The requesting instance has not received the server's content yet, or
+      // the server answered that it does not hold the model.
       mInventories.Recheck(id);
       return true;
     }
@@ -133,7 +134,8 @@
   return true;
 }
 
-// Its unload; nothing while all are in use.
+// Returns the order that unloads the least demanded idle adapter; nothing
+// while all adapters are in use.
 std::optional<ModelOrder>
 LoadScheduler::LeastDemandedAdapter(const Backend& aBackend) const
 {
--- a/src/entry/LoadSchedulerClaims.cpp
+++ b/src/entry/LoadSchedulerClaims.cpp
@@ -4,7 +4,8 @@
 
 namespace caraway {
 
-// What the zones' holders tell each other, so that one of them loads a model.
+// Messages among the lease holders of the zones, so that only one zone loads a
+// model.
 
 void
 LoadScheduler::SendClaim(const LoadRequest& aWant,
@@ -23,7 +24,7 @@
   mTell(kClaimMessage, note);
 }
 
-// aLeft 0: it has ended.
+// aLeft 0: the load has ended.
 void
 LoadScheduler::SendStoreLoad(const std::string& aServer, Millis aLeft)
 {
--- a/src/entry/LoadSchedulerDecide.cpp
+++ b/src/entry/LoadSchedulerDecide.cpp
@@ -6,33 +6,35 @@
 
 namespace {
 
+// A queued request that no instance has repeated for this long is dropped.
 constexpr Millis kForgetWant{ 1500 };
 
-// Of a model that is asked for less often one replica is enough anywhere.
+// Requests a second. Below this rate one replica in the fleet is enough.
 constexpr double kNoReplicaRate = 0.2;
 
-// Taken over from another zone's queue only when it comes so much sooner: what
-// is told of a queue is a guess, and two loads for one cost a server's second.
+// A model claimed by another zone is loaded here only when that is faster by
+// this margin: estimates of a queue are rough, and loading a model twice costs
+// a second of one server.
 constexpr Millis kSooner{ 300 };
 
-// The least that is told to those who wait.
+// Lower bound of the waiting times that are reported to instances.
 constexpr Millis kSoon{ 20 };
 
-// Demand and replicas are counted anew so often: they change over seconds, and
-// counting looks at each server and model of the fleet.
+// Demand and replicas are recounted at this interval: they change over seconds,
+// and counting visits every server and model of the fleet.
 constexpr Millis kFactsAge{ 100 };
 
-// Until a server has told what it holds.
+// Estimated time until a server with unknown content has sent its report.
 constexpr Millis kReport{ 50 };
 
-// Queued wants are looked at when something changed, and so often for what time
-// alone changes.
+// Waiting requests are reconsidered on every change, and at this interval for
+// what depends on time alone.
 constexpr Millis kPumpAnyway{ 100 };
 
 } // namespace
 
-// What the holder of a zone decides: which wants begin, where, and which models
-// get another replica.
+// Decisions of the lease holder: which load requests start, on which server,
+// and which models get another replica.
 
 Json::Value
 LoadScheduler::OnLoadRequest(const LoadRequest& aWant)
@@ -69,8 +71,8 @@
   return result;
 }
 
-// When another zone brings aWant; nothing when this one has to, or does it
-// notably sooner.
+// Returns in how long another zone is expected to have loaded aWant; nothing
+// when no other zone claims it, or when this zone is faster by kSooner.
 std::optional<Millis>
 LoadScheduler::ExpectedFromOtherZone(const LoadRequest& aWant)
 {
@@ -130,7 +132,7 @@
     if (now < std::max(backend.mAvoidUntil, backend.mAddressReusedUntil)) {
       facts.mAvoid.insert(id);
     }
-    // What it holds is being asked for.
+    // The server has been asked for a report of its content.
     if (backend.mEntry.mZone == facts.mZone && !facts.mBusy.count(id) &&
         backend.mEntry.mService == aService && !mInventories.AtRest(id)) {
       facts.mBusy[id] = std::max(backend.LoadingFor(now), kReport);
@@ -145,7 +147,7 @@
   return facts;
 }
 
-// Begins what can begin now, the most urgent first.
+// Starts the queued requests that can start now, in order of priority.
 void
 LoadScheduler::Pump()
 {
@@ -193,7 +195,8 @@
   LoadPriorityFacts facts;
   facts.mRate = mState.mDemand.Rate(aQueued.mWant.mModel, mState.Now());
   facts.mPriority = aQueued.mWant.mPriority;
-  facts.mAsked = aQueued.mWant.mPriority < kLowestPriority; // or all are full
+  // The lowest priority is that of a replica that no request waits for.
+  facts.mAsked = aQueued.mWant.mPriority < kLowestPriority;
   facts.mSince = aQueued.mSince;
   facts.mNeedBy = aQueued.mNeedBy;
   facts.mLoad = ShortestLoadTime(aQueued.mWant);
@@ -213,9 +216,9 @@
   return count;
 }
 
-// Some server of this zone takes orders now. In an overload none does most of
-// the time, and looking for a place for each want would take the instance's
-// whole part of a core.
+// Some server of this zone accepts orders now. Under overload none does most of
+// the time, and planning a placement for each queued request would use up the
+// instance's share of a core.
 bool
 LoadScheduler::AnyServerFree(const PlacementFacts& aFacts) const
 {
@@ -229,7 +232,8 @@
   return false;
 }
 
-// The soonest that a server of this zone has it once it begins.
+// The load time from the nearest copy of the weights in this zone, without any
+// waiting time.
 Millis
 LoadScheduler::ShortestLoadTime(const LoadRequest& aWant) const
 {
@@ -252,8 +256,8 @@
   return least;
 }
 
-// More replicas of what is asked for more than its servers can carry, before
-// requests have to wait.
+// Requests more replicas of models whose demand exceeds what their servers
+// serve well, before requests have to wait.
 void
 LoadScheduler::AddReplicas()
 {
--- a/src/entry/LoadSchedulerReport.cpp
+++ b/src/entry/LoadSchedulerReport.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr Millis kResyncRetry{ 120 }; // reports are some hundred ms old
-
+// A server's report shows its state of about 100 ms ago.
+constexpr Millis kResyncRetry{ 120 };
 constexpr Millis kPollAgain{ 120 };
 
-// A load that takes so much longer than expected is given up.
+// A load that takes this many times its expected time is given up.
 constexpr int kLoadPatience = 6;
 
 } // namespace
 
-// What servers report, where the account of their orders is in doubt.
+// Reports of servers whose content is not certain.
 
 void
 LoadScheduler::Resync(Job& aJob)
@@ -31,14 +31,14 @@
       return;
     }
     if (!aSettled && ++job->mTries > kMaxOrderAttempts) {
-      EndJob(server, "no report");
+      EndJob(server, "server sent no usable report");
     } else if (!aSettled) {
       Retry(*job, kResyncRetry);
     } else if (known->Holds(job->mWant.mModel, job->mWant.mAdapter)) {
-      EndJob(server, "held already");
+      EndJob(server, "already loaded");
       mChanged();
     } else if (planned != known->mModels) {
-      EndJob(server, "planned anew");
+      EndJob(server, "server content changed; placement planned again");
     } else {
       Retry(*job, Millis(0));
     }
@@ -53,7 +53,7 @@
     return;
   }
   if (mState.Now() - job->mBegan > job->mLoad * kLoadPatience + Seconds(2)) {
-    EndJob(aServer, "load takes too long");
+    EndJob(aServer, "load did not finish before its deadline");
     return;
   }
   mInventories.Learn(aServer, [this, aServer, aId](bool aSettled) {
@@ -75,7 +75,7 @@
   OnChanged();
   mChanged();
   if (Find(aServer, aId)) {
-    EndJob(aServer, "not loaded");
+    EndJob(aServer, "server reports the model as not loaded");
   }
 }
 
--- a/src/entry/LoadSchedulerSend.cpp
+++ b/src/entry/LoadSchedulerSend.cpp
@@ -12,8 +12,8 @@
 
 constexpr Millis kOrderRetry{ 25 };
 
-// An unload waits for its runs, which take up to seconds: the longer it has
-// lasted, the less is lost by asking later.
+// An unload waits for the requests that use the model, which take up to
+// seconds. The longer it has lasted, the less a longer retry interval costs.
 constexpr Millis kMostBusyDelay{ 100 };
 
 Millis
@@ -22,26 +22,26 @@
   return std::min(kOrderRetry * aTimes, kMostBusyDelay);
 }
 
-constexpr int kMostUnanswered = 4; // then another server is tried
+// Unanswered orders after which the job ends, so that another server is tried.
+constexpr int kMostUnanswered = 4;
 
-// A server is asked whether a load has ended so long after it should have,
-// and then as often: reports are a hundred milliseconds old, and a report
-// costs an eighth of a call to the store, which tells it later.
+// A server is first asked whether a load has ended this long after its expected
+// end: reports are about 100 ms old. A report costs an eighth of a call to the
+// object store, and the store shows the end of a load later.
 constexpr Millis kPollAfter{ 120 };
 
-// A server's timers run a little late, as all do; who comes too early is sent
-// a second time.
+// The timers of servers run slightly late; a request that reaches the server
+// before the load has ended is rejected and has to be sent again.
 constexpr Millis kLoadMargin{ 10 };
 
-// A pulse may be lost, so two of them are waited for; in a large fleet, where
-// pulses are rare, no longer than a load takes.
+// Covers two heartbeats, as one may be lost, but in a large fleet, where
+// heartbeats are rare, no more than the time of a load.
 constexpr int kSettleRounds = 2;
-
 constexpr Millis kMostSettle{ 1000 };
 
 } // namespace
 
-// The orders of one job, one after the other, and what becomes of them.
+// Sends the orders of a job one after the other and handles their answers.
 
 LoadScheduler::Job*
 LoadScheduler::Find(const std::string& aServer, uint64_t aId)
@@ -77,7 +77,8 @@
     .Ms("expected_ms", aJob.mUnload + aJob.mLoad);
   std::string server = aJob.mServer;
   uint64_t id = aJob.mId;
-  // That it loads now; with an unload first, that one's end tells it.
+  // The other instances learn of the load now; if an unload comes first, with
+  // the content that is sent when it is accepted.
   bool tell = first.mLoad && first.mAdapter.empty();
   backend->mLoadingUntil = aJob.mExpected;
   mJobs[server] = std::move(aJob);
@@ -100,13 +101,14 @@
     EndJob(aServer, "server gone");
     return;
   }
-  // Looked at for each order: a holder that was suspended has lost its lease.
+  // Checked before each order: the lease may have expired while the process was
+  // suspended.
   if (!mLease.MayAct()) {
-    EndJob(aServer, "lease ended");
+    EndJob(aServer, "zone lease lost");
     return;
   }
   if (++job->mTries > kMaxOrderAttempts) {
-    EndJob(aServer, "too many tries");
+    EndJob(aServer, "too many attempts at one order");
     return;
   }
   ServerInventory& account = mInventories.Of(aServer);
@@ -115,15 +117,18 @@
     return;
   }
   ModelOrder& order = job->mSteps.front();
-  // A report may have come since, asked for by others than this job.
+  // A report that something other than this job requested may have arrived
+  // since.
   if (account.Holds(order.mModel, order.mAdapter) == order.mLoad) {
-    EndJob(aServer, order.mLoad ? "held already" : "planned anew");
+    EndJob(aServer,
+           order.mLoad ? "already loaded"
+                       : "server content changed; placement planned again");
     mChanged();
     return;
   }
   const EngineSpec* engine = EngineOf(job->mWant.mService);
   if (order.mLoad && (!engine || !account.Fits(*engine, order, mState.Now()))) {
-    EndJob(aServer, "no room any more");
+    EndJob(aServer, "no memory left on the server");
     return;
   }
   order.mOrders = account.Orders();
@@ -165,8 +170,8 @@
       OnAccepted(*job, false);
       break;
     case OrderAnswer::Holds:
-      // An adapter's unload is done at once, and counts; what was so already
-      // doesn't.
+      // The unload of an idle adapter is done at once and counts as an order;
+      // an order that found nothing to do does not.
       if (!step.mLoad && !step.mAdapter.empty()) {
         OnAccepted(*job, true);
       } else {
@@ -176,15 +181,15 @@
       break;
     case OrderAnswer::Busy:
       ++job->mBusy;
-      // An unload of this job's may still wait for its runs; else somebody
-      // else's order was accepted, or is under way.
+      // Either an unload of this job still waits for the model's requests, or
+      // an order of another sender was accepted or is in progress.
       if (!job->mCounted) {
         account.Forget();
       }
       Retry(*job, BusyDelay(job->mBusy));
       break;
     case OrderAnswer::Unknown:
-      // Sent again under the same count: only one of the two can take effect.
+      // Retried under the same count: only one of the two can take effect.
       mState.mLog.Line("order_unanswered")
         .Text("server", aServer)
         .Text("model", step.mModel)
@@ -193,7 +198,7 @@
       account.OnUnanswered(step, mState.Now());
       mState.mServers.Heard(aServer, ServerOutcome::Broken, mState.Now());
       if (++job->mUnanswered >= kMostUnanswered) {
-        EndJob(aServer, "no answer");
+        EndJob(aServer, "server did not answer orders");
       } else {
         Retry(*job, kOrderRetry * 4);
       }
@@ -201,7 +206,7 @@
     case OrderAnswer::Fenced:
     case OrderAnswer::WrongServer:
     case OrderAnswer::Refused:
-      EndJob(aServer, "order refused");
+      EndJob(aServer, "order rejected by the server");
       break;
   }
 }
@@ -220,7 +225,7 @@
     mInventories.Put(server);
   } else {
     mInventories.Show(server);
-    mChanged(); // may end the job
+    mChanged(); // may end this job
   }
   Job* job = Find(server, id);
   if (!job) {
@@ -230,9 +235,9 @@
     AfterLoadOrder(*job);
     return;
   }
-  // An adapter in use goes when its requests have ended; until a report shows
-  // that, its place isn't free. A model's unload takes a moment in which the
-  // server refuses other orders.
+  // An adapter in use is unloaded when its requests have ended; its slot is
+  // free only once a report shows that. While it unloads a model, a server
+  // rejects other orders.
   bool adapter = !step.mAdapter.empty();
   if (adapter && !aDone) {
     mInventories.Of(server).Forget();
@@ -255,16 +260,16 @@
                           [this, server, id] { PollLoaded(server, id); });
     return;
   }
-  // Servers don't tell when an adapter has come, and their reports tell of a
-  // model only a fifth of a second late: a quarter of what its load takes.
+  // Servers do not announce that an adapter is loaded, and their reports show a
+  // loaded model a fifth of a second late, which is a quarter of its load time.
   bool adapter = !aJob.mWant.mAdapter.empty();
   mState.mReactor.After(aJob.mLoad + (adapter ? Millis(0) : kLoadMargin),
                         [this, server, id] { AssumeLoaded(server, id); });
 }
 
-// What comes from a server's own memory or disk comes in the time that the
-// configuration names. Should it be late, a request finds it missing and is
-// sent again.
+// A load from a server's own memory or disk is assumed to take the time that
+// the configuration gives. If it is late, a request is rejected by the server
+// and sent again.
 void
 LoadScheduler::AssumeLoaded(const std::string& aServer, uint64_t aId)
 {
@@ -338,7 +343,7 @@
   if (backend) {
     backend->mLoadingUntil = mState.Now();
   }
-  // An order may still be under way, or come late.
+  // An order may still be in progress, or arrive late.
   if (backend && !there) {
     mInventories.Of(aServer).Forget();
   }
@@ -349,10 +354,10 @@
   mJobs.erase(found);
 }
 
-// Requests that waited for a model at other instances show in the counts of
-// what is under way only with those instances' next pulses. Without this a
-// model that nobody seemed to use makes way for the next load as soon as it has
-// come.
+// Protects a model that has just been loaded from eviction. Requests that
+// waited for it at other instances appear in the counts of requests in flight
+// only with those instances' next heartbeats. Without the protection the model
+// seems idle and is evicted by the next load as soon as it is loaded.
 void
 LoadScheduler::Settle(const std::string& aServer, const std::string& aModel)
 {
--- a/src/entry/OrderLimits.h
+++ b/src/entry/OrderLimits.h
@@ -1,4 +1,4 @@
-// OrderLimits.h: limits that orders and reports share.
+// OrderLimits.h: limits shared by orders and reports.
 #ifndef caraway_entry_OrderLimits_h
 #define caraway_entry_OrderLimits_h
 
@@ -6,12 +6,13 @@
 
 namespace caraway {
 
-// Of one step of a job, reports included; then it is planned anew. Six seconds
-// of asking: longer than all but the longest streams hold up an unload.
+// Attempts at one step of a job, reports included; then its placement is
+// planned again. At the longest retry interval they take six seconds: all but
+// the longest streams end within that time, and an unload waits for them.
 inline constexpr int kMaxOrderAttempts = 60;
 
-// A server answers an order within milliseconds; one that doesn't within this
-// is down, or its answer is lost.
+// A server answers an order within milliseconds; without an answer within this
+// time it is down or the answer is lost.
 inline constexpr Millis kOrderTime{ 500 };
 
 } // namespace caraway
--- a/src/entry/ServerInventories.cpp
+++ b/src/entry/ServerInventories.cpp
@@ -12,15 +12,15 @@
 
 constexpr Millis kLearn{ 50 };
 
-// Reports are some hundred milliseconds old.
+// Reports are about 100 ms old.
 constexpr Millis kLearnAgain{ 120 };
 
 constexpr Millis kRecheck{ 1000 };
 
 constexpr Millis kTellTick{ 1000 };
 
-// Of rounds of pulses: a second in a small fleet, and in a large one so
-// seldom that a holder's notes stay within its part of a narrow link.
+// In heartbeat rounds: a second in a small fleet. In a large fleet the messages
+// are rare enough for a lease holder to stay within its share of a narrow link.
 constexpr int kSendAllRounds = 4;
 
 } // namespace
@@ -51,7 +51,8 @@
   return aBackend.mEntry.mZone == mZone;
 }
 
-// Another holder may have ordered since the lease was held before.
+// A new lease token invalidates all inventories: another holder may have sent
+// orders in the meantime.
 ServerInventories::Entry&
 ServerInventories::EntryOf(const std::string& aServer)
 {
@@ -182,7 +183,7 @@
   }
 }
 
-// ---- Telling
+// ---- Sending
 
 void
 ServerInventories::Put(const std::string& aServer)
@@ -213,7 +214,8 @@
   }
 }
 
-// A note that was lost is made good, and late entries stay without effect.
+// Makes up for lost messages, and refreshes mReportedAt so that outdated
+// entries of the list have no effect.
 void
 ServerInventories::SendAllContents()
 {
@@ -246,7 +248,7 @@
   std::string server = aNote["id"].asString();
   Backend* backend = mState.mServers.Find(server);
   if (!backend || (mLease.Holds() && Mine(*backend))) {
-    return; // the holder's own account goes before what is told
+    return; // the lease holder's own inventory takes precedence
   }
   backend->mLoadingUntil = mState.Now() + Millis(aNote["loading_ms"].asInt64());
   if (mState.mServers.PutContent(server,
--- a/src/entry/ServerInventories.h
+++ b/src/entry/ServerInventories.h
@@ -1,9 +1,10 @@
-// ServerInventories.h: what the servers of a zone hold, while this instance
-// holds the zone's lease, and what is told of that to the other instances.
+// ServerInventories.h: the content of a zone's servers while this instance
+// holds the zone's lease, and its publication to the other instances.
 //
-// A holder begins with no account: counts and contents that others told may be
-// from the middle of an order. It asks each server for a report as soon as it
-// has the lease, so that it can order by the time that it may.
+// A new lease holder starts without any inventory: order counts and contents
+// received from other instances may date from the middle of an order. It
+// requests a report of each server as soon as it has the lease, so that the
+// inventories are known by the time it may send orders.
 #ifndef caraway_entry_ServerInventories_h
 #define caraway_entry_ServerInventories_h
 
@@ -21,7 +22,7 @@
 class ServerInventories
 {
 public:
-  // aChanged: what some server holds is believed anew.
+  // aChanged: called when the known content of a server has changed.
   ServerInventories(EntryState& aState,
                     Peers& aPeers,
                     LeaseLoop& aLease,
@@ -30,25 +31,27 @@
 
   void Start();
 
-  // The account under the lease held now; not Known() until a report settled
-  // it. aServer is listed.
+  // The inventory under the current lease; not Known() until a report has
+  // confirmed it. aServer must be listed.
   ServerInventory& Of(const std::string& aServer);
   bool Known(const std::string& aServer);
-  // It can take an order, as far as is known.
+  // The inventory is known and no load is in progress, as far as is known.
   bool AtRest(const std::string& aServer);
-  // Asks for a report. aThen: whether it settled the account.
+  // Requests a report of the server. aThen is told whether the report confirmed
+  // the inventory.
   void Learn(const std::string& aServer,
              std::function<void(bool aSettled)> aThen);
-  // Requests here go by the account from now on.
+  // Makes this instance route requests by the inventory.
   void Put(const std::string& aServer);
-  // The same, here and elsewhere.
+  // Apply(), and sends the content to the other instances.
   void Show(const std::string& aServer);
-  // Tells the others only, e.g. that a load has begun.
+  // Sends the content to the other instances, e.g. when a load has started.
   void Tell(const std::string& aServer);
-  // Asks for a report of what is believed and perhaps isn't so, now and then.
+  // Requests a report, at a limited rate, of a server whose known content may
+  // be wrong.
   void Recheck(const std::string& aServer);
 
-  // What another instance tells of a server.
+  // The content of a server as sent by another instance.
   void OnContent(const Json::Value& aNote);
 
 private:
@@ -56,7 +59,7 @@
   {
     ServerInventory mAccount;
     bool mAsking = false;
-    bool mLate = false; // a load taken as done is still under way
+    bool mLate = false; // a load assumed to be done is still in progress
     TimePoint mAskNext{};
     TimePoint mRechecked{};
   };
@@ -71,7 +74,7 @@
   std::string mZone;
   std::function<void()> mChanged;
   std::map<std::string, Entry> mEntries; // by server
-  int64_t mToken = 0;                    // lease under which they are known
+  int64_t mToken = 0;                    // token of the lease they belong to
   TimePoint mSentAllAt{};
 };
 
--- a/src/entry/ZoneSchedulers.cpp
+++ b/src/entry/ZoneSchedulers.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Those who wait ask again so often: the holder forgets what nobody asks for.
+// Load requests are repeated at this interval while requests wait: the lease
+// holder drops those that are not repeated.
 constexpr Millis kAskAgain{ 400 };
 
 constexpr Millis kAskTime{ 400 };
@@ -135,10 +136,10 @@
   return found == mSchedulers.end() ? nullptr : found->second.get();
 }
 
-// ---- Asking
+// ---- Load requests
 
-// Who orders in aZone, and how many wants it has queued; nothing when nobody is
-// known to.
+// The lease holder of aZone and the length of its queue; nothing when no holder
+// is known.
 std::optional<ZoneSchedulers::SchedulerState>
 ZoneSchedulers::SchedulerStateOf(const std::string& aZone) const
 {
@@ -154,8 +155,8 @@
   return SchedulerState{ holder, peer->second.mQueued };
 }
 
-// Where it can be had soonest: the model itself for an adapter, else a copy
-// of its weights.
+// The zone that can load it soonest, by its nearest copy of the weights; for an
+// adapter, one that holds the model.
 std::string
 ZoneSchedulers::ZoneFor(const LoadRequest& aWant) const
 {
@@ -222,7 +223,7 @@
               });
 }
 
-// An instance that knows of no zones but its own names none.
+// The zone is empty when the caller knows only its own zone.
 Json::Value
 ZoneSchedulers::OnLoadRequestCall(const Json::Value& aParams)
 {
@@ -256,7 +257,7 @@
                                             mState.Now());
 }
 
-// ---- Notes
+// ---- Messages
 
 void
 ZoneSchedulers::OnContent(const Json::Value& aNote)
@@ -268,8 +269,8 @@
   }
 }
 
-// To the holders of all zones but aFrom, each once, this instance included
-// where it leads several.
+// Sends a message once to each lease holder of all zones but aFrom, including
+// this instance if it holds several leases.
 void
 ZoneSchedulers::NotifyHolders(const std::string& aFrom,
                               const char* aKind,
--- a/src/entry/ZoneSchedulers.h
+++ b/src/entry/ZoneSchedulers.h
@@ -1,9 +1,8 @@
-// ZoneSchedulers.h: asks for models and adapters, wherever they are best
-// brought.
+// ZoneSchedulers.h: sends load requests to the zone that can load soonest.
 //
-// Each zone's servers are led by the holder of its lease, usually one of its
-// own instances. A zone that has none is led by an instance of another zone,
-// which hands it back when one of its own starts; see ZoneTakeover.
+// The holder of a zone's lease, usually an instance of the zone, schedules the
+// loads on its servers. A zone without an instance is led by an instance of
+// another zone until one of its own starts; see ZoneTakeover.
 #ifndef caraway_entry_ZoneSchedulers_h
 #define caraway_entry_ZoneSchedulers_h
 
@@ -25,7 +24,7 @@
 class ZoneSchedulers : public LoadRequester
 {
 public:
-  // aLease: of this instance's zone.
+  // aLease: the lease of this instance's zone.
   ZoneSchedulers(EntryState& aState,
                  StoreClient& aStore,
                  Peers& aPeers,
@@ -34,12 +33,12 @@
                  std::function<void()> aChanged);
 
   void Start();
-  // The list of servers or the configuration changed.
+  // Called when the list of servers or the configuration has changed.
   void OnChanged();
 
   size_t Loads() const;
   size_t Waiting() const;
-  // Zones whose orders this instance gives.
+  // Number of zones whose lease this instance holds.
   size_t LedZones() const;
 
   void Want(const LoadRequest& aWant) override;
@@ -49,11 +48,11 @@
   // Service, model, adapter.
   using Key = std::tuple<std::string, std::string, std::string>;
 
-  // What this instance asked for, and what it was told.
+  // A load request of this instance and its answer.
   struct Asked
   {
     TimePoint mAt{};
-    TimePoint mExpected{}; // none = not told
+    TimePoint mExpected{}; // end of the load; none = not known
     bool mRequestPending = false;
   };
   struct SchedulerState
@@ -61,7 +60,7 @@
     std::string mHolder; // "" = this instance
     int mQueued = 0;
   };
-  // Another zone, which this instance may come to lead.
+  // Another zone, which this instance leads when it has no instance.
   struct OtherZone
   {
     OtherZone(EntryState& aState,
@@ -71,14 +70,14 @@
 
     LeaseLoop mLease;
     ZoneTakeover mTakeover;
-    bool mLed = false; // what the last log line said
+    bool mLed = false; // as last logged
   };
 
   static Key KeyOf(const LoadRequest& aWant);
   void Add(const std::string& aZone, LeaseLoop& aLease);
   LoadScheduler* Find(const std::string& aZone) const;
 
-  // Asking.
+  // Load requests.
   std::optional<SchedulerState> SchedulerStateOf(
     const std::string& aZone) const;
   std::string ZoneFor(const LoadRequest& aWant) const;
@@ -108,7 +107,7 @@
   std::map<Key, Asked> mAsked;
   std::map<std::string, std::unique_ptr<OtherZone>> mOtherZones;     // by zone
   std::map<std::string, std::unique_ptr<LoadScheduler>> mSchedulers; // by zone
-  std::set<std::string> mLeaving; // instances that say that they leave
+  std::set<std::string> mLeaving; // instances that are shutting down
 };
 
 } // namespace caraway
--- a/src/entry/ZoneSchedulersTakeover.cpp
+++ b/src/entry/ZoneSchedulersTakeover.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-// Zones without an instance of their own: when this one leads them.
+// Takes over zones without an instance and hands them back.
 
 ZoneSchedulers::OtherZone::OtherZone(EntryState& aState,
                                      StoreClient& aStore,
@@ -48,7 +48,7 @@
   mState.mReactor.Every(kLook, [this] { Look(); });
 }
 
-// One that leaves has given its lease up, and gives no orders any more.
+// An instance that is shutting down has released its lease and sends no orders.
 void
 ZoneSchedulers::OnHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat)
 {
@@ -95,7 +95,7 @@
   LogLed(aZone, aOutside);
 }
 
-// How many of the living outsiders come before this one.
+// Number of live instances of other zones that rank before this one.
 int
 ZoneSchedulers::RankFor(const std::string& aZone) const
 {
