--- a/src/entry/LoadMessages.cpp
+++ b/src/entry/LoadMessages.cpp
@@ -3,25 +3,25 @@
 namespace caraway {
 
 Json::Value
-LoadRequestJson(const LoadRequest& aWant)
+LoadRequestJson(const LoadRequest& aRequest)
 {
-  Json::Value want;
-  want["service"] = aWant.mService;
-  want["model"] = aWant.mModel;
-  want["adapter"] = aWant.mAdapter;
-  want["priority"] = aWant.mPriority;
-  want["left_ms"] = Json::Int64(aWant.mLeft.count());
-  return want;
+  Json::Value request;
+  request["service"] = aRequest.mService;
+  request["model"] = aRequest.mModel;
+  request["adapter"] = aRequest.mAdapter;
+  request["priority"] = aRequest.mPriority;
+  request["left_ms"] = Json::Int64(aRequest.mLeft.count());
+  return request;
 }
 
 LoadRequest
-ReadLoadRequest(const Json::Value& aWant)
+ReadLoadRequest(const Json::Value& aRequest)
 {
-  return { aWant["service"].asString(),
-           aWant["model"].asString(),
-           aWant["adapter"].asString(),
-           aWant["priority"].asInt(),
-           Millis(aWant["left_ms"].asInt64()) };
+  return { aRequest["service"].asString(),
+           aRequest["model"].asString(),
+           aRequest["adapter"].asString(),
+           aRequest["priority"].asInt(),
+           Millis(aRequest["left_ms"].asInt64()) };
 }
 
 Json::Value
--- a/src/entry/LoadMessages.h
+++ b/src/entry/LoadMessages.h
@@ -17,9 +17,9 @@
 inline constexpr char kStoreLoadMessage[] = "store_load";
 
 Json::Value
-LoadRequestJson(const LoadRequest& aWant);
+LoadRequestJson(const LoadRequest& aRequest);
 LoadRequest
-ReadLoadRequest(const Json::Value& aWant);
+ReadLoadRequest(const Json::Value& aRequest);
 
 // A server with its start time, the number of orders accepted, its content, and
 // the time for which it will accept no other order. The readers throw
--- a/src/entry/LoadRequester.h
+++ b/src/entry/LoadRequester.h
@@ -18,10 +18,10 @@
 {
   std::string mService;
   std::string mModel;
-  std::string mAdapter; // "" = the model itself
-  int mPriority = 5;    // 0 = most urgent
-  Millis mLeft{ 0 };    // until an answer that starts is late
-  bool mMore = false;   // another replica beside an existing one
+  std::string mAdapter;       // "" = the model itself
+  int mPriority = 5;          // 0 = most urgent
+  Millis mLeft{ 0 };          // until an answer that starts is late
+  bool mExtraReplica = false; // another replica beside an existing one
 };
 
 class LoadRequester
@@ -30,9 +30,9 @@
   virtual ~LoadRequester() = default;
   // Sends a load request, repeated at a limited rate; a waiting request may
   // call this at any time.
-  virtual void Want(const LoadRequest& aWant) = 0;
+  virtual void Want(const LoadRequest& aRequest) = 0;
   // Time until the load is expected to end; nothing while that is not known.
-  virtual std::optional<Millis> Expected(const LoadRequest& aWant) = 0;
+  virtual std::optional<Millis> Expected(const LoadRequest& aRequest) = 0;
 };
 
 } // namespace caraway
--- a/src/entry/LoadScheduler.cpp
+++ b/src/entry/LoadScheduler.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-constexpr Millis kPump{ 25 };
-constexpr Millis kGrow{ 500 };
+constexpr Millis kScheduleInterval{ 25 };
+constexpr Millis kReplicaCheckInterval{ 500 };
 
 } // namespace
 
@@ -13,11 +13,11 @@
                              Peers& aPeers,
                              LeaseLoop& aLease,
                              std::string aZone,
-                             Tell aTell,
+                             Notify aNotify,
                              std::function<void()> aChanged)
   : mState(aState)
   , mPeers(aPeers)
-  , mTell(std::move(aTell))
+  , mNotify(std::move(aNotify))
   , mChanged(std::move(aChanged))
   , mLease(aLease)
   , mZone(std::move(aZone))
@@ -29,15 +29,15 @@
 void
 LoadScheduler::Start()
 {
-  mState.mReactor.Every(kPump, [this] { Pump(); });
-  mState.mReactor.Every(kGrow, [this] { AddReplicas(); });
+  mState.mReactor.Every(kScheduleInterval, [this] { ScheduleQueued(); });
+  mState.mReactor.Every(kReplicaCheckInterval, [this] { AddReplicas(); });
   mInventories.Start();
 }
 
 LoadScheduler::Key
-LoadScheduler::KeyOf(const LoadRequest& aWant)
+LoadScheduler::KeyOf(const LoadRequest& aRequest)
 {
-  return { aWant.mService, aWant.mModel, aWant.mAdapter };
+  return { aRequest.mService, aRequest.mModel, aRequest.mAdapter };
 }
 
 const EngineSpec*
--- a/src/entry/LoadScheduler.h
+++ b/src/entry/LoadScheduler.h
@@ -31,7 +31,8 @@
 {
 public:
   // Sends a message to the lease holders of the other zones.
-  using Tell = std::function<void(const char* aKind, const Json::Value& aNote)>;
+  using Notify =
+    std::function<void(const char* aKind, const Json::Value& aMessage)>;
 
   // aLease: the lease of aZone. aChanged: called when the known content of a
   // server has changed.
@@ -39,7 +40,7 @@
                 Peers& aPeers,
                 LeaseLoop& aLease,
                 std::string aZone,
-                Tell aTell,
+                Notify aNotify,
                 std::function<void()> aChanged);
 
   void Start();
@@ -54,29 +55,32 @@
 
   // Queues a load request of any instance. The result says in how many ms the
   // model or adapter is expected to be loaded.
-  Json::Value OnLoadRequest(const LoadRequest& aWant);
+  Json::Value OnLoadRequest(const LoadRequest& aRequest);
   // Messages from the lease holder of another zone.
-  void OnClaim(const Json::Value& aNote);
-  void OnStoreLoad(const Json::Value& aNote);
+  void OnClaim(const Json::Value& aMessage);
+  void OnStoreLoad(const Json::Value& aMessage);
   // A message from the lease holder of this zone about one of its servers.
-  void OnContent(const Json::Value& aNote) { mInventories.OnContent(aNote); }
+  void OnContent(const Json::Value& aMessage)
+  {
+    mInventories.OnContent(aMessage);
+  }
 
 private:
   // Service, model, adapter.
   using Key = std::tuple<std::string, std::string, std::string>;
 
   // A load request that waits for a server or for the weight store.
-  struct Queued
+  struct PendingLoad
   {
-    LoadRequest mWant;
+    LoadRequest mRequest;
     TimePoint mSince{};
-    TimePoint mAskedAt{};
+    TimePoint mLastRequestedAt{};
     TimePoint mNeedBy{}; // latest start of an answer in time, over all requests
   };
   // The orders that load one model or adapter on one server.
   struct Job
   {
-    LoadRequest mWant;
+    LoadRequest mRequest;
     std::string mServer;
     int64_t mStartTime = 0;
     std::deque<ModelOrder> mSteps;
@@ -88,31 +92,31 @@
     bool mLoading = false; // the last order, the load, was accepted
     // No order of another sender can be in progress at the server: the last
     // order of this job was accepted, and none has gone unanswered since.
-    bool mCounted = false;
+    bool mOnlyOwnOrders = false;
     int mUnanswered = 0;
-    int mTries = 0; // attempts at the current step
-    int mBusy = 0;  // answers that an order is already in progress
+    int mAttempts = 0;    // attempts at the current step
+    int mBusyAnswers = 0; // answers that an order is already in progress
     uint64_t mId = 0;
   };
 
-  static Key KeyOf(const LoadRequest& aWant);
+  static Key KeyOf(const LoadRequest& aRequest);
   const EngineSpec* EngineOf(const std::string& aService) const;
 
   // Decisions.
-  void Pump();
-  LoadPriorityFacts PriorityFactsOf(const Queued& aQueued) const;
-  Millis ShortestLoadTime(const LoadRequest& aWant) const;
-  bool Begin(const LoadRequest& aWant, PlacementFacts& aFacts);
-  bool BeginAdapter(const LoadRequest& aWant);
+  void ScheduleQueued();
+  LoadPriorityFacts PriorityFactsOf(const PendingLoad& aPending) const;
+  Millis ShortestLoadTime(const LoadRequest& aRequest) const;
+  bool TryStartModel(const LoadRequest& aRequest, PlacementFacts& aFacts);
+  bool TryStartAdapter(const LoadRequest& aRequest);
   std::optional<ModelOrder> LeastDemandedAdapter(const Backend& aBackend) const;
   PlacementFacts& FactsFor(const std::string& aService);
   size_t ServersInZone(const std::string& aService) const;
   bool AnyServerFree(const PlacementFacts& aFacts) const;
-  std::optional<Millis> Estimate(const LoadRequest& aWant);
-  std::optional<Millis> ExpectedFromOtherZone(const LoadRequest& aWant);
+  std::optional<Millis> Estimate(const LoadRequest& aRequest);
+  std::optional<Millis> ExpectedFromOtherZone(const LoadRequest& aRequest);
   void AddReplicas();
   // Announces to the other zones a load of a model that no server holds.
-  void SendClaim(const LoadRequest& aWant, bool aBegun, Millis aExpected);
+  void SendClaim(const LoadRequest& aRequest, bool aBegun, Millis aExpected);
   void SendStoreLoad(const std::string& aServer, Millis aLeft);
 
   // Orders.
@@ -121,22 +125,23 @@
   void SendStep(const std::string& aServer, uint64_t aId);
   void OnAnswer(const std::string& aServer, uint64_t aId, OrderAnswer aAnswer);
   void OnAccepted(Job& aJob, bool aDone);
-  void AfterLoadOrder(Job& aJob);
+  void OnLoadOrderAccepted(Job& aJob);
   void AssumeLoaded(const std::string& aServer, uint64_t aId);
   void Retry(Job& aJob, Millis aDelay);
   void Resync(Job& aJob);
-  void PollLoaded(const std::string& aServer, uint64_t aId);
-  void OnPolled(const std::string& aServer, uint64_t aId, bool aSettled);
+  void PollLoad(const std::string& aServer, uint64_t aId);
+  void OnLoadPolled(const std::string& aServer, uint64_t aId, bool aConfirmed);
   void EndJob(const std::string& aServer, const char* aWhy);
-  void Settle(const std::string& aServer, const std::string& aModel);
+  void MarkRecentlyLoaded(const std::string& aServer,
+                          const std::string& aModel);
 
   EntryState& mState;
   Peers& mPeers;
-  Tell mTell;
+  Notify mNotify;
   std::function<void()> mChanged;
   LeaseLoop& mLease;
   std::string mZone;
-  std::map<Key, Queued> mQueue;
+  std::map<Key, PendingLoad> mQueue;
   std::map<std::string, Job> mJobs; // by server
   ServerInventories mInventories;
   // End of the eviction protection by server and model; see PlacementFacts.
--- a/src/entry/LoadSchedulerBegin.cpp
+++ b/src/entry/LoadSchedulerBegin.cpp
@@ -6,7 +6,7 @@
 
 // Loading an adapter takes a few milliseconds and a time proportional to its
 // size.
-constexpr Millis kAdapterBase{ 4 };
+constexpr Millis kAdapterBaseTime{ 4 };
 constexpr double kAdapterMbPerMs = 5.0;
 
 } // namespace
@@ -15,29 +15,31 @@
 
 // Returns true when the request need not stay queued.
 bool
-LoadScheduler::Begin(const LoadRequest& aWant, PlacementFacts& aFacts)
+LoadScheduler::TryStartModel(const LoadRequest& aRequest,
+                             PlacementFacts& aFacts)
 {
-  const EngineSpec* engine = EngineOf(aWant.mService);
+  const EngineSpec* engine = EngineOf(aRequest.mService);
   if (!engine) {
     return true;
   }
   for (const auto& [server, job] : mJobs) {
-    if (job.mWant.mModel == aWant.mModel &&
-        job.mWant.mService == aWant.mService) {
+    if (job.mRequest.mModel == aRequest.mModel &&
+        job.mRequest.mService == aRequest.mService) {
       // The model is being loaded already; its adapters wait for that.
-      return aWant.mAdapter.empty() || aWant.mAdapter == job.mWant.mAdapter;
+      return aRequest.mAdapter.empty() ||
+             aRequest.mAdapter == job.mRequest.mAdapter;
     }
   }
   for (const auto& [id, backend] : mState.mServers.All()) {
     if (backend.mEntry.mZone != mZone ||
-        backend.mEntry.mService != aWant.mService || backend.mEntry.mDraining ||
-        !backend.Holds(aWant.mModel, "")) {
+        backend.mEntry.mService != aRequest.mService ||
+        backend.mEntry.mDraining || !backend.Holds(aRequest.mModel, "")) {
       continue;
     }
-    if (!aWant.mAdapter.empty()) {
-      return BeginAdapter(aWant);
+    if (!aRequest.mAdapter.empty()) {
+      return TryStartAdapter(aRequest);
     }
-    if (!aWant.mMore) {
+    if (!aRequest.mExtraReplica) {
       // The requesting instance has not received the server's content yet, or
       // the server answered that it does not hold the model.
       mInventories.Recheck(id);
@@ -46,12 +48,13 @@
   }
   mStoreLoads.SetLimits(engine->mLoadsPerSecond,
                         mState.mSettings.mZones.size(),
-                        ServersInZone(aWant.mService));
+                        ServersInZone(aRequest.mService));
   aFacts.mStoreWait = mStoreLoads.Wait(mState.Now());
-  auto choice = ChoosePlacement(*engine, aWant.mModel, mState.mServers, aFacts);
+  auto choice =
+    ChoosePlacement(*engine, aRequest.mModel, mState.mServers, aFacts);
   if (!choice) {
     mState.mLog.Line("place_none")
-      .Text("model", aWant.mModel)
+      .Text("model", aRequest.mModel)
       .Count("jobs", static_cast<int64_t>(mJobs.size()));
     return false;
   }
@@ -59,8 +62,8 @@
     return false;
   }
   Job job;
-  job.mWant = aWant;
-  job.mWant.mAdapter.clear();
+  job.mRequest = aRequest;
+  job.mRequest.mAdapter.clear();
   job.mServer = choice->mServer;
   job.mSource = choice->mSource;
   job.mUnload = choice->mUnload;
@@ -72,30 +75,30 @@
     job.mSteps.push_back(order);
   }
   ModelOrder load;
-  load.mModel = aWant.mModel;
+  load.mModel = aRequest.mModel;
   job.mSteps.push_back(load);
   aFacts.mBusy[job.mServer] = choice->Whole();
-  SendClaim(aWant, true, choice->Whole());
+  SendClaim(aRequest, true, choice->Whole());
   StartJob(std::move(job));
-  return aWant.mAdapter.empty();
+  return aRequest.mAdapter.empty();
 }
 
 bool
-LoadScheduler::BeginAdapter(const LoadRequest& aWant)
+LoadScheduler::TryStartAdapter(const LoadRequest& aRequest)
 {
-  const EngineSpec* engine = EngineOf(aWant.mService);
+  const EngineSpec* engine = EngineOf(aRequest.mService);
   TimePoint now = mState.Now();
   Backend* best = nullptr;
   size_t bestCount = 0;
   for (auto& [id, backend] : mState.mServers.All()) {
     if (backend.mEntry.mZone != mZone ||
-        backend.mEntry.mService != aWant.mService || backend.mEntry.mDraining ||
-        !backend.Holds(aWant.mModel, "") || mJobs.count(id) ||
-        !mInventories.AtRest(id) ||
+        backend.mEntry.mService != aRequest.mService ||
+        backend.mEntry.mDraining || !backend.Holds(aRequest.mModel, "") ||
+        mJobs.count(id) || !mInventories.CanTakeOrder(id) ||
         now < std::max(backend.mAvoidUntil, backend.mAddressReusedUntil)) {
       continue;
     }
-    if (backend.Holds(aWant.mModel, aWant.mAdapter)) {
+    if (backend.Holds(aRequest.mModel, aRequest.mAdapter)) {
       mInventories.Recheck(id);
       return true;
     }
@@ -112,23 +115,24 @@
     return false;
   }
   Job job;
-  job.mWant = aWant;
+  job.mRequest = aRequest;
   job.mServer = best->mEntry.mId;
   job.mSource = WeightSource::Memory;
-  double mb = engine->mModels.count(aWant.mModel)
-                ? engine->mModels.at(aWant.mModel).mAdapterMb
+  double mb = engine->mModels.count(aRequest.mModel)
+                ? engine->mModels.at(aRequest.mModel).mAdapterMb
                 : 0;
-  job.mLoad = kAdapterBase + Millis(static_cast<int64_t>(mb / kAdapterMbPerMs));
+  job.mLoad =
+    kAdapterBaseTime + Millis(static_cast<int64_t>(mb / kAdapterMbPerMs));
   if (static_cast<int>(bestCount) >= engine->mAdapterSlots) {
-    auto victim = LeastDemandedAdapter(*best);
-    if (!victim) {
+    auto eviction = LeastDemandedAdapter(*best);
+    if (!eviction) {
       return false;
     }
-    job.mSteps.push_back(*victim);
+    job.mSteps.push_back(*eviction);
   }
   ModelOrder load;
-  load.mModel = aWant.mModel;
-  load.mAdapter = aWant.mAdapter;
+  load.mModel = aRequest.mModel;
+  load.mAdapter = aRequest.mAdapter;
   job.mSteps.push_back(load);
   StartJob(std::move(job));
   return true;
--- a/src/entry/LoadSchedulerClaims.cpp
+++ b/src/entry/LoadSchedulerClaims.cpp
@@ -8,62 +8,62 @@
 // model.
 
 void
-LoadScheduler::SendClaim(const LoadRequest& aWant,
+LoadScheduler::SendClaim(const LoadRequest& aRequest,
                          bool aBegun,
                          Millis aExpected)
 {
-  if (aWant.mMore) {
+  if (aRequest.mExtraReplica) {
     return;
   }
-  Json::Value note;
-  note["zone"] = mZone;
-  note["service"] = aWant.mService;
-  note["model"] = aWant.mModel;
-  note["begun"] = aBegun;
-  note["expected_ms"] = Json::Int64(aExpected.count());
-  mTell(kClaimMessage, note);
+  Json::Value message;
+  message["zone"] = mZone;
+  message["service"] = aRequest.mService;
+  message["model"] = aRequest.mModel;
+  message["begun"] = aBegun;
+  message["expected_ms"] = Json::Int64(aExpected.count());
+  mNotify(kClaimMessage, message);
 }
 
 // aLeft 0: the load has ended.
 void
 LoadScheduler::SendStoreLoad(const std::string& aServer, Millis aLeft)
 {
-  Json::Value note;
-  note["server"] = aServer;
-  note["left_ms"] = Json::Int64(aLeft.count());
-  mTell(kStoreLoadMessage, note);
+  Json::Value message;
+  message["server"] = aServer;
+  message["left_ms"] = Json::Int64(aLeft.count());
+  mNotify(kStoreLoadMessage, message);
 }
 
 void
-LoadScheduler::OnStoreLoad(const Json::Value& aNote)
+LoadScheduler::OnStoreLoad(const Json::Value& aMessage)
 {
-  mStoreLoads.OnOtherZoneLoad(aNote["server"].asString(),
-                              Millis(aNote["left_ms"].asInt64()),
+  mStoreLoads.OnOtherZoneLoad(aMessage["server"].asString(),
+                              Millis(aMessage["left_ms"].asInt64()),
                               mState.Now());
 }
 
 void
-LoadScheduler::OnClaim(const Json::Value& aNote)
+LoadScheduler::OnClaim(const Json::Value& aMessage)
 {
-  std::string service = aNote["service"].asString();
-  std::string model = aNote["model"].asString();
+  std::string service = aMessage["service"].asString();
+  std::string model = aMessage["model"].asString();
   Key key{ service, model, "" };
   auto mine =
     mQueue.count(key) ? LoadClaims::Mine::Queued : LoadClaims::Mine::None;
   for (const auto& [server, job] : mJobs) {
-    if (job.mWant.mService == service && job.mWant.mModel == model) {
+    if (job.mRequest.mService == service && job.mRequest.mModel == model) {
       mine = LoadClaims::Mine::Begun;
     }
   }
-  TimePoint expected = mState.Now() + Millis(aNote["expected_ms"].asInt64());
+  TimePoint expected = mState.Now() + Millis(aMessage["expected_ms"].asInt64());
   if (mClaims.OnClaim(model,
-                      aNote["zone"].asString(),
-                      aNote["begun"].asBool(),
+                      aMessage["zone"].asString(),
+                      aMessage["begun"].asBool(),
                       expected,
                       mine)) {
     mState.mLog.Line("place_left_to_zone")
       .Text("model", model)
-      .Text("zone", aNote["zone"].asString());
+      .Text("zone", aMessage["zone"].asString());
     mQueue.erase(key);
   }
 }
--- a/src/entry/LoadSchedulerDecide.cpp
+++ b/src/entry/LoadSchedulerDecide.cpp
@@ -7,29 +7,29 @@
 namespace {
 
 // A queued request that no instance has repeated for this long is dropped.
-constexpr Millis kForgetWant{ 1500 };
+constexpr Millis kQueuedRequestLife{ 1500 };
 
 // Requests a second. Below this rate one replica in the fleet is enough.
-constexpr double kNoReplicaRate = 0.2;
+constexpr double kMinReplicaRate = 0.2;
 
 // A model claimed by another zone is loaded here only when that is faster by
 // this margin: estimates of a queue are rough, and loading a model twice costs
 // a second of one server.
-constexpr Millis kSooner{ 300 };
+constexpr Millis kMinTimeSaved{ 300 };
 
 // Lower bound of the waiting times that are reported to instances.
-constexpr Millis kSoon{ 20 };
+constexpr Millis kMinEstimate{ 20 };
 
 // Demand and replicas are recounted at this interval: they change over seconds,
 // and counting visits every server and model of the fleet.
-constexpr Millis kFactsAge{ 100 };
+constexpr Millis kFactsMaxAge{ 100 };
 
 // Estimated time until a server with unknown content has sent its report.
-constexpr Millis kReport{ 50 };
+constexpr Millis kReportEstimate{ 50 };
 
 // Waiting requests are reconsidered on every change, and at this interval for
 // what depends on time alone.
-constexpr Millis kPumpAnyway{ 100 };
+constexpr Millis kMaxScheduleGap{ 100 };
 
 } // namespace
 
@@ -37,72 +37,74 @@
 // and which models get another replica.
 
 Json::Value
-LoadScheduler::OnLoadRequest(const LoadRequest& aWant)
+LoadScheduler::OnLoadRequest(const LoadRequest& aRequest)
 {
   Json::Value result(Json::objectValue);
-  if (!mLease.Holds() || !EngineOf(aWant.mService)) {
+  if (!mLease.Holds() || !EngineOf(aRequest.mService)) {
     result["none"] = "not the holder";
     return result;
   }
   TimePoint now = mState.Now();
-  if (auto left = ExpectedFromOtherZone(aWant)) {
+  if (auto left = ExpectedFromOtherZone(aRequest)) {
     result["expected_ms"] = Json::Int64(left->count());
     return result;
   }
-  auto [at, added] = mQueue.try_emplace(KeyOf(aWant));
-  Queued& queued = at->second;
+  auto [at, added] = mQueue.try_emplace(KeyOf(aRequest));
+  PendingLoad& queued = at->second;
   if (added) {
-    queued.mWant = aWant;
+    queued.mRequest = aRequest;
     queued.mSince = now;
   }
-  queued.mWant.mPriority = std::min(queued.mWant.mPriority, aWant.mPriority);
-  queued.mAskedAt = now;
-  queued.mNeedBy = std::max(queued.mNeedBy, now + aWant.mLeft);
+  queued.mRequest.mPriority =
+    std::min(queued.mRequest.mPriority, aRequest.mPriority);
+  queued.mLastRequestedAt = now;
+  queued.mNeedBy = std::max(queued.mNeedBy, now + aRequest.mLeft);
   if (added) {
     mScheduleDue = true;
-    Pump();
+    ScheduleQueued();
   }
-  if (auto expected = Estimate(aWant)) {
+  if (auto expected = Estimate(aRequest)) {
     result["expected_ms"] = Json::Int64(expected->count());
-    if (added && mQueue.count(KeyOf(aWant))) {
-      SendClaim(aWant, false, *expected);
+    if (added && mQueue.count(KeyOf(aRequest))) {
+      SendClaim(aRequest, false, *expected);
     }
   }
   return result;
 }
 
-// Returns in how long another zone is expected to have loaded aWant; nothing
-// when no other zone claims it, or when this zone is faster by kSooner.
+// Returns in how long another zone is expected to have loaded aRequest; nothing
+// when no other zone claims it, or when this zone is faster by kMinTimeSaved.
 std::optional<Millis>
-LoadScheduler::ExpectedFromOtherZone(const LoadRequest& aWant)
+LoadScheduler::ExpectedFromOtherZone(const LoadRequest& aRequest)
 {
   TimePoint now = mState.Now();
-  auto elsewhere = aWant.mMore || !aWant.mAdapter.empty()
+  auto elsewhere = aRequest.mExtraReplica || !aRequest.mAdapter.empty()
                      ? std::nullopt
-                     : mClaims.Elsewhere(aWant.mModel, now);
+                     : mClaims.Elsewhere(aRequest.mModel, now);
   if (!elsewhere) {
     return std::nullopt;
   }
-  auto left =
-    std::max(std::chrono::duration_cast<Millis>(*elsewhere - now), kSoon);
-  auto here = Estimate(aWant);
-  return here && *here + kSooner < left ? std::nullopt : std::optional(left);
+  auto left = std::max(std::chrono::duration_cast<Millis>(*elsewhere - now),
+                       kMinEstimate);
+  auto here = Estimate(aRequest);
+  return here && *here + kMinTimeSaved < left ? std::nullopt
+                                              : std::optional(left);
 }
 
 std::optional<Millis>
-LoadScheduler::Estimate(const LoadRequest& aWant)
+LoadScheduler::Estimate(const LoadRequest& aRequest)
 {
   TimePoint now = mState.Now();
   for (const auto& [server, job] : mJobs) {
-    if (job.mWant.mModel == aWant.mModel &&
-        job.mWant.mService == aWant.mService) {
+    if (job.mRequest.mModel == aRequest.mModel &&
+        job.mRequest.mService == aRequest.mService) {
       auto left = std::chrono::duration_cast<Millis>(job.mExpected - now);
-      return std::max(left, kSoon);
+      return std::max(left, kMinEstimate);
     }
   }
-  const EngineSpec* engine = EngineOf(aWant.mService);
+  const EngineSpec* engine = EngineOf(aRequest.mService);
   auto choice = ChoosePlacement(
-    *engine, aWant.mModel, mState.mServers, FactsFor(aWant.mService));
+    *engine, aRequest.mModel, mState.mServers, FactsFor(aRequest.mService));
   if (!choice) {
     return std::nullopt;
   }
@@ -114,7 +116,7 @@
 {
   TimePoint now = mState.Now();
   auto& [countedAt, facts] = mFacts[aService];
-  if (now - countedAt >= kFactsAge) {
+  if (now - countedAt >= kFactsMaxAge) {
     countedAt = now;
     facts.mService = aService;
     facts.mZone = mZone;
@@ -134,8 +136,8 @@
     }
     // The server has been asked for a report of its content.
     if (backend.mEntry.mZone == facts.mZone && !facts.mBusy.count(id) &&
-        backend.mEntry.mService == aService && !mInventories.AtRest(id)) {
-      facts.mBusy[id] = std::max(backend.LoadingFor(now), kReport);
+        backend.mEntry.mService == aService && !mInventories.CanTakeOrder(id)) {
+      facts.mBusy[id] = std::max(backend.LoadingFor(now), kReportEstimate);
     }
   }
   for (const auto& [held, until] : mRecentlyLoaded) {
@@ -149,7 +151,7 @@
 
 // Starts the queued requests that can start now, in order of priority.
 void
-LoadScheduler::Pump()
+LoadScheduler::ScheduleQueued()
 {
   TimePoint now = mState.Now();
   if (!mLease.Holds()) {
@@ -157,31 +159,31 @@
     mClaims.Forget(now);
     return;
   }
-  std::vector<Queued*> queue;
+  std::vector<PendingLoad*> queue;
   for (auto at = mQueue.begin(); at != mQueue.end();) {
-    if (now - at->second.mAskedAt > kForgetWant) {
+    if (now - at->second.mLastRequestedAt > kQueuedRequestLife) {
       at = mQueue.erase(at);
     } else {
       queue.push_back(&at->second);
       ++at;
     }
   }
-  bool due = mScheduleDue || now - mScheduledAt >= kPumpAnyway;
+  bool due = mScheduleDue || now - mScheduledAt >= kMaxScheduleGap;
   if (!mLease.MayAct() || !due || queue.empty()) {
     return;
   }
   mScheduleDue = false;
   mScheduledAt = now;
-  std::vector<std::pair<LoadPriorityKey, Queued*>> ranked;
-  for (Queued* queued : queue) {
+  std::vector<std::pair<LoadPriorityKey, PendingLoad*>> ranked;
+  for (PendingLoad* queued : queue) {
     ranked.emplace_back(RankLoad(PriorityFactsOf(*queued), now), queued);
   }
   std::sort(ranked.begin(), ranked.end());
   std::vector<Key> begun;
   for (const auto& [rank, queued] : ranked) {
-    PlacementFacts& facts = FactsFor(queued->mWant.mService);
-    if (AnyServerFree(facts) && Begin(queued->mWant, facts)) {
-      begun.push_back(KeyOf(queued->mWant));
+    PlacementFacts& facts = FactsFor(queued->mRequest.mService);
+    if (AnyServerFree(facts) && TryStartModel(queued->mRequest, facts)) {
+      begun.push_back(KeyOf(queued->mRequest));
     }
   }
   for (const Key& key : begun) {
@@ -190,16 +192,16 @@
 }
 
 LoadPriorityFacts
-LoadScheduler::PriorityFactsOf(const Queued& aQueued) const
+LoadScheduler::PriorityFactsOf(const PendingLoad& aPending) const
 {
   LoadPriorityFacts facts;
-  facts.mRate = mState.mDemand.Rate(aQueued.mWant.mModel, mState.Now());
-  facts.mPriority = aQueued.mWant.mPriority;
+  facts.mRate = mState.mDemand.Rate(aPending.mRequest.mModel, mState.Now());
+  facts.mPriority = aPending.mRequest.mPriority;
   // The lowest priority is that of a replica that no request waits for.
-  facts.mAsked = aQueued.mWant.mPriority < kLowestPriority;
-  facts.mSince = aQueued.mSince;
-  facts.mNeedBy = aQueued.mNeedBy;
-  facts.mLoad = ShortestLoadTime(aQueued.mWant);
+  facts.mAsked = aPending.mRequest.mPriority < kLowestPriority;
+  facts.mSince = aPending.mSince;
+  facts.mNeedBy = aPending.mNeedBy;
+  facts.mLoad = ShortestLoadTime(aPending.mRequest);
   return facts;
 }
 
@@ -235,22 +237,22 @@
 // The load time from the nearest copy of the weights in this zone, without any
 // waiting time.
 Millis
-LoadScheduler::ShortestLoadTime(const LoadRequest& aWant) const
+LoadScheduler::ShortestLoadTime(const LoadRequest& aRequest) const
 {
-  const EngineSpec* engine = EngineOf(aWant.mService);
-  if (!engine || !aWant.mAdapter.empty()) {
+  const EngineSpec* engine = EngineOf(aRequest.mService);
+  if (!engine || !aRequest.mAdapter.empty()) {
     return Millis(0);
   }
-  auto model = engine->mModels.find(aWant.mModel);
+  auto model = engine->mModels.find(aRequest.mModel);
   if (model == engine->mModels.end()) {
     return Millis(0);
   }
   Millis least = model->second.mLoad;
   for (const auto& [id, backend] : mState.mServers.All()) {
-    if (backend.mEntry.mService == aWant.mService &&
+    if (backend.mEntry.mService == aRequest.mService &&
         backend.mEntry.mZone == mZone && !backend.mEntry.mDraining) {
       least = std::min(
-        least, LoadTime(model->second, SourceOf(backend, aWant.mModel)));
+        least, LoadTime(model->second, SourceOf(backend, aRequest.mModel)));
     }
   }
   return least;
@@ -270,15 +272,17 @@
     }
     for (const auto& [model, weights] : service.mEngine->mModels) {
       double rate = mState.mDemand.Rate(model, mState.Now());
-      if (rate <= kNoReplicaRate) {
+      if (rate <= kMinReplicaRate) {
         continue;
       }
       ReplicaNeed need = EvaluateReplicaNeed(
         name, model, mState.mServers, mState.mSettings.mZones, mZone, rate);
       if (need != ReplicaNeed::None) {
-        LoadRequest want{ name, model, "", kLowestPriority, Millis(0), true };
-        want.mPriority = need == ReplicaNeed::Now ? 0 : kLowestPriority;
-        OnLoadRequest(want);
+        LoadRequest request{
+          name, model, "", kLowestPriority, Millis(0), true
+        };
+        request.mPriority = need == ReplicaNeed::Now ? 0 : kLowestPriority;
+        OnLoadRequest(request);
       }
     }
   }
--- a/src/entry/LoadSchedulerReport.cpp
+++ b/src/entry/LoadSchedulerReport.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 // A server's report shows its state of about 100 ms ago.
-constexpr Millis kResyncRetry{ 120 };
-constexpr Millis kPollAgain{ 120 };
+constexpr Millis kResyncInterval{ 120 };
+constexpr Millis kLoadPollInterval{ 120 };
 
 // A load that takes this many times its expected time is given up.
-constexpr int kLoadPatience = 6;
+constexpr int kLoadTimeoutFactor = 6;
 
 } // namespace
 
@@ -24,52 +24,56 @@
   uint64_t id = aJob.mId;
   Backend* backend = mState.mServers.Find(server);
   HeldModels planned = backend ? backend->mModels : HeldModels();
-  mInventories.Learn(server, [this, server, id, planned](bool aSettled) {
-    Job* job = Find(server, id);
-    Backend* known = mState.mServers.Find(server);
-    if (!job || !known) {
-      return;
-    }
-    if (!aSettled && ++job->mTries > kMaxOrderAttempts) {
-      EndJob(server, "server sent no usable report");
-    } else if (!aSettled) {
-      Retry(*job, kResyncRetry);
-    } else if (known->Holds(job->mWant.mModel, job->mWant.mAdapter)) {
-      EndJob(server, "already loaded");
-      mChanged();
-    } else if (planned != known->mModels) {
-      EndJob(server, "server content changed; placement planned again");
-    } else {
-      Retry(*job, Millis(0));
-    }
-  });
+  mInventories.RequestReport(
+    server, [this, server, id, planned](bool aConfirmed) {
+      Job* job = Find(server, id);
+      Backend* known = mState.mServers.Find(server);
+      if (!job || !known) {
+        return;
+      }
+      if (!aConfirmed && ++job->mAttempts > kMaxOrderAttempts) {
+        EndJob(server, "server sent no usable report");
+      } else if (!aConfirmed) {
+        Retry(*job, kResyncInterval);
+      } else if (known->Holds(job->mRequest.mModel, job->mRequest.mAdapter)) {
+        EndJob(server, "already loaded");
+        mChanged();
+      } else if (planned != known->mModels) {
+        EndJob(server, "server content changed; placement planned again");
+      } else {
+        Retry(*job, Millis(0));
+      }
+    });
 }
 
 void
-LoadScheduler::PollLoaded(const std::string& aServer, uint64_t aId)
+LoadScheduler::PollLoad(const std::string& aServer, uint64_t aId)
 {
   Job* job = Find(aServer, aId);
   if (!job) {
     return;
   }
-  if (mState.Now() - job->mBegan > job->mLoad * kLoadPatience + Seconds(2)) {
+  if (mState.Now() - job->mBegan >
+      job->mLoad * kLoadTimeoutFactor + Seconds(2)) {
     EndJob(aServer, "load did not finish before its deadline");
     return;
   }
-  mInventories.Learn(aServer, [this, aServer, aId](bool aSettled) {
-    OnPolled(aServer, aId, aSettled);
+  mInventories.RequestReport(aServer, [this, aServer, aId](bool aConfirmed) {
+    OnLoadPolled(aServer, aId, aConfirmed);
   });
 }
 
 void
-LoadScheduler::OnPolled(const std::string& aServer, uint64_t aId, bool aSettled)
+LoadScheduler::OnLoadPolled(const std::string& aServer,
+                            uint64_t aId,
+                            bool aConfirmed)
 {
   if (!Find(aServer, aId)) {
     return;
   }
-  if (!aSettled) {
-    mState.mReactor.After(kPollAgain,
-                          [this, aServer, aId] { PollLoaded(aServer, aId); });
+  if (!aConfirmed) {
+    mState.mReactor.After(kLoadPollInterval,
+                          [this, aServer, aId] { PollLoad(aServer, aId); });
     return;
   }
   OnChanged();
--- a/src/entry/LoadSchedulerSend.cpp
+++ b/src/entry/LoadSchedulerSend.cpp
@@ -14,21 +14,21 @@
 
 // An unload waits for the requests that use the model, which take up to
 // seconds. The longer it has lasted, the less a longer retry interval costs.
-constexpr Millis kMostBusyDelay{ 100 };
+constexpr Millis kMaxBusyDelay{ 100 };
 
 Millis
 BusyDelay(int aTimes)
 {
-  return std::min(kOrderRetry * aTimes, kMostBusyDelay);
+  return std::min(kOrderRetry * aTimes, kMaxBusyDelay);
 }
 
 // Unanswered orders after which the job ends, so that another server is tried.
-constexpr int kMostUnanswered = 4;
+constexpr int kMaxUnanswered = 4;
 
 // A server is first asked whether a load has ended this long after its expected
 // end: reports are about 100 ms old. A report costs an eighth of a call to the
 // object store, and the store shows the end of a load later.
-constexpr Millis kPollAfter{ 120 };
+constexpr Millis kFirstPollDelay{ 120 };
 
 // The timers of servers run slightly late; a request that reaches the server
 // before the load has ended is rejected and has to be sent again.
@@ -37,7 +37,7 @@
 // Covers two heartbeats, as one may be lost, but in a large fleet, where
 // heartbeats are rare, no more than the time of a load.
 constexpr int kSettleRounds = 2;
-constexpr Millis kMostSettle{ 1000 };
+constexpr Millis kMaxSettleTime{ 1000 };
 
 } // namespace
 
@@ -67,23 +67,23 @@
   const ModelOrder& first = aJob.mSteps.front();
   mState.mLog.Line("place_decided")
     .Text("server", aJob.mServer)
-    .Text("model", aJob.mWant.mModel)
-    .Text("adapter", aJob.mWant.mAdapter)
+    .Text("model", aJob.mRequest.mModel)
+    .Text("adapter", aJob.mRequest.mAdapter)
     .Text("evict", first.mLoad ? "" : first.mModel + "/" + first.mAdapter)
     .Count("source", static_cast<int>(aJob.mSource))
     .Count("orders", mInventories.Of(aJob.mServer).Orders())
-    .Number("rate", mState.mDemand.Rate(aJob.mWant.mModel, now))
-    .Count("priority", aJob.mWant.mPriority)
+    .Number("rate", mState.mDemand.Rate(aJob.mRequest.mModel, now))
+    .Count("priority", aJob.mRequest.mPriority)
     .Ms("expected_ms", aJob.mUnload + aJob.mLoad);
   std::string server = aJob.mServer;
   uint64_t id = aJob.mId;
   // The other instances learn of the load now; if an unload comes first, with
   // the content that is sent when it is accepted.
-  bool tell = first.mLoad && first.mAdapter.empty();
+  bool announce = first.mLoad && first.mAdapter.empty();
   backend->mLoadingUntil = aJob.mExpected;
   mJobs[server] = std::move(aJob);
-  if (tell) {
-    mInventories.Tell(server);
+  if (announce) {
+    mInventories.SendContent(server);
   }
   SendStep(server, id);
 }
@@ -107,31 +107,32 @@
     EndJob(aServer, "zone lease lost");
     return;
   }
-  if (++job->mTries > kMaxOrderAttempts) {
+  if (++job->mAttempts > kMaxOrderAttempts) {
     EndJob(aServer, "too many attempts at one order");
     return;
   }
-  ServerInventory& account = mInventories.Of(aServer);
-  if (!account.Known()) {
+  ServerInventory& inventory = mInventories.Of(aServer);
+  if (!inventory.Known()) {
     Resync(*job);
     return;
   }
   ModelOrder& order = job->mSteps.front();
   // A report that something other than this job requested may have arrived
   // since.
-  if (account.Holds(order.mModel, order.mAdapter) == order.mLoad) {
+  if (inventory.Holds(order.mModel, order.mAdapter) == order.mLoad) {
     EndJob(aServer,
            order.mLoad ? "already loaded"
                        : "server content changed; placement planned again");
     mChanged();
     return;
   }
-  const EngineSpec* engine = EngineOf(job->mWant.mService);
-  if (order.mLoad && (!engine || !account.Fits(*engine, order, mState.Now()))) {
+  const EngineSpec* engine = EngineOf(job->mRequest.mService);
+  if (order.mLoad &&
+      (!engine || !inventory.Fits(*engine, order, mState.Now()))) {
     EndJob(aServer, "no memory left on the server");
     return;
   }
-  order.mOrders = account.Orders();
+  order.mOrders = inventory.Orders();
   order.mHolder = mState.mSettings.mName;
   order.mToken = mLease.Token();
   wire::OrderCall call =
@@ -144,7 +145,7 @@
   StartBufferedCall(mState.mReactor,
                     mState.mServerPool,
                     std::move(request),
-                    kOrderTime,
+                    kOrderTimeout,
                     [this, aServer, aId](BufferedAnswer& aAnswer) {
                       OnAnswer(
                         aServer, aId, wire::ReadOrderAnswer(aAnswer.mStatus));
@@ -164,7 +165,7 @@
                         "answer=\"" +
                           std::to_string(static_cast<int>(aAnswer)) + "\"");
   const ModelOrder& step = job->mSteps.front();
-  ServerInventory& account = mInventories.Of(aServer);
+  ServerInventory& inventory = mInventories.Of(aServer);
   switch (aAnswer) {
     case OrderAnswer::Accepted:
       OnAccepted(*job, false);
@@ -175,29 +176,29 @@
       if (!step.mLoad && !step.mAdapter.empty()) {
         OnAccepted(*job, true);
       } else {
-        account.Forget();
+        inventory.Forget();
         Resync(*job);
       }
       break;
     case OrderAnswer::Busy:
-      ++job->mBusy;
+      ++job->mBusyAnswers;
       // Either an unload of this job still waits for the model's requests, or
       // an order of another sender was accepted or is in progress.
-      if (!job->mCounted) {
-        account.Forget();
+      if (!job->mOnlyOwnOrders) {
+        inventory.Forget();
       }
-      Retry(*job, BusyDelay(job->mBusy));
+      Retry(*job, BusyDelay(job->mBusyAnswers));
       break;
     case OrderAnswer::Unknown:
       // Retried under the same count: only one of the two can take effect.
       mState.mLog.Line("order_unanswered")
         .Text("server", aServer)
         .Text("model", step.mModel)
-        .Count("try", job->mTries);
-      job->mCounted = false;
-      account.OnUnanswered(step, mState.Now());
+        .Count("try", job->mAttempts);
+      job->mOnlyOwnOrders = false;
+      inventory.OnUnanswered(step, mState.Now());
       mState.mServers.Heard(aServer, ServerOutcome::Broken, mState.Now());
-      if (++job->mUnanswered >= kMostUnanswered) {
+      if (++job->mUnanswered >= kMaxUnanswered) {
         EndJob(aServer, "server did not answer orders");
       } else {
         Retry(*job, kOrderRetry * 4);
@@ -218,13 +219,13 @@
   uint64_t id = aJob.mId;
   ModelOrder step = aJob.mSteps.front();
   aJob.mSteps.pop_front();
-  aJob.mTries = 0;
-  aJob.mCounted = true;
+  aJob.mAttempts = 0;
+  aJob.mOnlyOwnOrders = true;
   mInventories.Of(server).OnAccepted(step, aDone);
   if (step.mLoad) {
-    mInventories.Put(server);
+    mInventories.Apply(server);
   } else {
-    mInventories.Show(server);
+    mInventories.ApplyAndSend(server);
     mChanged(); // may end this job
   }
   Job* job = Find(server, id);
@@ -232,7 +233,7 @@
     return;
   }
   if (job->mSteps.empty()) {
-    AfterLoadOrder(*job);
+    OnLoadOrderAccepted(*job);
     return;
   }
   // An adapter in use is unloaded when its requests have ended; its slot is
@@ -246,7 +247,7 @@
 }
 
 void
-LoadScheduler::AfterLoadOrder(Job& aJob)
+LoadScheduler::OnLoadOrderAccepted(Job& aJob)
 {
   std::string server = aJob.mServer;
   uint64_t id = aJob.mId;
@@ -256,13 +257,13 @@
     backend->mLoadingUntil = aJob.mExpected;
   }
   if (aJob.mSource == WeightSource::Store) {
-    mState.mReactor.After(aJob.mLoad + kPollAfter,
-                          [this, server, id] { PollLoaded(server, id); });
+    mState.mReactor.After(aJob.mLoad + kFirstPollDelay,
+                          [this, server, id] { PollLoad(server, id); });
     return;
   }
   // Servers do not announce that an adapter is loaded, and their reports show a
   // loaded model a fifth of a second late, which is a quarter of its load time.
-  bool adapter = !aJob.mWant.mAdapter.empty();
+  bool adapter = !aJob.mRequest.mAdapter.empty();
   mState.mReactor.After(aJob.mLoad + (adapter ? Millis(0) : kLoadMargin),
                         [this, server, id] { AssumeLoaded(server, id); });
 }
@@ -283,8 +284,8 @@
     return;
   }
   mInventories.Of(aServer).OnLoadFinished();
-  mInventories.Show(aServer);
-  EndJob(aServer, job->mWant.mAdapter.empty() ? "loaded" : "adapter loaded");
+  mInventories.ApplyAndSend(aServer);
+  EndJob(aServer, job->mRequest.mAdapter.empty() ? "loaded" : "adapter loaded");
   mChanged();
 }
 
@@ -306,8 +307,8 @@
     Backend* backend = mState.mServers.Find(server);
     if (!backend || backend->mEntry.mStartTime != job.mStartTime) {
       lost.push_back(server);
-    } else if (job.mLoading && job.mWant.mAdapter.empty() &&
-               backend->Holds(job.mWant.mModel, "")) {
+    } else if (job.mLoading && job.mRequest.mAdapter.empty() &&
+               backend->Holds(job.mRequest.mModel, "")) {
       loaded.push_back(server);
     }
   }
@@ -328,27 +329,28 @@
   }
   mState.mLog.Line("place_ended")
     .Text("server", aServer)
-    .Text("model", found->second.mWant.mModel)
-    .Text("adapter", found->second.mWant.mAdapter)
+    .Text("model", found->second.mRequest.mModel)
+    .Text("adapter", found->second.mRequest.mAdapter)
     .Text("why", aWhy)
-    .Count("busy", found->second.mBusy)
+    .Count("busy", found->second.mBusyAnswers)
     .Ms("took_ms", mState.AgeOf(found->second.mBegan));
   const Job& job = found->second;
   Backend* backend = mState.mServers.Find(aServer);
-  bool there = backend && backend->Holds(job.mWant.mModel, job.mWant.mAdapter);
+  bool held =
+    backend && backend->Holds(job.mRequest.mModel, job.mRequest.mAdapter);
   if (job.mSource == WeightSource::Store) {
-    mStoreLoads.Ended(aServer, there, mState.Now());
+    mStoreLoads.Ended(aServer, held, mState.Now());
     SendStoreLoad(aServer, Millis(0));
   }
   if (backend) {
     backend->mLoadingUntil = mState.Now();
   }
   // An order may still be in progress, or arrive late.
-  if (backend && !there) {
+  if (backend && !held) {
     mInventories.Of(aServer).Forget();
   }
-  if (there && job.mWant.mAdapter.empty()) {
-    Settle(aServer, job.mWant.mModel);
+  if (held && job.mRequest.mAdapter.empty()) {
+    MarkRecentlyLoaded(aServer, job.mRequest.mModel);
   }
   mScheduleDue = true;
   mJobs.erase(found);
@@ -359,14 +361,15 @@
 // only with those instances' next heartbeats. Without the protection the model
 // seems idle and is evicted by the next load as soon as it is loaded.
 void
-LoadScheduler::Settle(const std::string& aServer, const std::string& aModel)
+LoadScheduler::MarkRecentlyLoaded(const std::string& aServer,
+                                  const std::string& aModel)
 {
   TimePoint now = mState.Now();
   for (auto at = mRecentlyLoaded.begin(); at != mRecentlyLoaded.end();) {
     at = now < at->second ? std::next(at) : mRecentlyLoaded.erase(at);
   }
   mRecentlyLoaded[{ aServer, aModel }] =
-    now + std::min(mPeers.HeartbeatInterval() * kSettleRounds, kMostSettle);
+    now + std::min(mPeers.HeartbeatInterval() * kSettleRounds, kMaxSettleTime);
 }
 
 } // namespace caraway
--- a/src/entry/OrderLimits.h
+++ b/src/entry/OrderLimits.h
@@ -13,7 +13,7 @@
 
 // A server answers an order within milliseconds; without an answer within this
 // time it is down or the answer is lost.
-inline constexpr Millis kOrderTime{ 500 };
+inline constexpr Millis kOrderTimeout{ 500 };
 
 } // namespace caraway
 
--- a/src/entry/ServerInventories.cpp
+++ b/src/entry/ServerInventories.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr Millis kLearn{ 50 };
+constexpr Millis kReportCheckInterval{ 50 };
 
 // Reports are about 100 ms old.
-constexpr Millis kLearnAgain{ 120 };
+constexpr Millis kReportRetryInterval{ 120 };
 
-constexpr Millis kRecheck{ 1000 };
+constexpr Millis kRecheckInterval{ 1000 };
 
-constexpr Millis kTellTick{ 1000 };
+constexpr Millis kSendTick{ 1000 };
 
 // In heartbeat rounds: a second in a small fleet. In a large fleet the messages
 // are rare enough for a lease holder to stay within its share of a narrow link.
@@ -41,12 +41,13 @@
 void
 ServerInventories::Start()
 {
-  mState.mReactor.Every(kLearn, [this] { RequestMissingReports(); });
-  mState.mReactor.Every(kTellTick, [this] { SendAllContents(); });
+  mState.mReactor.Every(kReportCheckInterval,
+                        [this] { RequestMissingReports(); });
+  mState.mReactor.Every(kSendTick, [this] { SendAllContents(); });
 }
 
 bool
-ServerInventories::Mine(const Backend& aBackend) const
+ServerInventories::InZone(const Backend& aBackend) const
 {
   return aBackend.mEntry.mZone == mZone;
 }
@@ -59,14 +60,14 @@
   if (mToken != mLease.Token()) {
     mToken = mLease.Token();
     for (auto& [server, entry] : mEntries) {
-      entry.mAccount.Forget();
+      entry.mInventory.Forget();
     }
   }
   Entry& entry = mEntries[aServer];
   const Backend* backend = mState.mServers.Find(aServer);
-  if (backend && backend->mEntry.mStartTime != entry.mAccount.Born()) {
-    entry.mAccount.Restart(backend->mEntry.mStartTime);
-    entry.mAskNext = TimePoint();
+  if (backend && backend->mEntry.mStartTime != entry.mInventory.Born()) {
+    entry.mInventory.Restart(backend->mEntry.mStartTime);
+    entry.mNextReportAt = TimePoint();
   }
   return entry;
 }
@@ -74,7 +75,7 @@
 ServerInventory&
 ServerInventories::Of(const std::string& aServer)
 {
-  return EntryOf(aServer).mAccount;
+  return EntryOf(aServer).mInventory;
 }
 
 bool
@@ -84,10 +85,10 @@
 }
 
 bool
-ServerInventories::AtRest(const std::string& aServer)
+ServerInventories::CanTakeOrder(const std::string& aServer)
 {
   Entry& entry = EntryOf(aServer);
-  return entry.mAccount.Known() && !entry.mLate;
+  return entry.mInventory.Known() && !entry.mLoadPending;
 }
 
 // ---- Reports
@@ -99,21 +100,21 @@
     return;
   }
   TimePoint now = mState.Now();
-  std::vector<std::string> unknown;
+  std::vector<std::string> missing;
   for (const auto& [id, backend] : mState.mServers.All()) {
     bool engine =
       mState.mConfig && mState.mConfig->EngineOf(backend.mEntry.mService);
-    if (!engine || !Mine(backend)) {
+    if (!engine || !InZone(backend)) {
       continue;
     }
     Entry& entry = EntryOf(id);
-    bool wanted = !entry.mAccount.Known() || entry.mLate;
-    if (wanted && !entry.mAsking && now >= entry.mAskNext) {
-      unknown.push_back(id);
+    bool wanted = !entry.mInventory.Known() || entry.mLoadPending;
+    if (wanted && !entry.mReportPending && now >= entry.mNextReportAt) {
+      missing.push_back(id);
     }
   }
-  for (const std::string& id : unknown) {
-    Learn(id, [](bool) {});
+  for (const std::string& id : missing) {
+    RequestReport(id, [](bool) {});
   }
   for (auto at = mEntries.begin(); at != mEntries.end();) {
     at = mState.mServers.Find(at->first) ? std::next(at) : mEntries.erase(at);
@@ -121,8 +122,8 @@
 }
 
 void
-ServerInventories::Learn(const std::string& aServer,
-                         std::function<void(bool)> aThen)
+ServerInventories::RequestReport(const std::string& aServer,
+                                 std::function<void(bool)> aThen)
 {
   Backend* backend = mState.mServers.Find(aServer);
   if (!backend) {
@@ -130,8 +131,8 @@
     return;
   }
   Entry& entry = EntryOf(aServer);
-  entry.mAsking = true;
-  entry.mAskNext = mState.Now() + kLearnAgain;
+  entry.mReportPending = true;
+  entry.mNextReportAt = mState.Now() + kReportRetryInterval;
   OutboundRequest request;
   request.mAddress = backend->mEntry.mAddress;
   request.mPeer = aServer;
@@ -141,11 +142,11 @@
     mState.mReactor,
     mState.mServerPool,
     std::move(request),
-    kOrderTime,
+    kOrderTimeout,
     [this, aServer, born, then = std::move(aThen)](BufferedAnswer& aAnswer) {
       auto found = mEntries.find(aServer);
       if (found != mEntries.end()) {
-        found->second.mAsking = false;
+        found->second.mReportPending = false;
       }
       Backend* known = mState.mServers.Find(aServer);
       if (!known || known->mEntry.mStartTime != born) {
@@ -155,21 +156,21 @@
       Entry& asked = EntryOf(aServer);
       auto report = wire::ReadReport(aAnswer.mBody);
       HeldModels before = known->mModels;
-      bool settled = report && asked.mAccount.OnReport(*report);
-      bool late =
-        report && !settled && asked.mAccount.OnLoadStillPending(*report);
-      asked.mLate = !settled && (asked.mLate || late);
-      if (settled || late) {
-        Show(aServer);
+      bool confirmed = report && asked.mInventory.OnReport(*report);
+      bool loadPending =
+        report && !confirmed && asked.mInventory.OnLoadStillPending(*report);
+      asked.mLoadPending = !confirmed && (asked.mLoadPending || loadPending);
+      if (confirmed || loadPending) {
+        ApplyAndSend(aServer);
       }
       if (known->mModels != before) {
         mState.mLog.Line("content_corrected")
           .Text("server", aServer)
           .Count("orders", report->mOrders)
-          .Flag("still_loading", late);
+          .Flag("still_loading", loadPending);
         mChanged();
       }
-      then(settled);
+      then(confirmed);
     });
 }
 
@@ -177,36 +178,37 @@
 ServerInventories::Recheck(const std::string& aServer)
 {
   Entry& entry = EntryOf(aServer);
-  if (mState.Now() - entry.mRechecked >= kRecheck && !entry.mAsking) {
+  if (mState.Now() - entry.mRechecked >= kRecheckInterval &&
+      !entry.mReportPending) {
     entry.mRechecked = mState.Now();
-    Learn(aServer, [](bool) {});
+    RequestReport(aServer, [](bool) {});
   }
 }
 
 // ---- Sending
 
 void
-ServerInventories::Put(const std::string& aServer)
+ServerInventories::Apply(const std::string& aServer)
 {
-  const ServerInventory& account = Of(aServer);
-  if (account.Known()) {
+  const ServerInventory& inventory = Of(aServer);
+  if (inventory.Known()) {
     mState.mServers.PutContent(aServer,
-                               account.Born(),
-                               account.Orders(),
-                               account.Usable(),
+                               inventory.Born(),
+                               inventory.Orders(),
+                               inventory.Usable(),
                                mState.Now());
   }
 }
 
 void
-ServerInventories::Show(const std::string& aServer)
+ServerInventories::ApplyAndSend(const std::string& aServer)
 {
-  Put(aServer);
-  Tell(aServer);
+  Apply(aServer);
+  SendContent(aServer);
 }
 
 void
-ServerInventories::Tell(const std::string& aServer)
+ServerInventories::SendContent(const std::string& aServer)
 {
   if (const Backend* backend = mState.mServers.Find(aServer)) {
     mPeers.SendMessage(
@@ -223,12 +225,12 @@
     return;
   }
   TimePoint now = mState.Now();
-  Millis again =
+  Millis interval =
     mPeers.HeartbeatInterval() * mPeers.HeartbeatRounds() * kSendAllRounds;
-  bool due = now - mSentAllAt >= again;
+  bool due = now - mSentAllAt >= interval;
   Json::Value all(Json::arrayValue);
   for (auto& [id, backend] : mState.mServers.All()) {
-    if (!Mine(backend) || !Known(id)) {
+    if (!InZone(backend) || !Known(id)) {
       continue;
     }
     backend.mReportedAt = now;
@@ -243,18 +245,19 @@
 }
 
 void
-ServerInventories::OnContent(const Json::Value& aNote)
+ServerInventories::OnContent(const Json::Value& aMessage)
 {
-  std::string server = aNote["id"].asString();
+  std::string server = aMessage["id"].asString();
   Backend* backend = mState.mServers.Find(server);
-  if (!backend || (mLease.Holds() && Mine(*backend))) {
+  if (!backend || (mLease.Holds() && InZone(*backend))) {
     return; // the lease holder's own inventory takes precedence
   }
-  backend->mLoadingUntil = mState.Now() + Millis(aNote["loading_ms"].asInt64());
+  backend->mLoadingUntil =
+    mState.Now() + Millis(aMessage["loading_ms"].asInt64());
   if (mState.mServers.PutContent(server,
-                                 aNote["born"].asInt64(),
-                                 aNote["orders"].asInt64(),
-                                 ReadModels(aNote["models"]),
+                                 aMessage["born"].asInt64(),
+                                 aMessage["orders"].asInt64(),
+                                 ReadModels(aMessage["models"]),
                                  mState.Now())) {
     mChanged();
   }
--- a/src/entry/ServerInventories.h
+++ b/src/entry/ServerInventories.h
@@ -36,37 +36,37 @@
   ServerInventory& Of(const std::string& aServer);
   bool Known(const std::string& aServer);
   // The inventory is known and no load is in progress, as far as is known.
-  bool AtRest(const std::string& aServer);
+  bool CanTakeOrder(const std::string& aServer);
   // Requests a report of the server. aThen is told whether the report confirmed
   // the inventory.
-  void Learn(const std::string& aServer,
-             std::function<void(bool aSettled)> aThen);
+  void RequestReport(const std::string& aServer,
+                     std::function<void(bool aConfirmed)> aThen);
   // Makes this instance route requests by the inventory.
-  void Put(const std::string& aServer);
+  void Apply(const std::string& aServer);
   // Apply(), and sends the content to the other instances.
-  void Show(const std::string& aServer);
+  void ApplyAndSend(const std::string& aServer);
   // Sends the content to the other instances, e.g. when a load has started.
-  void Tell(const std::string& aServer);
+  void SendContent(const std::string& aServer);
   // Requests a report, at a limited rate, of a server whose known content may
   // be wrong.
   void Recheck(const std::string& aServer);
 
   // The content of a server as sent by another instance.
-  void OnContent(const Json::Value& aNote);
+  void OnContent(const Json::Value& aMessage);
 
 private:
   struct Entry
   {
-    ServerInventory mAccount;
-    bool mAsking = false;
-    bool mLate = false; // a load assumed to be done is still in progress
-    TimePoint mAskNext{};
+    ServerInventory mInventory;
+    bool mReportPending = false;
+    bool mLoadPending = false; // a load assumed to be done is still in progress
+    TimePoint mNextReportAt{};
     TimePoint mRechecked{};
   };
   Entry& EntryOf(const std::string& aServer);
   void RequestMissingReports();
   void SendAllContents();
-  bool Mine(const Backend& aBackend) const;
+  bool InZone(const Backend& aBackend) const;
 
   EntryState& mState;
   Peers& mPeers;
--- a/src/entry/ZoneSchedulers.cpp
+++ b/src/entry/ZoneSchedulers.cpp
@@ -10,11 +10,11 @@
 
 // Load requests are repeated at this interval while requests wait: the lease
 // holder drops those that are not repeated.
-constexpr Millis kAskAgain{ 400 };
+constexpr Millis kRequestInterval{ 400 };
 
-constexpr Millis kAskTime{ 400 };
+constexpr Millis kRequestTimeout{ 400 };
 
-constexpr char kWant[] = "want";
+constexpr char kLoadRequestMethod[] = "want";
 
 } // namespace
 
@@ -33,9 +33,9 @@
   Add(mState.mSettings.mZone, aLease);
   for (const std::string& zone : mState.mSettings.mZones) {
     if (zone != mState.mSettings.mZone) {
-      auto outside = std::make_unique<OtherZone>(mState, mStore, mPeers, zone);
-      Add(zone, outside->mLease);
-      mOtherZones[zone] = std::move(outside);
+      auto other = std::make_unique<OtherZone>(mState, mStore, mPeers, zone);
+      Add(zone, other->mLease);
+      mOtherZones[zone] = std::move(other);
     }
   }
 }
@@ -48,8 +48,8 @@
     mPeers,
     aLease,
     aZone,
-    [this, aZone](const char* aKind, const Json::Value& aNote) {
-      NotifyHolders(aZone, aKind, aNote);
+    [this, aZone](const char* aKind, const Json::Value& aMessage) {
+      NotifyHolders(aZone, aKind, aMessage);
     },
     [this] { mChanged(); });
 }
@@ -57,31 +57,31 @@
 void
 ZoneSchedulers::Start()
 {
-  mPeers.Add(kWant, [this](const Json::Value& aParams) {
+  mPeers.Add(kLoadRequestMethod, [this](const Json::Value& aParams) {
     return OnLoadRequestCall(aParams);
   });
   for (const char* kind : { kClaimMessage, kStoreLoadMessage }) {
-    mPeers.OnMessage(kind, [this, kind](const Json::Value& aNote) {
-      for (const auto& [zone, desk] : mSchedulers) {
-        DispatchMessage(*desk, kind, aNote);
+    mPeers.OnMessage(kind, [this, kind](const Json::Value& aMessage) {
+      for (const auto& [zone, scheduler] : mSchedulers) {
+        DispatchMessage(*scheduler, kind, aMessage);
       }
     });
   }
-  mPeers.OnMessage("contents", [this](const Json::Value& aNote) {
-    for (const Json::Value& content : aNote) {
+  mPeers.OnMessage("contents", [this](const Json::Value& aMessage) {
+    for (const Json::Value& content : aMessage) {
       OnContent(content);
     }
   });
-  mPeers.OnMessage("content",
-                   [this](const Json::Value& aNote) { OnContent(aNote); });
+  mPeers.OnMessage(
+    "content", [this](const Json::Value& aMessage) { OnContent(aMessage); });
   mPeers.OnHeartbeatFill([this](Json::Value& aHeartbeat) {
     aHeartbeat["queued"] = static_cast<int>(Waiting());
     if (mState.mLeave.Leaving()) {
       aHeartbeat["leaving"] = true;
     }
   });
-  for (const auto& [zone, desk] : mSchedulers) {
-    desk->Start();
+  for (const auto& [zone, scheduler] : mSchedulers) {
+    scheduler->Start();
   }
   StartTakeovers();
 }
@@ -89,8 +89,8 @@
 void
 ZoneSchedulers::OnChanged()
 {
-  for (const auto& [zone, desk] : mSchedulers) {
-    desk->OnChanged();
+  for (const auto& [zone, scheduler] : mSchedulers) {
+    scheduler->OnChanged();
   }
 }
 
@@ -98,8 +98,8 @@
 ZoneSchedulers::Loads() const
 {
   size_t loads = 0;
-  for (const auto& [zone, desk] : mSchedulers) {
-    loads += desk->Loads();
+  for (const auto& [zone, scheduler] : mSchedulers) {
+    loads += scheduler->Loads();
   }
   return loads;
 }
@@ -108,8 +108,8 @@
 ZoneSchedulers::Waiting() const
 {
   size_t waiting = 0;
-  for (const auto& [zone, desk] : mSchedulers) {
-    waiting += desk->Waiting();
+  for (const auto& [zone, scheduler] : mSchedulers) {
+    waiting += scheduler->Waiting();
   }
   return waiting;
 }
@@ -124,9 +124,9 @@
 }
 
 ZoneSchedulers::Key
-ZoneSchedulers::KeyOf(const LoadRequest& aWant)
+ZoneSchedulers::KeyOf(const LoadRequest& aRequest)
 {
-  return { aWant.mService, aWant.mModel, aWant.mAdapter };
+  return { aRequest.mService, aRequest.mModel, aRequest.mAdapter };
 }
 
 LoadScheduler*
@@ -143,9 +143,9 @@
 std::optional<ZoneSchedulers::SchedulerState>
 ZoneSchedulers::SchedulerStateOf(const std::string& aZone) const
 {
-  const LoadScheduler* desk = Find(aZone);
-  if (desk && desk->Holds()) {
-    return SchedulerState{ "", static_cast<int>(desk->Waiting()) };
+  const LoadScheduler* scheduler = Find(aZone);
+  if (scheduler && scheduler->Holds()) {
+    return SchedulerState{ "", static_cast<int>(scheduler->Waiting()) };
   }
   std::string holder = mPeers.HolderOf(ZoneLeaseName(aZone));
   auto peer = mPeers.All().find(holder);
@@ -158,22 +158,23 @@
 // The zone that can load it soonest, by its nearest copy of the weights; for an
 // adapter, one that holds the model.
 std::string
-ZoneSchedulers::ZoneFor(const LoadRequest& aWant) const
+ZoneSchedulers::ZoneFor(const LoadRequest& aRequest) const
 {
   const EngineSpec* engine =
-    mState.mConfig ? mState.mConfig->EngineOf(aWant.mService) : nullptr;
-  if (!engine || !engine->mModels.count(aWant.mModel)) {
+    mState.mConfig ? mState.mConfig->EngineOf(aRequest.mService) : nullptr;
+  if (!engine || !engine->mModels.count(aRequest.mModel)) {
     return "";
   }
-  const ModelWeights& weights = engine->mModels.at(aWant.mModel);
+  const ModelWeights& weights = engine->mModels.at(aRequest.mModel);
   std::map<std::string, ZoneOffer> offers;
   for (const auto& [id, backend] : mState.mServers.All()) {
-    if (backend.mEntry.mService != aWant.mService || backend.mEntry.mDraining) {
+    if (backend.mEntry.mService != aRequest.mService ||
+        backend.mEntry.mDraining) {
       continue;
     }
     Millis wait{ 0 };
-    if (!backend.Holds(aWant.mModel, "")) {
-      wait = LoadTime(weights, SourceOf(backend, aWant.mModel)) +
+    if (!backend.Holds(aRequest.mModel, "")) {
+      wait = LoadTime(weights, SourceOf(backend, aRequest.mModel)) +
              backend.LoadingFor(mState.Now());
     }
     ZoneOffer& offer = offers[backend.mEntry.mZone];
@@ -183,9 +184,9 @@
   }
   std::vector<ZoneOffer> known;
   for (auto& [zone, offer] : offers) {
-    if (auto desk = SchedulerStateOf(zone)) {
+    if (auto scheduler = SchedulerStateOf(zone)) {
       offer.mZone = zone;
-      offer.mQueued = desk->mQueued;
+      offer.mQueued = scheduler->mQueued;
       known.push_back(offer);
     }
   }
@@ -193,33 +194,34 @@
 }
 
 void
-ZoneSchedulers::Want(const LoadRequest& aWant)
+ZoneSchedulers::Want(const LoadRequest& aRequest)
 {
   TimePoint now = mState.Now();
-  Asked& asked = mAsked[KeyOf(aWant)];
-  bool lately = asked.mAt != TimePoint() && now - asked.mAt < kAskAgain;
-  if (asked.mRequestPending || lately) {
+  RequestState& request = mRequests[KeyOf(aRequest)];
+  bool lately =
+    request.mAt != TimePoint() && now - request.mAt < kRequestInterval;
+  if (request.mRequestPending || lately) {
     return;
   }
-  asked.mAt = now;
-  std::string zone = ZoneFor(aWant);
+  request.mAt = now;
+  std::string zone = ZoneFor(aRequest);
   if (zone.empty()) {
     return;
   }
-  asked.mRequestPending = true;
-  LoadScheduler* desk = Find(zone);
-  if (desk && desk->Holds()) {
-    OnTold(aWant, true, desk->OnLoadRequest(aWant));
+  request.mRequestPending = true;
+  LoadScheduler* scheduler = Find(zone);
+  if (scheduler && scheduler->Holds()) {
+    OnLoadReply(aRequest, true, scheduler->OnLoadRequest(aRequest));
     return;
   }
-  Json::Value params = LoadRequestJson(aWant);
+  Json::Value params = LoadRequestJson(aRequest);
   params["zone"] = zone;
   mPeers.Call(mPeers.HolderOf(ZoneLeaseName(zone)),
-              kWant,
+              kLoadRequestMethod,
               params,
-              kAskTime,
-              [this, aWant](bool aGood, const Json::Value& aResult) {
-                OnTold(aWant, aGood, aResult);
+              kRequestTimeout,
+              [this, aRequest](bool aGood, const Json::Value& aResult) {
+                OnLoadReply(aRequest, aGood, aResult);
               });
 }
 
@@ -228,29 +230,29 @@
 ZoneSchedulers::OnLoadRequestCall(const Json::Value& aParams)
 {
   std::string zone = aParams["zone"].asString();
-  LoadScheduler* desk = Find(zone.empty() ? mState.mSettings.mZone : zone);
-  return desk ? desk->OnLoadRequest(ReadLoadRequest(aParams))
-              : Json::Value(Json::objectValue);
+  LoadScheduler* scheduler = Find(zone.empty() ? mState.mSettings.mZone : zone);
+  return scheduler ? scheduler->OnLoadRequest(ReadLoadRequest(aParams))
+                   : Json::Value(Json::objectValue);
 }
 
 void
-ZoneSchedulers::OnTold(const LoadRequest& aWant,
-                       bool aGood,
-                       const Json::Value& aResult)
+ZoneSchedulers::OnLoadReply(const LoadRequest& aRequest,
+                            bool aGood,
+                            const Json::Value& aResult)
 {
-  Asked& asked = mAsked[KeyOf(aWant)];
-  asked.mRequestPending = false;
-  asked.mExpected = TimePoint();
+  RequestState& request = mRequests[KeyOf(aRequest)];
+  request.mRequestPending = false;
+  request.mExpected = TimePoint();
   if (aGood && aResult["expected_ms"].isInt64()) {
-    asked.mExpected = mState.Now() + Millis(aResult["expected_ms"].asInt64());
+    request.mExpected = mState.Now() + Millis(aResult["expected_ms"].asInt64());
   }
 }
 
 std::optional<Millis>
-ZoneSchedulers::Expected(const LoadRequest& aWant)
+ZoneSchedulers::Expected(const LoadRequest& aRequest)
 {
-  auto found = mAsked.find(KeyOf(aWant));
-  if (found == mAsked.end() || found->second.mExpected <= mState.Now()) {
+  auto found = mRequests.find(KeyOf(aRequest));
+  if (found == mRequests.end() || found->second.mExpected <= mState.Now()) {
     return std::nullopt;
   }
   return std::chrono::duration_cast<Millis>(found->second.mExpected -
@@ -260,12 +262,13 @@
 // ---- Messages
 
 void
-ZoneSchedulers::OnContent(const Json::Value& aNote)
+ZoneSchedulers::OnContent(const Json::Value& aMessage)
 {
-  const Backend* backend = mState.mServers.Find(aNote["id"].asString());
-  LoadScheduler* desk = backend ? Find(backend->mEntry.mZone) : nullptr;
+  const Backend* backend = mState.mServers.Find(aMessage["id"].asString());
+  LoadScheduler* scheduler = backend ? Find(backend->mEntry.mZone) : nullptr;
   if (backend) {
-    (desk ? *desk : *Find(mState.mSettings.mZone)).OnContent(aNote);
+    (scheduler ? *scheduler : *Find(mState.mSettings.mZone))
+      .OnContent(aMessage);
   }
 }
 
@@ -274,31 +277,31 @@
 void
 ZoneSchedulers::NotifyHolders(const std::string& aFrom,
                               const char* aKind,
-                              const Json::Value& aNote)
+                              const Json::Value& aMessage)
 {
   std::set<std::string> holders;
-  for (const auto& [zone, desk] : mSchedulers) {
-    if (zone != aFrom && desk->Holds()) {
-      DispatchMessage(*desk, aKind, aNote);
+  for (const auto& [zone, scheduler] : mSchedulers) {
+    if (zone != aFrom && scheduler->Holds()) {
+      DispatchMessage(*scheduler, aKind, aMessage);
     } else if (zone != aFrom) {
       holders.insert(mPeers.HolderOf(ZoneLeaseName(zone)));
     }
   }
   holders.erase("");
   for (const std::string& holder : holders) {
-    mPeers.SendMessageTo(holder, aKind, aNote);
+    mPeers.SendMessageTo(holder, aKind, aMessage);
   }
 }
 
 void
 ZoneSchedulers::DispatchMessage(LoadScheduler& aScheduler,
                                 const char* aKind,
-                                const Json::Value& aNote)
+                                const Json::Value& aMessage)
 {
   if (aKind == kStoreLoadMessage) {
-    aScheduler.OnStoreLoad(aNote);
-  } else if (aNote["zone"].asString() != aScheduler.Zone()) {
-    aScheduler.OnClaim(aNote);
+    aScheduler.OnStoreLoad(aMessage);
+  } else if (aMessage["zone"].asString() != aScheduler.Zone()) {
+    aScheduler.OnClaim(aMessage);
   }
 }
 
--- a/src/entry/ZoneSchedulers.h
+++ b/src/entry/ZoneSchedulers.h
@@ -41,15 +41,15 @@
   // Number of zones whose lease this instance holds.
   size_t LedZones() const;
 
-  void Want(const LoadRequest& aWant) override;
-  std::optional<Millis> Expected(const LoadRequest& aWant) override;
+  void Want(const LoadRequest& aRequest) override;
+  std::optional<Millis> Expected(const LoadRequest& aRequest) override;
 
 private:
   // Service, model, adapter.
   using Key = std::tuple<std::string, std::string, std::string>;
 
   // A load request of this instance and its answer.
-  struct Asked
+  struct RequestState
   {
     TimePoint mAt{};
     TimePoint mExpected{}; // end of the load; none = not known
@@ -73,38 +73,40 @@
     bool mLed = false; // as last logged
   };
 
-  static Key KeyOf(const LoadRequest& aWant);
+  static Key KeyOf(const LoadRequest& aRequest);
   void Add(const std::string& aZone, LeaseLoop& aLease);
   LoadScheduler* Find(const std::string& aZone) const;
 
   // Load requests.
   std::optional<SchedulerState> SchedulerStateOf(
     const std::string& aZone) const;
-  std::string ZoneFor(const LoadRequest& aWant) const;
-  void OnTold(const LoadRequest& aWant, bool aGood, const Json::Value& aResult);
+  std::string ZoneFor(const LoadRequest& aRequest) const;
+  void OnLoadReply(const LoadRequest& aRequest,
+                   bool aGood,
+                   const Json::Value& aResult);
   Json::Value OnLoadRequestCall(const Json::Value& aParams);
-  void OnContent(const Json::Value& aNote);
+  void OnContent(const Json::Value& aMessage);
   void NotifyHolders(const std::string& aFrom,
                      const char* aKind,
-                     const Json::Value& aNote);
+                     const Json::Value& aMessage);
   void DispatchMessage(LoadScheduler& aScheduler,
                        const char* aKind,
-                       const Json::Value& aNote);
+                       const Json::Value& aMessage);
 
   // Leading zones that have no instance.
   void StartTakeovers();
   void OnHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat);
-  void Look();
-  void CheckZone(const std::string& aZone, OtherZone& aOutside);
+  void CheckZones();
+  void CheckZone(const std::string& aZone, OtherZone& aOther);
   int RankFor(const std::string& aZone) const;
-  void LogLed(const std::string& aZone, OtherZone& aOutside);
+  void LogLed(const std::string& aZone, OtherZone& aOther);
 
   EntryState& mState;
   StoreClient& mStore;
   Peers& mPeers;
   Membership& mMembers;
   std::function<void()> mChanged;
-  std::map<Key, Asked> mAsked;
+  std::map<Key, RequestState> mRequests;
   std::map<std::string, std::unique_ptr<OtherZone>> mOtherZones;     // by zone
   std::map<std::string, std::unique_ptr<LoadScheduler>> mSchedulers; // by zone
   std::set<std::string> mLeaving; // instances that are shutting down
--- a/src/entry/ZoneSchedulersTakeover.cpp
+++ b/src/entry/ZoneSchedulersTakeover.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Millis kLook{ 200 };
+constexpr Millis kZoneCheckInterval{ 200 };
 
 } // namespace
 
@@ -35,17 +35,17 @@
   });
   mMembers.OnZoneCounts(
     [this](const std::map<std::string, int>& aByZone, TimePoint aAskedAt) {
-      for (auto& [zone, outside] : mOtherZones) {
+      for (auto& [zone, other] : mOtherZones) {
         auto found = aByZone.find(zone);
-        outside->mTakeover.OnListed(found == aByZone.end() ? 0 : found->second,
-                                    aAskedAt);
+        other->mTakeover.OnListed(found == aByZone.end() ? 0 : found->second,
+                                  aAskedAt);
       }
     });
-  for (auto& [zone, outside] : mOtherZones) {
-    outside->mLease.SetWanted(false);
-    outside->mLease.Start();
+  for (auto& [zone, other] : mOtherZones) {
+    other->mLease.SetWanted(false);
+    other->mLease.Start();
   }
-  mState.mReactor.Every(kLook, [this] { Look(); });
+  mState.mReactor.Every(kZoneCheckInterval, [this] { CheckZones(); });
 }
 
 // An instance that is shutting down has released its lease and sends no orders.
@@ -67,32 +67,32 @@
 }
 
 void
-ZoneSchedulers::Look()
+ZoneSchedulers::CheckZones()
 {
-  for (auto& [zone, outside] : mOtherZones) {
-    CheckZone(zone, *outside);
+  for (auto& [zone, other] : mOtherZones) {
+    CheckZone(zone, *other);
   }
 }
 
 void
-ZoneSchedulers::CheckZone(const std::string& aZone, OtherZone& aOutside)
+ZoneSchedulers::CheckZone(const std::string& aZone, OtherZone& aOther)
 {
   TimePoint now = mState.Now();
-  ZoneTakeover& adoption = aOutside.mTakeover;
-  adoption.SetHeartbeatInterval(mPeers.HeartbeatInterval());
-  adoption.OnLedHere(aOutside.mLease.Holds());
-  if (adoption.Silent(now)) {
-    adoption.SetRank(RankFor(aZone));
-    aOutside.mLease.SetRankYield(ZoneTakeover::kRankYield * adoption.Rank());
-    if (!mPeers.HolderOf(aOutside.mLease.Name()).empty()) {
-      adoption.OnLedByOther(now);
+  ZoneTakeover& takeover = aOther.mTakeover;
+  takeover.SetHeartbeatInterval(mPeers.HeartbeatInterval());
+  takeover.OnLedHere(aOther.mLease.Holds());
+  if (takeover.Silent(now)) {
+    takeover.SetRank(RankFor(aZone));
+    aOther.mLease.SetRankYield(ZoneTakeover::kRankYield * takeover.Rank());
+    if (!mPeers.HolderOf(aOther.mLease.Name()).empty()) {
+      takeover.OnLedByOther(now);
     }
   }
-  if (!mState.mLeave.Leaving() && adoption.NeedsList(now)) {
+  if (!mState.mLeave.Leaving() && takeover.NeedsList(now)) {
     mMembers.RequestFreshList();
   }
-  aOutside.mLease.SetWanted(!mState.mLeave.Leaving() && adoption.MayLead(now));
-  LogLed(aZone, aOutside);
+  aOther.mLease.SetWanted(!mState.mLeave.Leaving() && takeover.MayLead(now));
+  LogLed(aZone, aOther);
 }
 
 // Number of live instances of other zones that rank before this one.
@@ -111,21 +111,21 @@
 }
 
 void
-ZoneSchedulers::LogLed(const std::string& aZone, OtherZone& aOutside)
+ZoneSchedulers::LogLed(const std::string& aZone, OtherZone& aOther)
 {
-  bool led = aOutside.mLease.Holds();
-  if (led == aOutside.mLed) {
+  bool led = aOther.mLease.Holds();
+  if (led == aOther.mLed) {
     return;
   }
-  aOutside.mLed = led;
-  const ZoneTakeover& adoption = aOutside.mTakeover;
+  aOther.mLed = led;
+  const ZoneTakeover& takeover = aOther.mTakeover;
   mState.mLog.Line(led ? "zone_adopted" : "zone_handed_back")
     .Text("zone", aZone)
-    .Count("token", aOutside.mLease.Token())
-    .Count("entries", adoption.Entries())
-    .Ms("list_age_ms", mState.AgeOf(adoption.ListedAt()))
-    .Ms("heard_ms", mState.AgeOf(adoption.HeardAt()))
-    .Count("rank", adoption.Rank())
+    .Count("token", aOther.mLease.Token())
+    .Count("entries", takeover.Entries())
+    .Ms("list_age_ms", mState.AgeOf(takeover.ListedAt()))
+    .Ms("heard_ms", mState.AgeOf(takeover.HeardAt()))
+    .Count("rank", takeover.Rank())
     .Flag("leaving", mState.mLeave.Leaving());
 }
 
