--- a/src/entry/LeaseLoop.cpp
+++ b/src/entry/LeaseLoop.cpp
@@ -6,20 +6,21 @@
 
 constexpr char kKind[] = "caraway-leases";
 
-// A lease is looked at this often; it lasts for seconds.
+// Interval of the lease checks; a lease lasts for seconds.
 constexpr Millis kTick{ 100 };
 
-// Instances that start together look for the lease one after the other, so
-// that most find it taken instead of racing for it.
+// Upper bound of the random delay of the first check: of instances that start
+// together most then find the lease taken instead of racing for it.
 constexpr Millis kStagger{ 300 };
 
-// Left to others by an instance that has a whole core, longer by who has less:
-// 0.1 s by half a core, 0.4 s by an eighth. The holder of a zone of 20
-// instances and 15 servers needs about an eighth of a core for its orders.
+// Time for which an instance with one core leaves a free lease to the others.
+// It is longer for a smaller share of a core: 0.1 s for a half, 0.4 s for an
+// eighth. The lease holder of a zone of 20 instances and 15 servers needs about
+// an eighth of a core for its orders.
 constexpr Millis kYieldOfACore{ 50 };
 
-// Pulses after which a living holder has said that it holds the lease, however
-// lately it has taken it; some are lost.
+// Heartbeats after which a live holder must have claimed the lease, even if it
+// has just taken it; a heartbeat may be lost.
 constexpr int kClaimHeartbeats = 2;
 
 Millis
@@ -134,10 +135,10 @@
     mStep.OnClaim(other, aNow);
     mLastClaimant = other;
   } else if (mPeers.Alive(mLastClaimant)) {
-    mStep.OnHolderReleased(aNow); // it lives, and says so no more
+    mStep.OnHolderReleased(aNow); // alive, but no longer claims it
     mLastClaimant.clear();
   } else if (aNow >= mRecheckAt && mPeers.Alive(mStep.SeenHolder())) {
-    // Given up, perhaps, before its claim was ever heard here.
+    // The holder may have released the lease before any of its claims arrived.
     mRecheckAt = aNow + mPeers.HeartbeatInterval() * kClaimHeartbeats;
     mStep.LookAgain(aNow);
   }
@@ -173,8 +174,8 @@
   object.mSpec["holder"] = wanted.mHolder;
   object.mSpec["token"] = Json::Int64(wanted.mToken);
   object.mSpec["settled"] = wanted.mSettled;
-  // A renewal that changes nothing would keep its revision, and a successor
-  // couldn't see it.
+  // A renewal without a change would keep its revision, and a successor could
+  // not see it.
   object.mSpec["renewed"] = Json::Int64(
     std::chrono::duration_cast<Millis>(mState.Now().time_since_epoch())
       .count());
--- a/src/entry/LeaseLoop.h
+++ b/src/entry/LeaseLoop.h
@@ -1,4 +1,5 @@
-// LeaseLoop.h: runs a lease's decisions against the object store.
+// LeaseLoop.h: reads and writes a lease in the object store as LeaseStep
+// decides.
 #ifndef caraway_entry_LeaseLoop_h
 #define caraway_entry_LeaseLoop_h
 
@@ -12,7 +13,7 @@
 
 namespace caraway {
 
-// Its holder gives the orders of aZone's servers.
+// Name of the lease whose holder sends orders to the servers of aZone.
 std::string
 ZoneLeaseName(const std::string& aZone);
 
@@ -28,9 +29,10 @@
 
   void Start();
   void Release() { SetWanted(false); }
-  // While not wanted, it is given up and left alone. Wanted at the start.
+  // While it is not wanted, the lease is released and not taken. It is wanted
+  // at the start.
   void SetWanted(bool aWanted);
-  // A free lease is left to others for so much longer than to any candidate.
+  // Additional time for which a free lease is left to other candidates.
   void SetRankYield(Millis aYield);
 
   bool Holds() const { return mStep.Holds(mState.Now()); }
@@ -50,11 +52,11 @@
   Peers& mPeers;
   std::string mName;
   LeaseStep mStep;
-  Millis mYield;             // by this instance's part of a core
-  std::string mLastClaimant; // the last that said it holds the lease
-  TimePoint mRecheckAt{};    // at a lease whose holder lives and claims nothing
+  Millis mYield;             // by this instance's share of a core
+  std::string mLastClaimant; // last instance that claimed the lease
+  TimePoint mRecheckAt{};    // when the holder is alive but does not claim it
   bool mWanted = true;
-  bool mTold = false; // what the last log line said
+  bool mTold = false; // as last logged
 };
 
 } // namespace caraway
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -6,29 +6,27 @@
 
 constexpr char kKind[] = "caraway-instances";
 
-// A mate's request to be counted, and the note that it spends no more.
+// The call of an instance to be counted, and the message that it has stopped
+// spending.
 constexpr char kCountMe[] = "count_me";
-
 constexpr char kLeft[] = "left_zone";
 
-// An entry was marked or removed: the list is worth a look.
+// An entry was marked or removed; receivers read a fresh list.
 constexpr char kListNews[] = "list_news";
 
-// The list is read again after the first of these, then twice as long each
-// time up to the last: instances that start together may each read it before
-// the others are on it.
+// The interval of the list doubles from the first of these to the second:
+// instances that start together may each read it before the others are on it.
 constexpr Millis kListSoon{ 300 };
-
 constexpr Millis kListAgain{ 10000 };
 
-// While the store's word is needed, see ZoneMembers.
+// Interval while ZoneMembers::NeedsStore().
 constexpr Millis kListNeeded{ 1000 };
 
 constexpr Millis kRetry{ 300 };
 
 constexpr Millis kTick{ 200 };
 
-// An answer takes milliseconds; a mate that stands still is asked again.
+// An answer takes milliseconds; a peer that does not answer is called again.
 constexpr Millis kAskTime{ 300 };
 
 bool
@@ -122,7 +120,7 @@
   mPeers.Learn(name, zone, aParams["address"].asString());
   if (!name.empty() && zone == mState.mSettings.mZone) {
     mZone.OnNewcomer(name, mState.Now());
-    mOnChange(); // before the answer: the newcomer may spend then
+    mOnChange(); // before the answer, after which the newcomer may spend
   }
 }
 
@@ -157,8 +155,9 @@
               });
 }
 
-// aRevision 0: it is new. aCounted: the entry that it replaces was counted by
-// all, and nobody forgets it without removing the entry.
+// aRevision 0: there is no entry yet. aCounted: the entry to be replaced was
+// counted by all, and no instance stops counting it before the entry is
+// removed.
 void
 Membership::Write(int64_t aRevision, bool aCounted)
 {
@@ -183,7 +182,8 @@
     });
 }
 
-// So that its next life needs nobody's confirmation.
+// Records in the entry that this instance is counted, so that after a restart
+// it needs no confirmation.
 void
 Membership::RecordCounted()
 {
@@ -208,8 +208,8 @@
               });
 }
 
-// The zone is told once the entry is gone: a next life that found it would take
-// itself to be counted.
+// The zone is notified only after the entry has been removed: a restarted
+// instance that still found the entry would assume that it is counted.
 void
 Membership::Leave()
 {
@@ -232,7 +232,7 @@
               });
 }
 
-// ---- The others
+// ---- Other instances
 
 void
 Membership::List()
@@ -273,7 +273,7 @@
     const Json::Value& spec = object.mSpec;
     if (!spec["address"].isString() || !spec["zone"].isString()) {
       mState.mLog.Line("instance_unreadable").Text("peer", object.mName);
-      readable = false; // it may be of any zone
+      readable = false; // its zone is not known
       continue;
     }
     census[spec["zone"].asString()] += 1;
@@ -298,7 +298,7 @@
   mOnChange();
 }
 
-// Those that the list lacks and that are silent are gone.
+// Drops the peers that are silent and not in the list.
 void
 Membership::DropSilentPeers(const std::set<std::string>& aListed)
 {
@@ -340,8 +340,8 @@
   }
 }
 
-// Marks the entry of a silent mate, and removes it later, so that its part is
-// spent again.
+// Marks the entry of a silent zone peer and later removes it, so that its part
+// of the limits is divided among the others.
 void
 Membership::Forget()
 {
--- a/src/entry/Membership.h
+++ b/src/entry/Membership.h
@@ -1,5 +1,5 @@
 // Membership.h: this instance's entry in the store's list of instances, the
-// others' entries, and who of the zone counts whom.
+// entries of the others, and which instances of the zone count each other.
 #ifndef caraway_entry_Membership_h
 #define caraway_entry_Membership_h
 
@@ -22,25 +22,27 @@
   Membership(EntryState& aState, StoreClient& aStore, Peers& aPeers);
 
   void Start();
-  // Tells the zone that this instance spends nothing from now on.
+  // Removes the entry and then notifies the zone that this instance has stopped
+  // spending tokens.
   void Leave();
-  // The zone isn't told yet.
+  // The removal is in progress; the zone has not been notified yet.
   bool RemovingEntry() const { return mRemovingEntry; }
-  // Called when MaySpend() or CountedMembers() may be different.
+  // Called when MaySpend() or CountedMembers() may have changed.
   void OnChange(std::function<void()> aChange)
   {
     mOnChange = std::move(aChange);
   }
-  // Called with how many entries each zone has, as a fresh list showed it.
+  // Called with the number of entries of each zone after each fresh list.
   using ZoneCounts =
     std::function<void(const std::map<std::string, int>&, TimePoint aAskedAt)>;
   void OnZoneCounts(ZoneCounts aCensus) { mOnCensus = std::move(aCensus); }
-  // A fresh list is wanted.
+  // Makes the next list of entries a fresh one, and reads it soon.
   void RequestFreshList() { mFreshListDue = true; }
 
-  // This instance may spend its part of tenants' limits.
+  // This instance may spend its part of the tenants' rate limits.
   bool MaySpend() const { return mZone.MaySpend(mState.Now()); }
-  // The instances of this zone that are counted, this one included.
+  // The instances of this zone among which the limits are divided, including
+  // this one.
   std::vector<std::string> CountedMembers() const { return mZone.All(); }
 
 private:
@@ -69,16 +71,16 @@
   Millis mListWait;
   uint64_t mListRound = 0;
   bool mListing = false;
-  bool mFreshListDue = false; // a fresh list is due
+  bool mFreshListDue = false;
   TimePoint mListedAt{};
   int64_t mRevision = 0;                       // of this instance's entry
   std::map<std::string, StoreObject> mEntries; // of the zone, as listed
-  std::set<std::string> mAsking;               // mates, to be counted
-  bool mJoining = false;                       // a write of the entry is due
-  bool mRemovingEntry = false;                 // its entry is being removed
-  bool mRecordedCounted = false;               // by the entry
+  std::set<std::string> mAsking; // peers called to count this instance
+  bool mJoining = false;         // a write of the entry is in progress
+  bool mRemovingEntry = false;
+  bool mRecordedCounted = false; // the entry says that it is counted
   bool mForgetting = false;
-  bool mTold = false; // what the last log line said
+  bool mTold = false; // as last logged
 };
 
 } // namespace caraway
--- a/src/entry/Peers.cpp
+++ b/src/entry/Peers.cpp
@@ -9,22 +9,22 @@
 
 namespace {
 
-// What others see of a request sent here is as old as this; a server's batch
-// takes longer to fill.
+// Other instances see the requests in flight here with this delay, which is
+// less than the time in which a server's batch fills.
 constexpr Millis kPulse{ 250 };
 
-// Pulses go to so many instances at a time, to all in turn: what an instance
-// sends and reads doesn't grow with the fleet. With 72 instances each hears
-// of each every two seconds, and of somebody 32 times a second.
+// Heartbeats go to this many instances per tick, to all in turn, so that the
+// number sent and received does not grow with the fleet. With 72 instances each
+// receives 32 heartbeats a second, and one of each other instance every two
+// seconds.
 constexpr size_t kAtATime = 8;
 
-// Without a pulse for so long an instance counts as gone: some may be lost.
-// In a large fleet six turns, see HeartbeatInterval().
+// An instance counts as alive for this time after its last heartbeat, as some
+// may be lost; in a large fleet for six rounds, see HeartbeatInterval().
 constexpr Millis kAlive{ 1500 };
-
 constexpr int kAliveRounds = 6;
 
-// A datagram larger than this is cut into pieces by the network.
+// A larger datagram is not sent; the network would fragment it.
 constexpr size_t kMostDatagram = 60000;
 
 std::string
@@ -51,7 +51,7 @@
   mSocket = Poco::Net::DatagramSocket(
     Poco::Net::SocketAddress(mState.mSettings.mPeers), true, false);
   mSocket.setBlocking(false);
-  // Owned by the daemon, which outlives the reactor's last turn.
+  // Owned by the daemon, which outlives the reactor's last pass.
   mState.mReactor.Watch(
     mSocket, std::shared_ptr<SocketHandler>(std::shared_ptr<void>(), this));
   constexpr size_t kMostConns = 512;
@@ -245,7 +245,7 @@
     mState.mMetrics.Count(
       "caraway_peer_bytes_total", "", static_cast<int64_t>(aText.size()));
   } catch (const Poco::Exception&) {
-    // Lost, like any datagram; the next pulse says the same.
+    // Lost like any datagram; the next heartbeat carries the same state.
     mState.mMetrics.Count("caraway_peer_unsent_total", "");
   }
 }
@@ -265,7 +265,7 @@
       ReadDatagram(bytes.substr(0, static_cast<size_t>(count)));
     }
   } catch (const Poco::Exception&) {
-    // A refused datagram of before, told now; nothing to do about it.
+    // An earlier datagram was refused and the error is reported now; ignored.
   }
 }
 
@@ -296,12 +296,12 @@
   }
   int64_t life = aHeartbeat["life"].asInt64();
   if (aHeartbeat["left"].asBool()) {
-    OnGoodbye(aHeartbeat); // the datagram that said so may be lost
+    OnGoodbye(aHeartbeat); // the goodbye message itself may be lost
   }
   bool departed = IsDeparted(name, life);
   if (!departed) {
     bool alive = Alive(name);
-    mDeparted.erase(name); // it lives again
+    mDeparted.erase(name); // it has restarted
     Learn(
       name, aHeartbeat["zone"].asString(), aHeartbeat["address"].asString());
     if (!alive) {
--- a/src/entry/Peers.h
+++ b/src/entry/Peers.h
@@ -1,11 +1,12 @@
-// Peers.h: what the instances tell each other.
+// Peers.h: communication with the other instances.
 //
-// A short datagram to each, several times a second, carries what is cheap to
-// lose: versions seen, requests under way by server and model, demand, who
-// holds which lease. What must arrive is a JSON-RPC call over TCP.
+// Heartbeats, short datagrams several times a second, carry what may be lost:
+// versions seen, requests in flight by server and model, demand, leases held.
+// What must arrive is sent as a JSON-RPC call over TCP.
 //
-// An instance that is told to stop says so at once, and goodbye when nobody new
-// comes to it: it is forgotten then, but for what it still has under way.
+// An instance that shuts down announces it at once, and says goodbye when it
+// accepts no more callers. The others then forget it except for its requests in
+// flight.
 #ifndef caraway_entry_Peers_h
 #define caraway_entry_Peers_h
 
@@ -31,33 +32,34 @@
   std::string mName;
   std::string mZone;
   std::string mAddress;
-  TimePoint mLastHeardAt{};         // never = only listed
-  std::vector<std::string> mLeases; // that it says it holds
-  int mQueued = 0;                  // models that wait for its orders
-  int64_t mLife = 0;                // differs between lives of one name
-  int64_t mSenderTime = 0;          // its clock, as its last pulse said
+  TimePoint mLastHeardAt{};         // never = only in the list
+  std::vector<std::string> mLeases; // that it claims to hold
+  int mQueued = 0;                  // load requests that it has queued
+  int64_t mLife = 0;                // differs after each restart
+  int64_t mSenderTime = 0;          // its clock in its last heartbeat, ms
   std::string mRank;                // as a reader, see WatchStep
-  bool mLeaving = false;            // it was told to stop
+  bool mLeaving = false;            // it is shutting down
 };
 
 class Peers : public SocketHandler
 {
 public:
   using Method = std::function<Json::Value(const Json::Value&)>;
-  // aGood false: no answer, or an error.
+  // aGood false: no answer or an error.
   using Reply = std::function<void(bool aGood, const Json::Value& aResult)>;
 
   explicit Peers(EntryState& aState);
 
-  // Throws Poco::Exception when the address can't be bound.
+  // Throws Poco::Exception if the address cannot be bound.
   void Start();
-  // Adds to every pulse that goes out, and reads from every one that comes.
+  // Register callbacks that add to each heartbeat sent, and that read each
+  // heartbeat received.
   void OnHeartbeatFill(std::function<void(Json::Value&)> aFill);
   void OnHeartbeat(std::function<void(const Peer&, const Json::Value&)> aRead);
-  // Datagrams beside the pulse, by their kind.
+  // Registers the reader of the datagrams of aKind.
   void OnMessage(const std::string& aKind,
                  std::function<void(const Json::Value&)> aRead);
-  // Called with the name of one that says that it was told to stop.
+  // Called with the name of an instance that starts to shut down.
   void OnLeaving(std::function<void(const std::string&)> aLeaving)
   {
     mOnLeaving = std::move(aLeaving);
@@ -66,7 +68,8 @@
   void SendMessageTo(const std::string& aPeer,
                      const std::string& aKind,
                      const Json::Value& aNote);
-  // To the instances of this zone only, those included that have just left.
+  // Sends to the instances of this zone only, including those that have just
+  // left.
   void SendMessageInZone(const std::string& aKind, const Json::Value& aNote);
 
   void Add(const std::string& aName, Method aMethod);
@@ -76,41 +79,43 @@
             Millis aMost,
             Reply aReply);
 
-  // An instance that is listed; doubtful until it is heard.
+  // Adds an instance of the list. It is not Alive() before its first heartbeat.
   void Learn(const std::string& aName,
              const std::string& aZone,
              const std::string& aAddress);
   void Drop(const std::string& aName);
-  // Says goodbye to all, for good: nobody calls this instance any more.
+  // Says goodbye to all instances; none calls this one afterwards.
   void Leave();
-  // The one that says it holds aLease, heard lately; "" = nobody.
+  // The live instance that claims to hold aLease; "" = none.
   std::string HolderOf(const std::string& aLease) const;
   const std::map<std::string, Peer>& All() const { return mPeers; }
   bool Alive(const Peer& aPeer) const;
   bool Alive(const std::string& aName) const;
-  // This instance's last pulse said that it holds aLease.
+  // This instance's last heartbeat claimed aLease.
   bool Claims(const std::string& aLease) const
   {
     return mClaims.count(aLease) > 0;
   }
-  // It is known, and wasn't told to stop.
+  // It is known and not shutting down.
   bool IsStaying(const std::string& aName) const;
 
-  // How long a datagram is on its way, the time that it lies unread included:
-  // Echoes() tells those of this zone when their last pulse came, and by that
-  // each knows how long its pulse and the answer took together.
+  // Round-trip time of datagrams, including the time that they wait unread:
+  // Echoes() returns to each instance of this zone the time stamp of its last
+  // heartbeat and the age of that heartbeat, from which the instance computes
+  // how long heartbeat and reply took together.
   Json::Value Echoes() const;
-  // aEchoes: those in the datagram. None: the other has heard nothing yet.
+  // aEchoes: from the received datagram. Nothing: its sender has received no
+  // heartbeat of this instance yet.
   std::optional<Millis> RoundTripTime(const Json::Value& aEchoes) const;
-  // Between two pulses to the same instance.
+  // Interval of the heartbeats to one instance.
   Millis HeartbeatInterval() const;
-  // Pulses after which each instance has had one.
+  // Ticks in which each instance is sent one heartbeat.
   int HeartbeatRounds() const;
 
   void OnReadable() override;
 
 private:
-  // One that said goodbye; its last requests may still be under way.
+  // An instance that said goodbye; it may still have requests in flight.
   struct Departed
   {
     Peer mPeer;
@@ -120,11 +125,11 @@
   void Pulse();
   void ForgetSilent();
   void ForgetDeparted();
-  // In this zone, and it may still have requests under way.
+  // It is of this zone and may still have requests in flight.
   bool DrainsInZone(const Departed& aDeparted) const;
   void WatchLeaving();
   void AnnounceOwnLeaving();
-  int64_t Stamp() const; // this machine's clock
+  int64_t Stamp() const; // ms since this machine started
   Json::Value Self() const;
   void OnLeavingMessage(const Json::Value& aNote);
   void OnGoodbye(const Json::Value& aNote);
@@ -139,7 +144,7 @@
   Poco::Net::DatagramSocket mSocket;
   ImmediateHandler mReplies;
   std::shared_ptr<ListenPort> mPort;
-  std::map<std::string, Peer> mPeers; // by name, without this instance
+  std::map<std::string, Peer> mPeers; // by name, not this instance
   std::map<std::string, Method> mMethods;
   std::vector<std::function<void(Json::Value&)>> mHeartbeatFillers;
   std::vector<std::function<void(const Peer&, const Json::Value&)>> mReads;
@@ -147,7 +152,7 @@
     mMessageHandlers;
   std::string mLastHeartbeatTo;
   std::map<std::string, Departed> mDeparted;
-  std::set<std::string> mClaims; // leases
+  std::set<std::string> mClaims; // leases of the last heartbeat
   std::function<void(const std::string&)> mOnLeaving = [](const auto&) {};
   int64_t mLife = 0;
   bool mAnnouncedLeaving = false;
--- a/src/entry/PeersCall.cpp
+++ b/src/entry/PeersCall.cpp
@@ -6,8 +6,8 @@
 
 namespace caraway {
 
-// JSON-RPC 2.0 between instances, over the reactor: libjsonrpccpp's own
-// connectors block.
+// JSON-RPC 2.0 between instances. It runs on the reactor because the connectors
+// of libjsonrpccpp block.
 
 ImmediateReply
 Peers::Answer(const InboundRequest& aRequest)
@@ -50,7 +50,7 @@
   }
   Json::Value body;
   body["jsonrpc"] = "2.0";
-  body["id"] = 1; // one call a connection at a time
+  body["id"] = 1; // a connection carries one call at a time
   body["method"] = aMethod;
   body["params"] = aParams;
   OutboundRequest request;
--- a/src/entry/PeersLeave.cpp
+++ b/src/entry/PeersLeave.cpp
@@ -4,26 +4,25 @@
 
 namespace caraway {
 
-// Who leaves, and how long datagrams are on their way.
+// Shutdown of instances, and round-trip times of datagrams.
 
 namespace {
 
-// Whether this instance was told to stop is looked at so often; all hear it
-// then, and may lose the datagram: pulses say it too.
+// Interval of the check whether this instance shuts down. The message that
+// announces it may be lost, so heartbeats say it too.
 constexpr Millis kLookLeaving{ 50 };
 
-// Its leases are given up in the store by then.
+// An instance that shuts down has released its leases in the store by then.
 constexpr Millis kLeasesAfter{ 500 };
 
-// Those that said goodbye aren't learned again from a list that is older than
-// their leaving.
+// An instance that said goodbye is not added again for this time, as the list
+// may be older than the goodbye.
 constexpr Millis kDeparted{ 15000 };
 
-// What an instance still has under way after its goodbye mostly ends by then.
+// Most requests that an instance has in flight at its goodbye end by then.
 constexpr Millis kEnding{ 4000 };
 
 constexpr char kLeaving[] = "leaving";
-
 constexpr char kGoodbye[] = "goodbye";
 
 } // namespace
@@ -92,7 +91,8 @@
   mOnLeaving(found->first);
 }
 
-// The pulse that doesn't claim them any more may take a turn of all instances.
+// The heartbeat that no longer claims the leases may take a round over all
+// instances.
 void
 Peers::ClearLeases(const Peer& aPeer)
 {
@@ -105,7 +105,7 @@
     });
 }
 
-// What it has under way stays known until its pulses end.
+// Its requests in flight stay known until its heartbeats end.
 void
 Peers::OnGoodbye(const Json::Value& aNote)
 {
@@ -119,7 +119,7 @@
   }
   int64_t known = departed.mPeer.mLife;
   if (IsDeparted(name, life) || (known != 0 && known != life)) {
-    return; // said before, or by an earlier life
+    return; // a repetition, or of an earlier incarnation
   }
   departed.mPeer.mName = name;
   departed.mPeer.mLife = life;
@@ -157,7 +157,7 @@
   }
 }
 
-// ---- On the way
+// ---- Round-trip times
 
 Json::Value
 Peers::Echoes() const
@@ -190,7 +190,7 @@
   }
   Millis there(Stamp() - own[0].asInt64() - own[1].asInt64());
   if (there < Millis(0)) {
-    return std::nullopt; // of a stamp from before this machine started
+    return std::nullopt; // the time stamp is from before a reboot
   }
   return there;
 }
