--- a/src/entry/LeaseLoop.cpp
+++ b/src/entry/LeaseLoop.cpp
@@ -7,17 +7,17 @@
 constexpr char kKind[] = "caraway-leases";
 
 // Interval of the lease checks; a lease lasts for seconds.
-constexpr Millis kTick{ 100 };
+constexpr Millis kCheckInterval{ 100 };
 
 // Upper bound of the random delay of the first check: of instances that start
 // together most then find the lease taken instead of racing for it.
-constexpr Millis kStagger{ 300 };
+constexpr Millis kMaxStartDelay{ 300 };
 
 // Time for which an instance with one core leaves a free lease to the others.
 // It is longer for a smaller share of a core: 0.1 s for a half, 0.4 s for an
 // eighth. The lease holder of a zone of 20 instances and 15 servers needs about
 // an eighth of a core for its orders.
-constexpr Millis kYieldOfACore{ 50 };
+constexpr Millis kOneCoreYield{ 50 };
 
 // Heartbeats after which a live holder must have claimed the lease, even if it
 // has just taken it; a heartbeat may be lost.
@@ -26,7 +26,7 @@
 Millis
 YieldOf(const EntrySettings& aSettings)
 {
-  auto yield = static_cast<double>(kYieldOfACore.count());
+  auto yield = static_cast<double>(kOneCoreYield.count());
   return Millis(static_cast<int64_t>(yield / aSettings.mCpuShare));
 }
 
@@ -84,10 +84,10 @@
       aHeartbeat["leases"].append(mName);
     }
   });
-  std::uniform_int_distribution<int64_t> stagger(0, kStagger.count());
+  std::uniform_int_distribution<int64_t> stagger(0, kMaxStartDelay.count());
   mState.mReactor.After(Millis(stagger(mState.mRandom)), [this] {
     Tick();
-    mState.mReactor.Every(kTick, [this] { Tick(); });
+    mState.mReactor.Every(kCheckInterval, [this] { Tick(); });
   });
 }
 
@@ -130,10 +130,10 @@
 void
 LeaseLoop::ObserveHolder(TimePoint aNow)
 {
-  std::string other = mPeers.HolderOf(mName);
-  if (!other.empty()) {
-    mStep.OnClaim(other, aNow);
-    mLastClaimant = other;
+  std::string claimant = mPeers.HolderOf(mName);
+  if (!claimant.empty()) {
+    mStep.OnClaim(claimant, aNow);
+    mLastClaimant = claimant;
   } else if (mPeers.Alive(mLastClaimant)) {
     mStep.OnHolderReleased(aNow); // alive, but no longer claims it
     mLastClaimant.clear();
@@ -179,32 +179,33 @@
   object.mSpec["renewed"] = Json::Int64(
     std::chrono::duration_cast<Millis>(mState.Now().time_since_epoch())
       .count());
-  TimePoint asked = mState.Now();
+  TimePoint requestedAt = mState.Now();
   auto call = wanted.mRevision > 0 ? wire::ReplaceCall(kKind, object)
                                    : wire::CreateCall(kKind, object);
-  mStore.Call("lease_write",
-              call,
-              [this, asked](StoreOutcome aOutcome, const std::string& aBody) {
-                TimePoint now = mState.Now();
-                auto record = ReadRecord(aBody);
-                if (aOutcome == StoreOutcome::Done && record) {
-                  mStep.OnWritten(record->mRevision, asked, now);
-                } else if (aOutcome == StoreOutcome::Conflict ||
-                           aOutcome == StoreOutcome::Missing) {
-                  mStep.OnConflict(record, now);
-                } else {
-                  mStep.OnFailed(now);
-                }
-                ReportChange();
-              });
+  mStore.Call(
+    "lease_write",
+    call,
+    [this, requestedAt](StoreOutcome aOutcome, const std::string& aBody) {
+      TimePoint now = mState.Now();
+      auto record = ReadRecord(aBody);
+      if (aOutcome == StoreOutcome::Done && record) {
+        mStep.OnWritten(record->mRevision, requestedAt, now);
+      } else if (aOutcome == StoreOutcome::Conflict ||
+                 aOutcome == StoreOutcome::Missing) {
+        mStep.OnConflict(record, now);
+      } else {
+        mStep.OnFailed(now);
+      }
+      ReportChange();
+    });
 }
 
 void
 LeaseLoop::ReportChange()
 {
   bool holds = Holds();
-  if (holds != mTold) {
-    mTold = holds;
+  if (holds != mLoggedHolds) {
+    mLoggedHolds = holds;
     mState.mLog.Line(holds ? "lease_taken" : "lease_ended")
       .Text("lease", mName)
       .Count("token", mStep.Token());
--- a/src/entry/LeaseLoop.h
+++ b/src/entry/LeaseLoop.h
@@ -56,7 +56,7 @@
   std::string mLastClaimant; // last instance that claimed the lease
   TimePoint mRecheckAt{};    // when the holder is alive but does not claim it
   bool mWanted = true;
-  bool mTold = false; // as last logged
+  bool mLoggedHolds = false; // as last logged
 };
 
 } // namespace caraway
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -8,26 +8,26 @@
 
 // The call of an instance to be counted, and the message that it has stopped
 // spending.
-constexpr char kCountMe[] = "count_me";
-constexpr char kLeft[] = "left_zone";
+constexpr char kCountMeMethod[] = "count_me";
+constexpr char kLeftMessage[] = "left_zone";
 
 // An entry was marked or removed; receivers read a fresh list.
-constexpr char kListNews[] = "list_news";
+constexpr char kListChangedMessage[] = "list_news";
 
 // The interval of the list doubles from the first of these to the second:
 // instances that start together may each read it before the others are on it.
-constexpr Millis kListSoon{ 300 };
-constexpr Millis kListAgain{ 10000 };
+constexpr Millis kMinListInterval{ 300 };
+constexpr Millis kMaxListInterval{ 10000 };
 
 // Interval while ZoneMembers::NeedsStore().
-constexpr Millis kListNeeded{ 1000 };
+constexpr Millis kNeededListInterval{ 1000 };
 
-constexpr Millis kRetry{ 300 };
+constexpr Millis kRetryInterval{ 300 };
 
-constexpr Millis kTick{ 200 };
+constexpr Millis kCheckInterval{ 200 };
 
 // An answer takes milliseconds; a peer that does not answer is called again.
-constexpr Millis kAskTime{ 300 };
+constexpr Millis kCallTimeout{ 300 };
 
 bool
 IsSet(const Json::Value& aSpec, const char* aName)
@@ -42,22 +42,22 @@
   , mStore(aStore)
   , mPeers(aPeers)
   , mZone(aState.mSettings.mName)
-  , mListWait(kListSoon)
+  , mListWait(kMinListInterval)
 {
 }
 
 void
 Membership::Start()
 {
-  mPeers.Add(kCountMe, [this](const Json::Value& aParams) {
+  mPeers.Add(kCountMeMethod, [this](const Json::Value& aParams) {
     OnCountMe(aParams);
     return Json::Value(Json::objectValue);
   });
-  mPeers.OnMessage(kLeft, [this](const Json::Value& aNote) {
-    mZone.OnLeft(aNote["name"].asString());
+  mPeers.OnMessage(kLeftMessage, [this](const Json::Value& aMessage) {
+    mZone.OnLeft(aMessage["name"].asString());
     mOnChange();
   });
-  mPeers.OnMessage(kListNews,
+  mPeers.OnMessage(kListChangedMessage,
                    [this](const Json::Value&) { mFreshListDue = true; });
   mPeers.OnHeartbeatFill(
     [this](Json::Value& aHeartbeat) { FillHeartbeat(aHeartbeat); });
@@ -68,11 +68,11 @@
   });
   Join();
   List();
-  mState.mReactor.Every(kTick, [this] { Look(); });
+  mState.mReactor.Every(kCheckInterval, [this] { Check(); });
 }
 
 void
-Membership::Look()
+Membership::Check()
 {
   TimePoint now = mState.Now();
   mZone.SetHeartbeatInterval(mPeers.HeartbeatInterval());
@@ -81,10 +81,10 @@
     Join();
   }
   RequestConfirmations();
-  Forget();
+  ForgetSilentPeer();
   ReportChange();
   bool needed = mZone.NeedsStore(now);
-  Millis wait = needed ? std::min(mListWait, kListNeeded) : mListWait;
+  Millis wait = needed ? std::min(mListWait, kNeededListInterval) : mListWait;
   if (!mListing && (mFreshListDue || mState.AgeOf(mListedAt) >= wait)) {
     List();
   }
@@ -93,10 +93,10 @@
 void
 Membership::FillHeartbeat(Json::Value& aHeartbeat) const
 {
-  MemberHeartbeat pulse = mZone.Pulse(mState.Now());
-  aHeartbeat["counted"] = pulse.mCounted;
-  for (const std::string& mate : pulse.mSilent) {
-    aHeartbeat["silent"].append(mate);
+  MemberHeartbeat heartbeat = mZone.Pulse(mState.Now());
+  aHeartbeat["counted"] = heartbeat.mCounted;
+  for (const std::string& peer : heartbeat.mSilent) {
+    aHeartbeat["silent"].append(peer);
   }
 }
 
@@ -104,12 +104,12 @@
 Membership::ReadHeartbeat(const std::string& aZonePeer,
                           const Json::Value& aHeartbeat)
 {
-  MemberHeartbeat pulse;
-  pulse.mCounted = aHeartbeat["counted"].asBool();
-  for (const Json::Value& mate : aHeartbeat["silent"]) {
-    pulse.mSilent.insert(mate.asString());
+  MemberHeartbeat heartbeat;
+  heartbeat.mCounted = aHeartbeat["counted"].asBool();
+  for (const Json::Value& peer : aHeartbeat["silent"]) {
+    heartbeat.mSilent.insert(peer.asString());
   }
-  mZone.OnHeartbeat(aZonePeer, pulse, mState.Now());
+  mZone.OnHeartbeat(aZonePeer, heartbeat, mState.Now());
 }
 
 void
@@ -117,7 +117,7 @@
 {
   std::string name = aParams["name"].asString();
   std::string zone = aParams["zone"].asString();
-  mPeers.Learn(name, zone, aParams["address"].asString());
+  mPeers.AddPeer(name, zone, aParams["address"].asString());
   if (!name.empty() && zone == mState.mSettings.mZone) {
     mZone.OnNewcomer(name, mState.Now());
     mOnChange(); // before the answer, after which the newcomer may spend
@@ -150,7 +150,7 @@
                 } else if (aOutcome == StoreOutcome::Missing) {
                   Write(0, false);
                 } else {
-                  mState.mReactor.After(kRetry, [this] { Join(); });
+                  mState.mReactor.After(kRetryInterval, [this] { Join(); });
                 }
               });
 }
@@ -163,23 +163,23 @@
 {
   StoreObject self = Entry(aCounted);
   self.mRevision = aRevision;
-  TimePoint asked = mState.Now();
-  mStore.Call(
-    "join",
-    aRevision > 0 ? wire::ReplaceCall(kKind, self)
-                  : wire::CreateCall(kKind, self),
-    [this, aCounted, asked](StoreOutcome aOutcome, const std::string& aBody) {
-      auto object = wire::ReadObjectAnswer(aBody);
-      if (aOutcome != StoreOutcome::Done || !object) {
-        mState.mReactor.After(kRetry, [this] { Join(); });
-        return;
-      }
-      mJoining = false;
-      mRevision = object->mRevision;
-      mRecordedCounted = aCounted;
-      mZone.OnJoined(aCounted, asked);
-      List();
-    });
+  TimePoint requestedAt = mState.Now();
+  mStore.Call("join",
+              aRevision > 0 ? wire::ReplaceCall(kKind, self)
+                            : wire::CreateCall(kKind, self),
+              [this, aCounted, requestedAt](StoreOutcome aOutcome,
+                                            const std::string& aBody) {
+                auto object = wire::ReadObjectAnswer(aBody);
+                if (aOutcome != StoreOutcome::Done || !object) {
+                  mState.mReactor.After(kRetryInterval, [this] { Join(); });
+                  return;
+                }
+                mJoining = false;
+                mRevision = object->mRevision;
+                mRecordedCounted = aCounted;
+                mZone.OnJoined(aCounted, requestedAt);
+                List();
+              });
 }
 
 // Records in the entry that this instance is counted, so that after a restart
@@ -220,14 +220,14 @@
     return;
   }
   mRemovingEntry = true;
-  Json::Value note;
-  note["name"] = mState.mSettings.mName;
+  Json::Value message;
+  message["name"] = mState.mSettings.mName;
   mStore.Call("leave",
               wire::DeleteCall(kKind, mState.mSettings.mName, mRevision),
-              [this, note](StoreOutcome aOutcome, const std::string&) {
+              [this, message](StoreOutcome aOutcome, const std::string&) {
                 mRemovingEntry = false;
                 if (aOutcome == StoreOutcome::Done) {
-                  mPeers.SendMessageInZone(kLeft, note);
+                  mPeers.SendMessageInZone(kLeftMessage, message);
                 }
               });
 }
@@ -239,24 +239,25 @@
 {
   uint64_t round = ++mListRound;
   mListing = true;
-  TimePoint asked = mState.Now();
-  bool fresh = mFreshListDue || mZone.NeedsStore(asked);
+  TimePoint requestedAt = mState.Now();
+  bool fresh = mFreshListDue || mZone.NeedsStore(requestedAt);
   mFreshListDue = false;
   mStore.Call("list_instances",
               wire::ListCall(kKind, "", !fresh),
-              [this, round, asked, fresh](StoreOutcome aOutcome,
-                                          const std::string& aBody) {
+              [this, round, requestedAt, fresh](StoreOutcome aOutcome,
+                                                const std::string& aBody) {
                 auto page = aOutcome == StoreOutcome::Done
                               ? wire::ReadListAnswer(aBody)
                               : std::nullopt;
                 if (page) {
-                  OnList(*page, fresh, asked);
+                  OnList(*page, fresh, requestedAt);
                 }
                 if (round != mListRound) {
                   return;
                 }
                 mListedAt = mState.Now();
-                mListWait = page ? std::min(mListWait * 2, kListAgain) : kRetry;
+                mListWait = page ? std::min(mListWait * 2, kMaxListInterval)
+                                 : kRetryInterval;
                 mListing = false;
               });
 }
@@ -266,7 +267,7 @@
 {
   std::vector<MemberEntry> zone;
   std::set<std::string> listed;
-  std::map<std::string, int> census;
+  std::map<std::string, int> counts;
   bool readable = true;
   for (const StoreChange& change : aPage.mChanges) {
     const StoreObject& object = change.mObject;
@@ -276,8 +277,8 @@
       readable = false; // its zone is not known
       continue;
     }
-    census[spec["zone"].asString()] += 1;
-    mPeers.Learn(
+    counts[spec["zone"].asString()] += 1;
+    mPeers.AddPeer(
       object.mName, spec["zone"].asString(), spec["address"].asString());
     listed.insert(object.mName);
     if (spec["zone"].asString() == mState.mSettings.mZone) {
@@ -292,7 +293,7 @@
     mZone.OnListed(zone, aAskedAt, mState.Now());
   }
   if (aFresh && readable) {
-    mOnCensus(census, aAskedAt);
+    mOnCensus(counts, aAskedAt);
   }
   DropSilentPeers(listed);
   mOnChange();
@@ -310,7 +311,7 @@
   }
   for (const std::string& name : gone) {
     mState.mLog.Line("instance_forgotten").Text("peer", name);
-    mPeers.Drop(name);
+    mPeers.RemovePeer(name);
     mEntries.erase(name);
   }
 }
@@ -322,18 +323,18 @@
   params["name"] = mState.mSettings.mName;
   params["zone"] = mState.mSettings.mZone;
   params["address"] = mState.mSettings.mPeers;
-  for (const std::string& mate : mZone.Unconfirmed()) {
-    if (!mAsking.insert(mate).second) {
+  for (const std::string& peer : mZone.Unconfirmed()) {
+    if (!mConfirming.insert(peer).second) {
       continue;
     }
-    mPeers.Call(mate,
-                kCountMe,
+    mPeers.Call(peer,
+                kCountMeMethod,
                 params,
-                kAskTime,
-                [this, mate](bool aGood, const Json::Value&) {
-                  mAsking.erase(mate);
+                kCallTimeout,
+                [this, peer](bool aGood, const Json::Value&) {
+                  mConfirming.erase(peer);
                   if (aGood) {
-                    mZone.OnConfirmed(mate);
+                    mZone.OnConfirmed(peer);
                     mOnChange();
                   }
                 });
@@ -343,30 +344,30 @@
 // Marks the entry of a silent zone peer and later removes it, so that its part
 // of the limits is divided among the others.
 void
-Membership::Forget()
+Membership::ForgetSilentPeer()
 {
   if (mForgetting || mState.mLeave.Leaving() || !mStore.Reachable()) {
     return;
   }
   TimePoint now = mState.Now();
-  for (const std::string& mate : mZone.All()) {
-    bool mark = mZone.MayMark(mate, now);
-    auto entry = mEntries.find(mate);
-    if (entry == mEntries.end() || !(mark || mZone.MayRemove(mate, now))) {
+  for (const std::string& peer : mZone.All()) {
+    bool mark = mZone.MayMark(peer, now);
+    auto entry = mEntries.find(peer);
+    if (entry == mEntries.end() || !(mark || mZone.MayRemove(peer, now))) {
       continue;
     }
     StoreObject object = entry->second;
     object.mSpec["marked"] = true;
     auto call = mark ? wire::ReplaceCall(kKind, object)
-                     : wire::DeleteCall(kKind, mate, object.mRevision);
+                     : wire::DeleteCall(kKind, peer, object.mRevision);
     mForgetting = true;
-    mState.mLog.Line("mate_silent").Text("peer", mate).Flag("removed", !mark);
+    mState.mLog.Line("mate_silent").Text("peer", peer).Flag("removed", !mark);
     mStore.Call(mark ? "mark_instance" : "forget_instance",
                 call,
                 [this](StoreOutcome, const std::string&) {
                   mFreshListDue = true;
-                  mPeers.SendMessageInZone(kListNews, Json::Value());
-                  mState.mReactor.After(kRetry,
+                  mPeers.SendMessageInZone(kListChangedMessage, Json::Value());
+                  mState.mReactor.After(kRetryInterval,
                                         [this] { mForgetting = false; });
                 });
     return;
@@ -378,8 +379,8 @@
 {
   RecordCounted();
   bool spends = MaySpend();
-  if (spends != mTold) {
-    mTold = spends;
+  if (spends != mReportedMaySpend) {
+    mReportedMaySpend = spends;
     mState.mLog.Line(spends ? "part_begun" : "part_ended")
       .Count("members", static_cast<int64_t>(CountedMembers().size()))
       .Count("unconfirmed", static_cast<int64_t>(mZone.Unconfirmed().size()))
--- a/src/entry/Membership.h
+++ b/src/entry/Membership.h
@@ -55,9 +55,9 @@
   void DropSilentPeers(const std::set<std::string>& aListed);
   void OnCountMe(const Json::Value& aParams);
   void RequestConfirmations();
-  void Forget();
+  void ForgetSilentPeer();
   void ReportChange();
-  void Look();
+  void Check();
   void FillHeartbeat(Json::Value& aHeartbeat) const;
   void ReadHeartbeat(const std::string& aZonePeer,
                      const Json::Value& aHeartbeat);
@@ -75,12 +75,12 @@
   TimePoint mListedAt{};
   int64_t mRevision = 0;                       // of this instance's entry
   std::map<std::string, StoreObject> mEntries; // of the zone, as listed
-  std::set<std::string> mAsking; // peers called to count this instance
-  bool mJoining = false;         // a write of the entry is in progress
+  std::set<std::string> mConfirming; // peers called to count this instance
+  bool mJoining = false;             // a write of the entry is in progress
   bool mRemovingEntry = false;
   bool mRecordedCounted = false; // the entry says that it is counted
   bool mForgetting = false;
-  bool mTold = false; // as last logged
+  bool mReportedMaySpend = false; // as last logged
 };
 
 } // namespace caraway
--- a/src/entry/Peers.cpp
+++ b/src/entry/Peers.cpp
@@ -11,29 +11,29 @@
 
 // Other instances see the requests in flight here with this delay, which is
 // less than the time in which a server's batch fills.
-constexpr Millis kPulse{ 250 };
+constexpr Millis kHeartbeatTick{ 250 };
 
 // Heartbeats go to this many instances per tick, to all in turn, so that the
 // number sent and received does not grow with the fleet. With 72 instances each
 // receives 32 heartbeats a second, and one of each other instance every two
 // seconds.
-constexpr size_t kAtATime = 8;
+constexpr size_t kPeersPerTick = 8;
 
 // An instance counts as alive for this time after its last heartbeat, as some
 // may be lost; in a large fleet for six rounds, see HeartbeatInterval().
-constexpr Millis kAlive{ 1500 };
+constexpr Millis kAliveTimeout{ 1500 };
 constexpr int kAliveRounds = 6;
 
 // A larger datagram is not sent; the network would fragment it.
-constexpr size_t kMostDatagram = 60000;
+constexpr size_t kMaxDatagramBytes = 60000;
 
 std::string
-MessageText(const std::string& aKind, const Json::Value& aNote)
+MessageText(const std::string& aKind, const Json::Value& aMessage)
 {
-  Json::Value note;
-  note["note"] = aKind;
-  note["body"] = aNote;
-  return JsonWrite(note);
+  Json::Value message;
+  message["note"] = aKind;
+  message["body"] = aMessage;
+  return JsonWrite(message);
 }
 
 } // namespace
@@ -54,11 +54,11 @@
   // Owned by the daemon, which outlives the reactor's last pass.
   mState.mReactor.Watch(
     mSocket, std::shared_ptr<SocketHandler>(std::shared_ptr<void>(), this));
-  constexpr size_t kMostConns = 512;
+  constexpr size_t kMaxConnections = 512;
   mPort = ListenPort::Open(
-    mState.mReactor, mState.mSettings.mPeers, mReplies, kMostConns);
-  mLife = Stamp();
-  mState.mReactor.Every(kPulse, [this] { Pulse(); });
+    mState.mReactor, mState.mSettings.mPeers, mReplies, kMaxConnections);
+  mIncarnation = ClockMillis();
+  mState.mReactor.Every(kHeartbeatTick, [this] { SendHeartbeats(); });
   WatchLeaving();
 }
 
@@ -71,7 +71,7 @@
 void
 Peers::OnHeartbeat(std::function<void(const Peer&, const Json::Value&)> aRead)
 {
-  mReads.push_back(std::move(aRead));
+  mHeartbeatReaders.push_back(std::move(aRead));
 }
 
 void
@@ -92,20 +92,20 @@
 {
   return aPeer.mLastHeardAt != TimePoint() &&
          mState.Now() - aPeer.mLastHeardAt <
-           std::max(kAlive, HeartbeatInterval() * kAliveRounds);
+           std::max(kAliveTimeout, HeartbeatInterval() * kAliveRounds);
 }
 
 int
 Peers::HeartbeatRounds() const
 {
-  size_t turns = (mPeers.size() + kAtATime - 1) / kAtATime;
-  return static_cast<int>(std::max<size_t>(turns, 1));
+  size_t rounds = (mPeers.size() + kPeersPerTick - 1) / kPeersPerTick;
+  return static_cast<int>(std::max<size_t>(rounds, 1));
 }
 
 Millis
 Peers::HeartbeatInterval() const
 {
-  return kPulse * HeartbeatRounds();
+  return kHeartbeatTick * HeartbeatRounds();
 }
 
 bool
@@ -128,9 +128,9 @@
 }
 
 void
-Peers::Learn(const std::string& aName,
-             const std::string& aZone,
-             const std::string& aAddress)
+Peers::AddPeer(const std::string& aName,
+               const std::string& aZone,
+               const std::string& aAddress)
 {
   if (aName.empty() || aName == mState.mSettings.mName ||
       mDeparted.count(aName)) {
@@ -144,7 +144,7 @@
 }
 
 void
-Peers::Drop(const std::string& aName)
+Peers::RemovePeer(const std::string& aName)
 {
   mState.mServers.ForgetPeer(aName);
   mPeers.erase(aName);
@@ -154,26 +154,26 @@
 // ---- Datagrams
 
 void
-Peers::Pulse()
+Peers::SendHeartbeats()
 {
-  Json::Value pulse;
-  pulse["name"] = mState.mSettings.mName;
-  pulse["zone"] = mState.mSettings.mZone;
-  pulse["address"] = mState.mSettings.mPeers;
-  pulse["life"] = Json::Int64(mLife);
-  pulse["stamp"] = Json::Int64(Stamp());
-  pulse["leaving"] = mState.mLeave.Leaving();
-  pulse["left"] = mLeft;
+  Json::Value heartbeat;
+  heartbeat["name"] = mState.mSettings.mName;
+  heartbeat["zone"] = mState.mSettings.mZone;
+  heartbeat["address"] = mState.mSettings.mPeers;
+  heartbeat["life"] = Json::Int64(mIncarnation);
+  heartbeat["stamp"] = Json::Int64(ClockMillis());
+  heartbeat["leaving"] = mState.mLeave.Leaving();
+  heartbeat["left"] = mLeft;
   for (const auto& fill : mHeartbeatFillers) {
-    fill(pulse);
+    fill(heartbeat);
   }
   mClaims.clear();
-  for (const Json::Value& lease : pulse["leases"]) {
+  for (const Json::Value& lease : heartbeat["leases"]) {
     mClaims.insert(lease.asString());
   }
-  std::string text = JsonWrite(pulse);
+  std::string text = JsonWrite(heartbeat);
   auto next = mPeers.upper_bound(mLastHeartbeatTo);
-  for (size_t i = 0; i < std::min(kAtATime, mPeers.size()); ++i, ++next) {
+  for (size_t i = 0; i < std::min(kPeersPerTick, mPeers.size()); ++i, ++next) {
     if (next == mPeers.end()) {
       next = mPeers.begin();
     }
@@ -195,9 +195,9 @@
 }
 
 void
-Peers::SendMessage(const std::string& aKind, const Json::Value& aNote)
+Peers::SendMessage(const std::string& aKind, const Json::Value& aMessage)
 {
-  std::string text = MessageText(aKind, aNote);
+  std::string text = MessageText(aKind, aMessage);
   for (const auto& [name, peer] : mPeers) {
     SendTo(peer, text);
   }
@@ -206,18 +206,18 @@
 void
 Peers::SendMessageTo(const std::string& aPeer,
                      const std::string& aKind,
-                     const Json::Value& aNote)
+                     const Json::Value& aMessage)
 {
   auto found = mPeers.find(aPeer);
   if (found != mPeers.end()) {
-    SendTo(found->second, MessageText(aKind, aNote));
+    SendTo(found->second, MessageText(aKind, aMessage));
   }
 }
 
 void
-Peers::SendMessageInZone(const std::string& aKind, const Json::Value& aNote)
+Peers::SendMessageInZone(const std::string& aKind, const Json::Value& aMessage)
 {
-  std::string text = MessageText(aKind, aNote);
+  std::string text = MessageText(aKind, aMessage);
   for (const auto& [name, peer] : mPeers) {
     if (peer.mZone == mState.mSettings.mZone) {
       SendTo(peer, text);
@@ -233,7 +233,7 @@
 void
 Peers::SendTo(const Peer& aPeer, const std::string& aText)
 {
-  if (aText.size() > kMostDatagram) {
+  if (aText.size() > kMaxDatagramBytes) {
     mState.mLog.Line("datagram_too_large")
       .Count("bytes", static_cast<int64_t>(aText.size()));
     return;
@@ -253,10 +253,10 @@
 void
 Peers::OnReadable()
 {
-  constexpr int kAtOnce = 64;
+  constexpr int kMaxDatagramsPerPass = 64;
   std::string bytes(65536, '\0');
   try {
-    for (int i = 0; i < kAtOnce; ++i) {
+    for (int i = 0; i < kMaxDatagramsPerPass; ++i) {
       int count =
         mSocket.receiveBytes(bytes.data(), static_cast<int>(bytes.size()));
       if (count <= 0) {
@@ -294,23 +294,23 @@
   if (name.empty() || name == mState.mSettings.mName) {
     return;
   }
-  int64_t life = aHeartbeat["life"].asInt64();
+  int64_t incarnation = aHeartbeat["life"].asInt64();
   if (aHeartbeat["left"].asBool()) {
     OnGoodbye(aHeartbeat); // the goodbye message itself may be lost
   }
-  bool departed = IsDeparted(name, life);
+  bool departed = IsDeparted(name, incarnation);
   if (!departed) {
     bool alive = Alive(name);
     mDeparted.erase(name); // it has restarted
-    Learn(
+    AddPeer(
       name, aHeartbeat["zone"].asString(), aHeartbeat["address"].asString());
     if (!alive) {
       mState.mLog.Line("instance_heard").Text("peer", name);
     }
   }
   Peer& peer = departed ? mDeparted[name].mPeer : mPeers[name];
-  if (peer.mLife != life) {
-    peer.mLife = life;
+  if (peer.mIncarnation != incarnation) {
+    peer.mIncarnation = incarnation;
     peer.mLeaving = false;
   }
   peer.mLastHeardAt = mState.Now();
@@ -324,7 +324,7 @@
   if (aHeartbeat["leaving"].asBool()) {
     OnLeavingMessage(aHeartbeat);
   }
-  for (const auto& read : mReads) {
+  for (const auto& read : mHeartbeatReaders) {
     read(peer, aHeartbeat);
   }
 }
--- a/src/entry/Peers.h
+++ b/src/entry/Peers.h
@@ -35,7 +35,7 @@
   TimePoint mLastHeardAt{};         // never = only in the list
   std::vector<std::string> mLeases; // that it claims to hold
   int mQueued = 0;                  // load requests that it has queued
-  int64_t mLife = 0;                // differs after each restart
+  int64_t mIncarnation = 0;         // differs after each restart
   int64_t mSenderTime = 0;          // its clock in its last heartbeat, ms
   std::string mRank;                // as a reader, see WatchStep
   bool mLeaving = false;            // it is shutting down
@@ -64,26 +64,26 @@
   {
     mOnLeaving = std::move(aLeaving);
   }
-  void SendMessage(const std::string& aKind, const Json::Value& aNote);
+  void SendMessage(const std::string& aKind, const Json::Value& aMessage);
   void SendMessageTo(const std::string& aPeer,
                      const std::string& aKind,
-                     const Json::Value& aNote);
+                     const Json::Value& aMessage);
   // Sends to the instances of this zone only, including those that have just
   // left.
-  void SendMessageInZone(const std::string& aKind, const Json::Value& aNote);
+  void SendMessageInZone(const std::string& aKind, const Json::Value& aMessage);
 
   void Add(const std::string& aName, Method aMethod);
   void Call(const std::string& aPeer,
             const std::string& aMethod,
             const Json::Value& aParams,
-            Millis aMost,
+            Millis aTimeout,
             Reply aReply);
 
   // Adds an instance of the list. It is not Alive() before its first heartbeat.
-  void Learn(const std::string& aName,
-             const std::string& aZone,
-             const std::string& aAddress);
-  void Drop(const std::string& aName);
+  void AddPeer(const std::string& aName,
+               const std::string& aZone,
+               const std::string& aAddress);
+  void RemovePeer(const std::string& aName);
   // Says goodbye to all instances; none calls this one afterwards.
   void Leave();
   // The live instance that claims to hold aLease; "" = none.
@@ -122,19 +122,19 @@
     TimePoint mAt{};
   };
 
-  void Pulse();
+  void SendHeartbeats();
   void ForgetSilent();
   void ForgetDeparted();
   // It is of this zone and may still have requests in flight.
   bool DrainsInZone(const Departed& aDeparted) const;
   void WatchLeaving();
   void AnnounceOwnLeaving();
-  int64_t Stamp() const; // ms since this machine started
+  int64_t ClockMillis() const; // ms since this machine started
   Json::Value Self() const;
-  void OnLeavingMessage(const Json::Value& aNote);
-  void OnGoodbye(const Json::Value& aNote);
+  void OnLeavingMessage(const Json::Value& aMessage);
+  void OnGoodbye(const Json::Value& aMessage);
   void ClearLeases(const Peer& aPeer);
-  bool IsDeparted(const std::string& aName, int64_t aLife) const;
+  bool IsDeparted(const std::string& aName, int64_t aIncarnation) const;
   void SendTo(const Peer& aPeer, const std::string& aText);
   void ReadDatagram(const std::string& aText);
   void ReadHeartbeat(const Json::Value& aHeartbeat);
@@ -147,14 +147,15 @@
   std::map<std::string, Peer> mPeers; // by name, not this instance
   std::map<std::string, Method> mMethods;
   std::vector<std::function<void(Json::Value&)>> mHeartbeatFillers;
-  std::vector<std::function<void(const Peer&, const Json::Value&)>> mReads;
+  std::vector<std::function<void(const Peer&, const Json::Value&)>>
+    mHeartbeatReaders;
   std::map<std::string, std::function<void(const Json::Value&)>>
     mMessageHandlers;
   std::string mLastHeartbeatTo;
   std::map<std::string, Departed> mDeparted;
   std::set<std::string> mClaims; // leases of the last heartbeat
   std::function<void(const std::string&)> mOnLeaving = [](const auto&) {};
-  int64_t mLife = 0;
+  int64_t mIncarnation = 0;
   bool mAnnouncedLeaving = false;
   bool mLeft = false;
 };
--- a/src/entry/PeersCall.cpp
+++ b/src/entry/PeersCall.cpp
@@ -40,7 +40,7 @@
 Peers::Call(const std::string& aPeer,
             const std::string& aMethod,
             const Json::Value& aParams,
-            Millis aMost,
+            Millis aTimeout,
             Reply aReply)
 {
   auto found = mPeers.find(aPeer);
@@ -56,7 +56,7 @@
   OutboundRequest request;
   request.mAddress = found->second.mAddress;
   request.mBody = JsonWrite(body);
-  request.mConnectLimit = std::min(aMost, Millis(300));
+  request.mConnectLimit = std::min(aTimeout, Millis(300));
   request.mHead =
     WriteHead("POST /rpc HTTP/1.1",
               { { "Host", request.mAddress },
@@ -66,7 +66,7 @@
     mState.mReactor,
     mState.mPeerPool,
     std::move(request),
-    aMost,
+    aTimeout,
     [this, aMethod, aPeer, reply = std::move(aReply)](BufferedAnswer& aAnswer) {
       Json::Value answer = JsonParseOrEmpty(aAnswer.mBody);
       bool good = answer.isMember("result");
--- a/src/entry/PeersLeave.cpp
+++ b/src/entry/PeersLeave.cpp
@@ -10,25 +10,25 @@
 
 // Interval of the check whether this instance shuts down. The message that
 // announces it may be lost, so heartbeats say it too.
-constexpr Millis kLookLeaving{ 50 };
+constexpr Millis kLeavingCheckInterval{ 50 };
 
 // An instance that shuts down has released its leases in the store by then.
-constexpr Millis kLeasesAfter{ 500 };
+constexpr Millis kLeaseClearDelay{ 500 };
 
 // An instance that said goodbye is not added again for this time, as the list
 // may be older than the goodbye.
-constexpr Millis kDeparted{ 15000 };
+constexpr Millis kDepartedMemory{ 15000 };
 
 // Most requests that an instance has in flight at its goodbye end by then.
-constexpr Millis kEnding{ 4000 };
+constexpr Millis kDrainTime{ 4000 };
 
-constexpr char kLeaving[] = "leaving";
-constexpr char kGoodbye[] = "goodbye";
+constexpr char kLeavingMessage[] = "leaving";
+constexpr char kGoodbyeMessage[] = "goodbye";
 
 } // namespace
 
 int64_t
-Peers::Stamp() const
+Peers::ClockMillis() const
 {
   auto age = mState.Now().time_since_epoch();
   return std::chrono::duration_cast<Millis>(age).count();
@@ -37,10 +37,13 @@
 void
 Peers::WatchLeaving()
 {
-  OnMessage(kLeaving,
-            [this](const Json::Value& aNote) { OnLeavingMessage(aNote); });
-  OnMessage(kGoodbye, [this](const Json::Value& aNote) { OnGoodbye(aNote); });
-  mState.mReactor.Every(kLookLeaving, [this] { AnnounceOwnLeaving(); });
+  OnMessage(kLeavingMessage, [this](const Json::Value& aMessage) {
+    OnLeavingMessage(aMessage);
+  });
+  OnMessage(kGoodbyeMessage,
+            [this](const Json::Value& aMessage) { OnGoodbye(aMessage); });
+  mState.mReactor.Every(kLeavingCheckInterval,
+                        [this] { AnnounceOwnLeaving(); });
 }
 
 bool
@@ -55,7 +58,7 @@
 {
   Json::Value self;
   self["name"] = mState.mSettings.mName;
-  self["life"] = Json::Int64(mLife);
+  self["life"] = Json::Int64(mIncarnation);
   return self;
 }
 
@@ -64,7 +67,7 @@
 {
   if (mState.mLeave.Leaving() && !mAnnouncedLeaving) {
     mAnnouncedLeaving = true;
-    SendMessage(kLeaving, Self());
+    SendMessage(kLeavingMessage, Self());
   }
 }
 
@@ -73,16 +76,16 @@
 {
   if (!mLeft) {
     mLeft = true;
-    SendMessage(kGoodbye, Self());
+    SendMessage(kGoodbyeMessage, Self());
   }
 }
 
 void
-Peers::OnLeavingMessage(const Json::Value& aNote)
+Peers::OnLeavingMessage(const Json::Value& aMessage)
 {
-  auto found = mPeers.find(aNote["name"].asString());
+  auto found = mPeers.find(aMessage["name"].asString());
   if (found == mPeers.end() || found->second.mLeaving ||
-      found->second.mLife != aNote["life"].asInt64()) {
+      found->second.mIncarnation != aMessage["life"].asInt64()) {
     return;
   }
   found->second.mLeaving = true;
@@ -97,9 +100,10 @@
 Peers::ClearLeases(const Peer& aPeer)
 {
   mState.mReactor.After(
-    kLeasesAfter, [this, name = aPeer.mName, life = aPeer.mLife] {
+    kLeaseClearDelay,
+    [this, name = aPeer.mName, incarnation = aPeer.mIncarnation] {
       auto found = mPeers.find(name);
-      if (found != mPeers.end() && found->second.mLife == life) {
+      if (found != mPeers.end() && found->second.mIncarnation == incarnation) {
         found->second.mLeases.clear();
       }
     });
@@ -107,22 +111,22 @@
 
 // Its requests in flight stay known until its heartbeats end.
 void
-Peers::OnGoodbye(const Json::Value& aNote)
+Peers::OnGoodbye(const Json::Value& aMessage)
 {
-  OnLeavingMessage(aNote);
-  std::string name = aNote["name"].asString();
-  int64_t life = aNote["life"].asInt64();
+  OnLeavingMessage(aMessage);
+  std::string name = aMessage["name"].asString();
+  int64_t incarnation = aMessage["life"].asInt64();
   Departed departed{ Peer(), mState.Now() };
   auto found = mPeers.find(name);
   if (found != mPeers.end()) {
     departed.mPeer = found->second;
   }
-  int64_t known = departed.mPeer.mLife;
-  if (IsDeparted(name, life) || (known != 0 && known != life)) {
+  int64_t known = departed.mPeer.mIncarnation;
+  if (IsDeparted(name, incarnation) || (known != 0 && known != incarnation)) {
     return; // a repetition, or of an earlier incarnation
   }
   departed.mPeer.mName = name;
-  departed.mPeer.mLife = life;
+  departed.mPeer.mIncarnation = incarnation;
   mState.mLog.Line("instance_left").Text("peer", name);
   mDeparted[name] = std::move(departed);
   mPeers.erase(name);
@@ -130,10 +134,11 @@
 }
 
 bool
-Peers::IsDeparted(const std::string& aName, int64_t aLife) const
+Peers::IsDeparted(const std::string& aName, int64_t aIncarnation) const
 {
   auto found = mDeparted.find(aName);
-  return found != mDeparted.end() && found->second.mPeer.mLife == aLife;
+  return found != mDeparted.end() &&
+         found->second.mPeer.mIncarnation == aIncarnation;
 }
 
 bool
@@ -141,7 +146,7 @@
 {
   return aDeparted.mPeer.mZone == mState.mSettings.mZone &&
          !aDeparted.mPeer.mAddress.empty() &&
-         mState.Now() - aDeparted.mAt < kEnding;
+         mState.Now() - aDeparted.mAt < kDrainTime;
 }
 
 void
@@ -152,7 +157,7 @@
     if (!Alive(departed.mPeer)) {
       mState.mServers.ForgetPeer(it->first);
     }
-    bool old = mState.Now() - departed.mAt >= kDeparted;
+    bool old = mState.Now() - departed.mAt >= kDepartedMemory;
     it = old && !Alive(departed.mPeer) ? mDeparted.erase(it) : std::next(it);
   }
 }
@@ -188,11 +193,11 @@
   if (!own.isArray() || own.size() != 2) {
     return std::nullopt;
   }
-  Millis there(Stamp() - own[0].asInt64() - own[1].asInt64());
-  if (there < Millis(0)) {
+  Millis roundTrip(ClockMillis() - own[0].asInt64() - own[1].asInt64());
+  if (roundTrip < Millis(0)) {
     return std::nullopt; // the time stamp is from before a reboot
   }
-  return there;
+  return roundTrip;
 }
 
 } // namespace caraway
