--- a/src/entry/EntryDaemon.cpp
+++ b/src/entry/EntryDaemon.cpp
@@ -9,19 +9,19 @@
 
 constexpr Millis kSweep{ 500 };
 
-// Callers' connections at a time; two hundred descriptors are left for
-// servers, peers and the store.
+// Concurrent connections of callers; 200 file descriptors are left for servers,
+// peers and the store.
 constexpr size_t kMostCallers = 3400;
 constexpr size_t kMostOthers = 64;
 
-// For the last answers to reach their callers.
+// Time for the last answers to reach their callers.
 constexpr Millis kLastAnswers{ 200 };
 
-// A caller that was told that its connection stays sends the next request
-// within this, as a rule; it is answered here, and told to go.
+// A caller on a connection that was kept alive usually sends its next request
+// within this time. It is still answered here, and the connection is closed.
 constexpr Millis kNextRequest{ 300 };
 
-// Between two looks whether everything is done.
+// Interval of the checks whether the shutdown is complete.
 constexpr Millis kLeaveLook{ 50 };
 
 } // namespace
@@ -120,7 +120,7 @@
   return mZoneLease.MayAct() || !mPeers.HolderOf(mZoneLease.Name()).empty();
 }
 
-// ---- What instances tell each other
+// ---- Heartbeats
 
 void
 EntryDaemon::FillHeartbeat(Json::Value& aHeartbeat)
@@ -163,7 +163,7 @@
   return { 200, "text/plain", text };
 }
 
-// ---- Running and leaving
+// ---- Event loop and shutdown
 
 void
 EntryDaemon::RunPass(Millis aMost)
@@ -188,8 +188,8 @@
   CheckLeaving();
 }
 
-// Nobody new comes: what is left of tenants' tokens goes to a mate, and the
-// part to all.
+// Called when no new callers are accepted: the remaining tenant tokens go to a
+// zone peer, and this instance's part of the limits is divided among all.
 void
 EntryDaemon::LeaveZone()
 {
@@ -204,7 +204,7 @@
 EntryDaemon::CheckLeaving()
 {
   TimePoint now = mState.Now();
-  mState.mLeave.Shorten(mState.mSettings.mGrace); // it may have changed
+  mState.mLeave.Shorten(mState.mSettings.mGrace); // may have been reloaded
   bool closed = !mState.mLeave.ExpectsCallers(now);
   if (closed) {
     mCallers->Close();
--- a/src/entry/EntryDaemon.h
+++ b/src/entry/EntryDaemon.h
@@ -22,21 +22,21 @@
 class EntryDaemon
 {
 public:
-  // aLogFile: see EventLog. Throws Poco::Exception when an address of the
-  // settings can't be bound.
+  // aLogFile: see EventLog. Throws Poco::Exception if an address of the
+  // settings cannot be bound.
   EntryDaemon(const Clock& aClock, EntrySettings aSettings, int aLogFile);
   ~EntryDaemon() { mState.mReactor.Drop(); }
 
-  // One wait of at most aMost and what it brought; until Gone().
+  // Waits for events for at most aMost and handles them; called until Gone().
   void RunPass(Millis aMost);
-  // Begins to leave: unready at once, ends when nothing is under way, within
-  // the time that the platform grants.
+  // Starts the shutdown: the instance is no longer ready, and ends once no
+  // request is in flight, within the grace time of the platform.
   void Leave();
   bool Gone() const { return mGone; }
   bool Ready() const;
-  // Somebody holds the leases that requests depend on here.
+  // The lease of this zone has a known holder.
   bool Settled() const;
-  // This instance orders its zone's servers.
+  // This instance holds the lease of its zone.
   bool HoldsLease() const { return mZoneLease.Holds(); }
 
   EntryState& State() { return mState; }
--- a/src/entry/EntrySettings.h
+++ b/src/entry/EntrySettings.h
@@ -1,4 +1,4 @@
-// EntrySettings.h: what an entry instance is told about itself at its start.
+// EntrySettings.h: settings of an entry instance.
 #ifndef caraway_entry_EntrySettings_h
 #define caraway_entry_EntrySettings_h
 
@@ -13,20 +13,20 @@
 {
   std::string mName;
   std::string mZone;
-  std::vector<std::string> mZones; // all of the fleet, sorted
+  std::vector<std::string> mZones; // all zones of the fleet, sorted
   std::string mCallers;            // ip:port for callers
-  std::string mReadiness;          // ip:port that the balancer asks
+  std::string mReadiness;          // ip:port for the load balancer's checks
   std::string mPeers;              // ip:port for other instances, TCP and UDP
   std::string mMetrics;            // ip:port for metrics; "" = none
   std::string mStore;              // ip:port of the object store
-  double mCpuShare = 1;            // of a core
+  double mCpuShare = 1;            // in cores
   Millis mGrace{ 8000 };           // from SIGTERM to SIGKILL
-  Millis mOrderSilence{ 3000 };    // between two holders' orders to a server
+  Millis mOrderSilence{ 3000 };    // between orders of two holders
   Millis mServerHeartbeatInterval{
     1200
-  };                        // servers write to their entries so often
-  double mRetryRatio = 0.2; // repeats a request, over all instances
-  double mRetrySlack = 0;   // repeats besides, in each window
+  };                        // interval of the servers' entry updates
+  double mRetryRatio = 0.2; // retries per request, over all instances
+  double mRetrySlack = 0;   // additional retries in each window
   Millis mRetryWindow{ 10000 };
 };
 
--- a/src/entry/EntryState.h
+++ b/src/entry/EntryState.h
@@ -1,4 +1,4 @@
-// EntryState.h: what the parts of an entry instance share.
+// EntryState.h: state shared by the components of an entry instance.
 #ifndef caraway_entry_EntryState_h
 #define caraway_entry_EntryState_h
 
@@ -18,15 +18,15 @@
 
 namespace caraway {
 
-// One shard's state: touched by its reactor's thread only.
+// Accessed by the thread of its reactor only.
 struct EntryState
 {
   EntryState(const Clock& aClock, EntrySettings aSettings, int aLogFile);
 
   TimePoint Now() const { return mReactor.Now(); }
-  // A request here asks for aName, MODEL or MODEL/ADAPTER.
+  // Counts a request of this instance for aName, MODEL or MODEL/ADAPTER.
   void CountDemand(const std::string& aName, TimePoint aNow);
-  // Age of aThen in whole milliseconds; -1 when it never happened.
+  // Age of aThen in ms; -1 for a default TimePoint, which means never.
   Millis AgeOf(TimePoint aThen) const;
 
   EntrySettings mSettings;
@@ -35,13 +35,14 @@
   Metrics mMetrics;
   ChannelPool mServerPool;  // to servers
   ChannelPool mPeerPool;    // to other instances
-  ServingConfigPtr mConfig; // null until one is known
+  ServingConfigPtr mConfig; // null until one is received
   ServerView mServers;
-  bool mServersKnown = false; // the list was read at least once
-  DemandTracker mDemand;      // of all instances
-  std::map<std::string, int> mRequestsSinceHeartbeat; // here, by model
+  bool mServersKnown = false; // the list has been received at least once
+  DemandTracker mDemand;      // at all instances
+  std::map<std::string, int>
+    mRequestsSinceHeartbeat; // at this instance, by model
   ServerRetryBudget mRepeats;
-  int mInstances = 1; // that may be running, this one included
+  int mInstances = 1; // that may be running, including this one
   RunTimeEstimates mRunTimes;
   LeavePlan mLeave;
   std::mt19937 mRandom;
--- a/src/entry/RateLimiter.h
+++ b/src/entry/RateLimiter.h
@@ -1,4 +1,4 @@
-// RateLimiter.h: asks whether a tenant may spend tokens.
+// RateLimiter.h: charges the tokens of a request to its tenant.
 #ifndef caraway_entry_RateLimiter_h
 #define caraway_entry_RateLimiter_h
 
@@ -15,11 +15,11 @@
 {
   std::string mTenant;
   double mTokens = 0;
-  double mReserve = 0;  // of the burst, to be left for more urgent requests
-  Millis mMaxWait{ 0 }; // tokens that accrue within it are waited for
+  double mReserve = 0;  // share of the burst left for more urgent requests
+  Millis mMaxWait{ 0 }; // for tokens that accrue within this time
 };
 
-// Tokens that were taken for a request, and where.
+// Tokens charged for a request, by the holder they were taken from.
 struct TokenGrant
 {
   std::string mTenant;
@@ -31,7 +31,7 @@
 struct TokenAnswer
 {
   std::optional<TokenGrant> mGrant; // nothing = refused
-  Millis mAfter{ 0 };               // when refused: come back then
+  Millis mAfter{ 0 };               // retry-after time when refused
 };
 
 class RateLimiter
@@ -40,9 +40,9 @@
   using Done = std::function<void(const TokenAnswer& aAnswer)>;
 
   virtual ~RateLimiter() = default;
-  // Answers once, now or soon after the request's patience.
+  // Calls aDone once, at the latest shortly after mMaxWait.
   virtual void Ask(const TokenRequest& aRequest, Done aDone) = 0;
-  // The request didn't run, and never will.
+  // Refunds the tokens of a request that did not run and never will.
   virtual void GiveBack(const TokenGrant& aGrant) = 0;
 };
 
--- a/src/entry/SettingsWatch.cpp
+++ b/src/entry/SettingsWatch.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-// What changes without a signal holds within a second, as long as a leaving
-// instance gets requests anyway.
+// A change without a signal takes effect within a second, which is also the
+// time for which an instance still receives requests after its shutdown has
+// started.
 constexpr Millis kLook{ 1000 };
 
 constexpr int64_t kNanos = 1000000000;
--- a/src/entry/SettingsWatch.h
+++ b/src/entry/SettingsWatch.h
@@ -1,9 +1,9 @@
-// SettingsWatch.h: what may change in the settings while the process runs.
+// SettingsWatch.h: reloads the settings that may change while the process runs.
 //
-// The file is read again on a signal, and when it looks different: it may be
-// replaced without one. What it says about times and budgets holds from then
-// on; names and addresses need a new process. A file that can't be read, or
-// lacks a field, changes nothing.
+// The file is read again on a signal and when its modification time or size has
+// changed, as it may be replaced without a signal. Times and budgets take
+// effect at once; names and addresses need a restart. A file that cannot be
+// read or lacks a field changes nothing.
 #ifndef caraway_entry_SettingsWatch_h
 #define caraway_entry_SettingsWatch_h
 
@@ -19,21 +19,21 @@
 class SettingsWatch
 {
 public:
-  // Gives nothing, with one line for what is wrong, when a file is unusable.
+  // Returns nothing, and an error of one line in aWrong, for an unusable file.
   using Reader =
     std::function<std::optional<EntrySettings>(const std::string& aPath,
                                                std::string& aWrong)>;
 
   SettingsWatch(EntryState& aState, std::string aPath, Reader aReader);
 
-  // Looks at the file now and then, from now on.
+  // Starts the periodic check of the file.
   void Start();
   void Reload(const char* aWhy);
-  // Reads it again if it looks different.
+  // Reads the file again if its modification time or size has changed.
   void ReloadIfChanged();
 
 private:
-  using Look = std::pair<int64_t, int64_t>; // time of change, bytes
+  using Look = std::pair<int64_t, int64_t>; // modification time in ns, size
   Look FileStamp() const;
   void Apply(const EntrySettings& aSettings);
 
--- a/src/entry/TenantRateLimiter.cpp
+++ b/src/entry/TenantRateLimiter.cpp
@@ -8,21 +8,19 @@
 
 namespace {
 
-// Members, limits and who is alive are looked at so often, beside when they
-// are known to have changed.
+// Members, limits and live instances are refreshed at this interval, and when a
+// change of the members is reported.
 constexpr Millis kRefresh{ 100 };
 
 constexpr Millis kShortestTimer{ 1 };
 
 constexpr char kLend[] = "lend";
-
 constexpr char kTakeBack[] = "take_back";
-
 constexpr char kSpare[] = "spare_tokens";
 
 constexpr Millis kTakeBackTime{ 250 };
 
-// Until there is a configuration.
+// Retry-after time while there is no configuration.
 constexpr Millis kNotYet{ 700 };
 
 } // namespace
@@ -51,8 +49,9 @@
   mState.mReactor.Every(kRefresh, [this] { Refresh(); });
 }
 
-// Buckets fill from when they are made. Made at a tenant's first request they
-// would refuse it.
+// Creates the bucket of each limited tenant in advance: a bucket starts to fill
+// when it is created, so one created at a tenant's first request would refuse
+// it.
 void
 TenantRateLimiter::Refresh()
 {
@@ -75,8 +74,9 @@
   }
 }
 
-// The holders of this zone, then those of the others; each instance begins
-// elsewhere, so that not all ask the same one.
+// The live holders of the tenant's tokens: those of this zone first, then those
+// of the other zones. Each instance starts at another one, so that not all ask
+// the same lender.
 std::vector<std::string>
 TenantRateLimiter::LendersOf(const TenantLimit& aLimit) const
 {
@@ -161,7 +161,7 @@
   Tenant& tenant = mTenants[aTenant];
   TimePoint now = mState.Now();
   if (tenant.mTimerAt > now && tenant.mTimerAt <= aAt) {
-    return; // one is pending that comes first
+    return; // an earlier timer is pending
   }
   auto wait = std::chrono::duration_cast<Millis>(aAt - now);
   TimePoint at = now + std::max(wait, kShortestTimer);
@@ -300,15 +300,16 @@
   }
   for (const std::string& mate : mMembers.CountedMembers()) {
     if (!note.empty() && mPeers.Alive(mate)) {
-      mPeers.SendMessageTo(mate, kSpare, note); // lost on the way, it is spent
+      // If the message is lost, the tokens count as spent.
+      mPeers.SendMessageTo(mate, kSpare, note);
       return;
     }
   }
 }
 
-// A request that was refused for want of a server comes back and is charged
-// again; unless its tokens are given back, a tenant within its rate is refused
-// by rate while a model loads.
+// A request that was refused because no server was available is retried and
+// charged again. Without the refund, a tenant within its rate would be refused
+// by the rate limit while a model loads.
 void
 TenantRateLimiter::GiveBack(const TokenGrant& aGrant)
 {
@@ -322,7 +323,7 @@
     params["tenant"] = aGrant.mTenant;
     params["tokens"] = source.mTokens;
     params["age_ms"] = Json::Int64(mState.AgeOf(aGrant.mAt).count());
-    // Lost on the way, they are spent: the limit holds all the same.
+    // If the call is lost, the tokens count as spent; the limit still holds.
     mPeers.Call(source.mHolder,
                 kTakeBack,
                 params,
--- a/src/entry/TenantRateLimiter.h
+++ b/src/entry/TenantRateLimiter.h
@@ -1,5 +1,5 @@
-// TenantRateLimiter.h: lets tenants' requests in by their tokens, and lends
-// tokens to other instances; the decisions are TenantTokenBucket's.
+// TenantRateLimiter.h: admits requests by their tenant's tokens, and lends
+// tokens to other instances. TenantTokenBucket takes the decisions.
 #ifndef caraway_entry_TenantRateLimiter_h
 #define caraway_entry_TenantRateLimiter_h
 
@@ -20,7 +20,8 @@
   TenantRateLimiter(EntryState& aState, Peers& aPeers, Membership& aMembers);
 
   void Start();
-  // Hands what is left to a mate; called before the zone is told.
+  // Hands the remaining tokens to a zone peer. Called before the zone is
+  // notified that this instance leaves.
   void Leave();
 
   void Ask(const TokenRequest& aRequest, Done aDone) override;
@@ -35,7 +36,7 @@
   struct Tenant
   {
     TenantTokenBucket mTokenBucket;
-    TimePoint mTimerAt{}; // pending
+    TimePoint mTimerAt{}; // of the pending timer
   };
   void Refresh();
   std::vector<std::string> LendersOf(const TenantLimit& aLimit) const;
--- a/src/entry/UsageRelay.cpp
+++ b/src/entry/UsageRelay.cpp
@@ -8,8 +8,8 @@
 
 constexpr char kUse[] = "use";
 
-// As often as pulses are in a small fleet. A tenth of a kilobyte a zone: with
-// 79 instances and four zones 60 KB/s at each holder.
+// The heartbeat interval of a small fleet. A message takes 0.1 KB per zone:
+// with 79 instances and four zones each lease holder receives 60 KB/s.
 constexpr Millis kTell{ 250 };
 
 InFlightCounts
@@ -74,7 +74,7 @@
                                   ReadCounts(aHeartbeat["under_way"]));
   const Json::Value& asked = aHeartbeat["asked"];
   for (const std::string& model : asked.getMemberNames()) {
-    // Each pulse reaches a part of the instances only, in turn.
+    // Each heartbeat reaches only a part of the instances, in turn.
     mState.mDemand.Add(
       model, asked[model].asInt() * mPeers.HeartbeatRounds(), mState.Now());
   }
@@ -84,7 +84,7 @@
 UsageRelay::Tell()
 {
   if (mPeers.HeartbeatRounds() == 1) {
-    return; // pulses reach everybody as often
+    return; // heartbeats reach all instances at this interval
   }
   for (const std::string& zone : mState.mSettings.mZones) {
     std::string holder = mPeers.HolderOf(ZoneLeaseName(zone));
@@ -98,7 +98,7 @@
 UsageRelay::SendUsageTo(const std::string& aZone, const std::string& aHolder)
 {
   Json::Value use = UsageOf(aZone);
-  // Once more when all has ended, and then nothing.
+  // Empty counts are sent once, after the last request has ended.
   if (use.empty() && !mTold.count(aZone)) {
     return;
   }
--- a/src/entry/UsageRelay.h
+++ b/src/entry/UsageRelay.h
@@ -1,10 +1,11 @@
-// UsageRelay.h: what is under way at servers and asked for, told among
-// instances.
+// UsageRelay.h: shares the requests in flight at servers and the demand for
+// models among instances.
 //
-// Pulses carry both to all instances in turn, which in a large fleet takes
-// seconds. Whoever orders a zone's servers must know sooner which models are in
-// use: an unload waits for the model's requests, and the server takes no other
-// order meanwhile. So each instance tells it directly, of its servers only.
+// Heartbeats carry both to all instances in turn, which takes seconds in a
+// large fleet. The lease holder of a zone needs to know sooner which models are
+// in use: an unload waits for the model's requests, and meanwhile the server
+// accepts no other order. So each instance also sends the holder the counts for
+// the servers of its zone directly.
 #ifndef caraway_entry_UsageRelay_h
 #define caraway_entry_UsageRelay_h
 
@@ -33,7 +34,8 @@
 
   EntryState& mState;
   Peers& mPeers;
-  std::set<std::string> mTold; // zones whose holder was last told of some use
+  // Zones whose lease holder was last sent counts that were not empty.
+  std::set<std::string> mTold;
 };
 
 } // namespace caraway
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -19,7 +19,8 @@
 
 namespace {
 
-// Longest wait of one turn: signals are looked at between turns.
+// Longest wait of one pass of the event loop; signals are checked between
+// passes.
 constexpr caraway::Millis kTurn{ 100 };
 
 std::atomic<bool> sLeave{ false };
@@ -103,12 +104,12 @@
         settings.Reload("signal");
       }
       if (sLeave.exchange(false)) {
-        settings.ReloadIfChanged(); // the time that is granted may have changed
+        settings.ReloadIfChanged(); // the grace time may have changed
         daemon.Leave();
       }
     }
   } catch (const Poco::Exception& error) {
-    std::fprintf(stderr, "can't start: %s\n", error.displayText().c_str());
+    std::fprintf(stderr, "cannot start: %s\n", error.displayText().c_str());
     return 1;
   }
   return 0;
