--- a/src/entry/EntryDaemon.cpp
+++ b/src/entry/EntryDaemon.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-constexpr Millis kSweep{ 500 };
+constexpr Millis kSweepInterval{ 500 };
 
 // Concurrent connections of callers; 200 file descriptors are left for servers,
 // peers and the store.
-constexpr size_t kMostCallers = 3400;
-constexpr size_t kMostOthers = 64;
+constexpr size_t kMaxCallers = 3400;
+constexpr size_t kMaxOtherConnections = 64;
 
 // Time for the last answers to reach their callers.
-constexpr Millis kLastAnswers{ 200 };
+constexpr Millis kLastAnswersTime{ 200 };
 
 // A caller on a connection that was kept alive usually sends its next request
 // within this time. It is still answered here, and the connection is closed.
-constexpr Millis kNextRequest{ 300 };
+constexpr Millis kNextRequestTime{ 300 };
 
 // Interval of the checks whether the shutdown is complete.
-constexpr Millis kLeaveLook{ 50 };
+constexpr Millis kLeaveCheckInterval{ 50 };
 
 } // namespace
 
@@ -70,12 +70,14 @@
     .Text("store", mState.mSettings.mStore);
   Reactor& reactor = mState.mReactor;
   mCallers =
-    ListenPort::Open(reactor, mState.mSettings.mCallers, mFront, kMostCallers);
+    ListenPort::Open(reactor, mState.mSettings.mCallers, mFront, kMaxCallers);
   mReadiness = ListenPort::Open(
-    reactor, mState.mSettings.mReadiness, mReadyReplies, kMostOthers);
+    reactor, mState.mSettings.mReadiness, mReadyReplies, kMaxOtherConnections);
   if (!mState.mSettings.mMetrics.empty()) {
-    mMetricsPort = ListenPort::Open(
-      reactor, mState.mSettings.mMetrics, mMetricsReplies, kMostOthers);
+    mMetricsPort = ListenPort::Open(reactor,
+                                    mState.mSettings.mMetrics,
+                                    mMetricsReplies,
+                                    kMaxOtherConnections);
   }
   mPeers.OnHeartbeatFill(
     [this](Json::Value& aHeartbeat) { FillHeartbeat(aHeartbeat); });
@@ -90,7 +92,7 @@
   mZoneLease.Start();
   mTokens.Start();
   mOrders.Start();
-  reactor.Every(kSweep, [this] {
+  reactor.Every(kSweepInterval, [this] {
     mCallers->Sweep();
     mReadiness->Sweep();
     mState.mServerPool.Sweep();
@@ -166,9 +168,9 @@
 // ---- Event loop and shutdown
 
 void
-EntryDaemon::RunPass(Millis aMost)
+EntryDaemon::RunPass(Millis aMaxWait)
 {
-  mState.mReactor.RunPass(aMost);
+  mState.mReactor.RunPass(aMaxWait);
   mState.mLog.Flush();
 }
 
@@ -208,7 +210,7 @@
   bool closed = !mState.mLeave.ExpectsCallers(now);
   if (closed) {
     mCallers->Close();
-    mCallers->CloseIdle(ConnectionCloseReason::Leaving, kNextRequest);
+    mCallers->CloseIdle(ConnectionCloseReason::Leaving, kNextRequestTime);
     LeaveZone();
   }
   if (now >= mState.mLeave.End() && !mAnsweredAll) {
@@ -220,13 +222,13 @@
   }
   bool done = closed && mFront.RequestsInFlight() == 0 &&
               mCallers->AllClosed() && !mMembers.RemovingEntry();
-  if (done || now >= mState.mLeave.End() + kLastAnswers) {
+  if (done || now >= mState.mLeave.End() + kLastAnswersTime) {
     mCallers->EndAll();
     mState.mLog.Line("left").Ms("after_ms", mState.AgeOf(mLeavingSince));
     mGone = true;
     return;
   }
-  mState.mReactor.After(kLeaveLook, [this] { CheckLeaving(); });
+  mState.mReactor.After(kLeaveCheckInterval, [this] { CheckLeaving(); });
 }
 
 } // namespace caraway
--- a/src/entry/EntryDaemon.h
+++ b/src/entry/EntryDaemon.h
@@ -27,8 +27,9 @@
   EntryDaemon(const Clock& aClock, EntrySettings aSettings, int aLogFile);
   ~EntryDaemon() { mState.mReactor.Drop(); }
 
-  // Waits for events for at most aMost and handles them; called until Gone().
-  void RunPass(Millis aMost);
+  // Waits for events for at most aMaxWait and handles them; called until
+  // Gone().
+  void RunPass(Millis aMaxWait);
   // Starts the shutdown: the instance is no longer ready, and ends once no
   // request is in flight, within the grace time of the platform.
   void Leave();
--- a/src/entry/SettingsWatch.cpp
+++ b/src/entry/SettingsWatch.cpp
@@ -9,9 +9,9 @@
 // A change without a signal takes effect within a second, which is also the
 // time for which an instance still receives requests after its shutdown has
 // started.
-constexpr Millis kLook{ 1000 };
+constexpr Millis kFileCheckInterval{ 1000 };
 
-constexpr int64_t kNanos = 1000000000;
+constexpr int64_t kNanosPerSecond = 1000000000;
 
 } // namespace
 
@@ -21,44 +21,45 @@
   : mState(aState)
   , mPath(std::move(aPath))
   , mReader(std::move(aReader))
-  , mSeen(FileStamp())
+  , mLastStamp(FileStamp())
 {
 }
 
 void
 SettingsWatch::Start()
 {
-  mState.mReactor.Every(kLook, [this] { ReloadIfChanged(); });
+  mState.mReactor.Every(kFileCheckInterval, [this] { ReloadIfChanged(); });
 }
 
 void
 SettingsWatch::ReloadIfChanged()
 {
-  if (FileStamp() != mSeen) {
+  if (FileStamp() != mLastStamp) {
     Reload("file changed");
   }
 }
 
-SettingsWatch::Look
+SettingsWatch::Stamp
 SettingsWatch::FileStamp() const
 {
   struct stat file = {};
   if (stat(mPath.c_str(), &file) != 0) {
     return { 0, 0 };
   }
-  return { file.st_mtim.tv_sec * kNanos + file.st_mtim.tv_nsec, file.st_size };
+  return { file.st_mtim.tv_sec * kNanosPerSecond + file.st_mtim.tv_nsec,
+           file.st_size };
 }
 
 void
 SettingsWatch::Reload(const char* aWhy)
 {
-  mSeen = FileStamp();
-  std::string wrong;
-  auto settings = mReader(mPath, wrong);
+  mLastStamp = FileStamp();
+  std::string error;
+  auto settings = mReader(mPath, error);
   mState.mLog.Line("settings_reloaded")
     .Text("why", aWhy)
     .Flag("good", settings.has_value())
-    .Text("wrong", wrong);
+    .Text("wrong", error);
   if (settings) {
     Apply(*settings);
   }
@@ -67,9 +68,9 @@
 void
 SettingsWatch::Apply(const EntrySettings& aSettings)
 {
-  EntrySettings& mine = mState.mSettings;
-  mine.mGrace = aSettings.mGrace;
-  mine.mServerHeartbeatInterval = aSettings.mServerHeartbeatInterval;
+  EntrySettings& current = mState.mSettings;
+  current.mGrace = aSettings.mGrace;
+  current.mServerHeartbeatInterval = aSettings.mServerHeartbeatInterval;
   mState.mRepeats.SetLimits(
     { aSettings.mRetryRatio, aSettings.mRetrySlack, aSettings.mRetryWindow });
 }
--- a/src/entry/SettingsWatch.h
+++ b/src/entry/SettingsWatch.h
@@ -19,10 +19,10 @@
 class SettingsWatch
 {
 public:
-  // Returns nothing, and an error of one line in aWrong, for an unusable file.
+  // Returns nothing, and an error of one line in aError, for an unusable file.
   using Reader =
     std::function<std::optional<EntrySettings>(const std::string& aPath,
-                                               std::string& aWrong)>;
+                                               std::string& aError)>;
 
   SettingsWatch(EntryState& aState, std::string aPath, Reader aReader);
 
@@ -33,14 +33,14 @@
   void ReloadIfChanged();
 
 private:
-  using Look = std::pair<int64_t, int64_t>; // modification time in ns, size
-  Look FileStamp() const;
+  using Stamp = std::pair<int64_t, int64_t>; // modification time in ns, size
+  Stamp FileStamp() const;
   void Apply(const EntrySettings& aSettings);
 
   EntryState& mState;
   std::string mPath;
   Reader mReader;
-  Look mSeen;
+  Stamp mLastStamp;
 };
 
 } // namespace caraway
--- a/src/entry/TenantRateLimiter.cpp
+++ b/src/entry/TenantRateLimiter.cpp
@@ -10,18 +10,18 @@
 
 // Members, limits and live instances are refreshed at this interval, and when a
 // change of the members is reported.
-constexpr Millis kRefresh{ 100 };
+constexpr Millis kRefreshInterval{ 100 };
 
-constexpr Millis kShortestTimer{ 1 };
+constexpr Millis kMinTimer{ 1 };
 
-constexpr char kLend[] = "lend";
-constexpr char kTakeBack[] = "take_back";
-constexpr char kSpare[] = "spare_tokens";
+constexpr char kLendMethod[] = "lend";
+constexpr char kReturnMethod[] = "take_back";
+constexpr char kSpareTokensMessage[] = "spare_tokens";
 
-constexpr Millis kTakeBackTime{ 250 };
+constexpr Millis kReturnTimeout{ 250 };
 
 // Retry-after time while there is no configuration.
-constexpr Millis kNotYet{ 700 };
+constexpr Millis kNotConfiguredRetry{ 700 };
 
 } // namespace
 
@@ -37,16 +37,17 @@
 void
 TenantRateLimiter::Start()
 {
-  mPeers.Add(kLend,
+  mPeers.Add(kLendMethod,
              [this](const Json::Value& aParams) { return OnLend(aParams); });
-  mPeers.Add(kTakeBack, [this](const Json::Value& aParams) {
+  mPeers.Add(kReturnMethod, [this](const Json::Value& aParams) {
     OnReturnedTokens(aParams);
     return Json::Value(Json::objectValue);
   });
-  mPeers.OnMessage(kSpare,
-                   [this](const Json::Value& aNote) { OnSpareTokens(aNote); });
+  mPeers.OnMessage(kSpareTokensMessage, [this](const Json::Value& aMessage) {
+    OnSpareTokens(aMessage);
+  });
   mMembers.OnChange([this] { Refresh(); });
-  mState.mReactor.Every(kRefresh, [this] { Refresh(); });
+  mState.mReactor.Every(kRefreshInterval, [this] { Refresh(); });
 }
 
 // Creates the bucket of each limited tenant in advance: a bucket starts to fill
@@ -60,17 +61,17 @@
   }
   TimePoint now = mState.Now();
   std::vector<std::string> members = mMembers.CountedMembers();
-  bool spends = mMembers.MaySpend();
+  bool maySpend = mMembers.MaySpend();
   size_t zones = mState.mSettings.mZones.size();
   for (const auto& [name, limit] : mState.mConfig->mTenants) {
     if (limit.mRate <= 0) {
       continue;
     }
-    TenantTokenBucket& purse = mTenants[name].mTokenBucket;
+    TenantTokenBucket& bucket = mTenants[name].mTokenBucket;
     double part =
-      spends ? PartOf(limit, zones, members, mState.mSettings.mName) : 0;
-    purse.SetPart(limit, part, now);
-    purse.SetHolders(LendersOf(limit));
+      maySpend ? PartOf(limit, zones, members, mState.mSettings.mName) : 0;
+    bucket.SetPart(limit, part, now);
+    bucket.SetHolders(LendersOf(limit));
   }
 }
 
@@ -86,7 +87,7 @@
   if (own != zones.end()) {
     std::rotate(zones.begin(), own, zones.end());
   }
-  std::vector<std::string> askable;
+  std::vector<std::string> lenders;
   for (const std::string& zone : zones) {
     std::vector<std::string> members;
     for (const auto& [name, peer] : mPeers.All()) {
@@ -104,18 +105,18 @@
       }
     }
     std::sort(alive.begin(), alive.end());
-    auto behind = std::upper_bound(alive.begin(), alive.end(), self);
-    std::rotate(alive.begin(), behind, alive.end());
-    askable.insert(askable.end(), alive.begin(), alive.end());
+    auto next = std::upper_bound(alive.begin(), alive.end(), self);
+    std::rotate(alive.begin(), next, alive.end());
+    lenders.insert(lenders.end(), alive.begin(), alive.end());
   }
-  return askable;
+  return lenders;
 }
 
 void
 TenantRateLimiter::Ask(const TokenRequest& aRequest, Done aDone)
 {
   if (!mState.mConfig) {
-    aDone({ std::nullopt, kNotYet });
+    aDone({ std::nullopt, kNotConfiguredRetry });
     return;
   }
   const TenantLimit* limit = mState.mConfig->Tenant(aRequest.mTenant);
@@ -127,13 +128,13 @@
     Refresh();
   }
   TimePoint now = mState.Now();
-  QueuedTokenRequest want;
-  want.mId = ++mNextId;
-  want.mTokens = aRequest.mTokens;
-  want.mReserve = aRequest.mReserve;
-  want.mUntil = now + aRequest.mMaxWait;
-  mWaiters[want.mId] = { aRequest, std::move(aDone) };
-  mTenants[aRequest.mTenant].mTokenBucket.Wait(want, now);
+  QueuedTokenRequest queued;
+  queued.mId = ++mNextId;
+  queued.mTokens = aRequest.mTokens;
+  queued.mReserve = aRequest.mReserve;
+  queued.mUntil = now + aRequest.mMaxWait;
+  mWaiters[queued.mId] = { aRequest, std::move(aDone) };
+  mTenants[aRequest.mTenant].mTokenBucket.Wait(queued, now);
   Step(aRequest.mTenant);
 }
 
@@ -164,9 +165,9 @@
     return; // an earlier timer is pending
   }
   auto wait = std::chrono::duration_cast<Millis>(aAt - now);
-  TimePoint at = now + std::max(wait, kShortestTimer);
+  TimePoint at = now + std::max(wait, kMinTimer);
   tenant.mTimerAt = at;
-  mState.mReactor.After(std::max(wait, kShortestTimer), [this, aTenant, at] {
+  mState.mReactor.After(std::max(wait, kMinTimer), [this, aTenant, at] {
     Tenant& armed = mTenants[aTenant];
     if (armed.mTimerAt == at) {
       armed.mTimerAt = TimePoint();
@@ -182,26 +183,26 @@
   params["tenant"] = aTenant;
   params["tokens"] = aCall.mTokens;
   params["reserve"] = aCall.mReserve;
-  TimePoint asked = mState.Now();
+  TimePoint requestedAt = mState.Now();
   std::string holder = aCall.mHolder;
-  mPeers.Call(
-    holder,
-    kLend,
-    params,
-    kLoanLife,
-    [this, aTenant, holder, asked](bool aGood, const Json::Value& aResult) {
-      TenantTokenBucket& purse = mTenants[aTenant].mTokenBucket;
-      if (aGood && aResult["tokens"].isNumeric() &&
-          aResult["after_ms"].isInt64()) {
-        TokenLoan loan{ aResult["tokens"].asDouble(),
-                        Millis(aResult["after_ms"].asInt64()) };
-        purse.OnLoan(holder, loan, asked, mState.Now());
-      } else {
-        purse.OnNoLoan(holder, mState.Now());
-      }
-      mState.mMetrics.Count("caraway_token_loans_total", "");
-      Step(aTenant);
-    });
+  mPeers.Call(holder,
+              kLendMethod,
+              params,
+              kLoanLife,
+              [this, aTenant, holder, requestedAt](bool aGood,
+                                                   const Json::Value& aResult) {
+                TenantTokenBucket& bucket = mTenants[aTenant].mTokenBucket;
+                if (aGood && aResult["tokens"].isNumeric() &&
+                    aResult["after_ms"].isInt64()) {
+                  TokenLoan loan{ aResult["tokens"].asDouble(),
+                                  Millis(aResult["after_ms"].asInt64()) };
+                  bucket.OnLoan(holder, loan, requestedAt, mState.Now());
+                } else {
+                  bucket.OnNoLoan(holder, mState.Now());
+                }
+                mState.mMetrics.Count("caraway_token_loans_total", "");
+                Step(aTenant);
+              });
 }
 
 void
@@ -232,14 +233,14 @@
   mWaiters.erase(found);
   const std::string& name = waiter.mRequest.mTenant;
   const TenantLimit* limit = mState.mConfig->Tenant(name);
-  const TenantTokenBucket& purse = mTenants[name].mTokenBucket;
+  const TenantTokenBucket& bucket = mTenants[name].mTokenBucket;
   mState.mLog.Line("tokens_refused")
     .Text("tenant", name)
     .Number("tokens", waiter.mRequest.mTokens)
     .Number("reserve", waiter.mRequest.mReserve)
     .Number("rate", limit ? limit->mRate : 0)
     .Number("burst", limit ? limit->mBurst : 0)
-    .Number("level", purse.Level(mState.Now()))
+    .Number("level", bucket.Level(mState.Now()))
     .Flag("holds_part", mMembers.MaySpend())
     .Count("members", static_cast<int64_t>(mMembers.CountedMembers().size()))
     .Count("instances", mState.mInstances)
@@ -253,7 +254,7 @@
 TenantRateLimiter::OnLend(const Json::Value& aParams)
 {
   Json::Value result;
-  TokenLoan loan{ 0, kNotYet };
+  TokenLoan loan{ 0, kNotConfiguredRetry };
   auto found = mTenants.find(aParams["tenant"].asString());
   double tokens = aParams["tokens"].asDouble();
   if (found != mTenants.end() && tokens > 0) {
@@ -272,18 +273,18 @@
   double tokens = aParams["tokens"].asDouble();
   if (found != mTenants.end() && tokens > 0) {
     TimePoint now = mState.Now();
-    TimePoint taken = now - Millis(aParams["age_ms"].asInt64());
-    found->second.mTokenBucket.GiveBack(tokens, taken, now);
+    TimePoint takenAt = now - Millis(aParams["age_ms"].asInt64());
+    found->second.mTokenBucket.GiveBack(tokens, takenAt, now);
   }
 }
 
 void
-TenantRateLimiter::OnSpareTokens(const Json::Value& aNote)
+TenantRateLimiter::OnSpareTokens(const Json::Value& aMessage)
 {
-  for (const std::string& name : aNote.getMemberNames()) {
+  for (const std::string& name : aMessage.getMemberNames()) {
     auto found = mTenants.find(name);
-    if (found != mTenants.end() && aNote[name].asDouble() > 0) {
-      found->second.mTokenBucket.Add(aNote[name].asDouble(), mState.Now());
+    if (found != mTenants.end() && aMessage[name].asDouble() > 0) {
+      found->second.mTokenBucket.Add(aMessage[name].asDouble(), mState.Now());
     }
   }
 }
@@ -291,17 +292,17 @@
 void
 TenantRateLimiter::Leave()
 {
-  Json::Value note(Json::objectValue);
+  Json::Value message(Json::objectValue);
   for (auto& [name, tenant] : mTenants) {
     double level = tenant.mTokenBucket.Empty(mState.Now());
     if (level > 0) {
-      note[name] = level;
+      message[name] = level;
     }
   }
-  for (const std::string& mate : mMembers.CountedMembers()) {
-    if (!note.empty() && mPeers.Alive(mate)) {
+  for (const std::string& peer : mMembers.CountedMembers()) {
+    if (!message.empty() && mPeers.Alive(peer)) {
       // If the message is lost, the tokens count as spent.
-      mPeers.SendMessageTo(mate, kSpare, note);
+      mPeers.SendMessageTo(peer, kSpareTokensMessage, message);
       return;
     }
   }
@@ -325,9 +326,9 @@
     params["age_ms"] = Json::Int64(mState.AgeOf(aGrant.mAt).count());
     // If the call is lost, the tokens count as spent; the limit still holds.
     mPeers.Call(source.mHolder,
-                kTakeBack,
+                kReturnMethod,
                 params,
-                kTakeBackTime,
+                kReturnTimeout,
                 [](bool, const Json::Value&) {});
   }
 }
--- a/src/entry/TenantRateLimiter.h
+++ b/src/entry/TenantRateLimiter.h
@@ -47,7 +47,7 @@
   void OnRefused(const TokenRefused& aRefused);
   Json::Value OnLend(const Json::Value& aParams);
   void OnReturnedTokens(const Json::Value& aParams);
-  void OnSpareTokens(const Json::Value& aNote);
+  void OnSpareTokens(const Json::Value& aMessage);
 
   EntryState& mState;
   Peers& mPeers;
--- a/src/entry/UsageRelay.cpp
+++ b/src/entry/UsageRelay.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr char kUse[] = "use";
+constexpr char kUsageMessage[] = "use";
 
 // The heartbeat interval of a small fleet. A message takes 0.1 KB per zone:
 // with 79 instances and four zones each lease holder receives 60 KB/s.
-constexpr Millis kTell{ 250 };
+constexpr Millis kSendInterval{ 250 };
 
 InFlightCounts
 ReadCounts(const Json::Value& aServers)
@@ -35,34 +35,35 @@
 void
 UsageRelay::Start()
 {
-  mPeers.OnMessage(kUse, [this](const Json::Value& aNote) { OnTold(aNote); });
-  mState.mReactor.Every(kTell, [this] { Tell(); });
+  mPeers.OnMessage(kUsageMessage,
+                   [this](const Json::Value& aMessage) { OnUsage(aMessage); });
+  mState.mReactor.Every(kSendInterval, [this] { SendUsage(); });
 }
 
 // aZone "" = all servers.
 Json::Value
 UsageRelay::UsageOf(const std::string& aZone) const
 {
-  Json::Value use(Json::objectValue);
+  Json::Value usage(Json::objectValue);
   for (const auto& [id, backend] : mState.mServers.All()) {
     if (!aZone.empty() && backend.mEntry.mZone != aZone) {
       continue;
     }
     for (const auto& [model, count] : backend.mMine) {
-      use[id][model] = count;
+      usage[id][model] = count;
     }
   }
-  return use;
+  return usage;
 }
 
 void
 UsageRelay::FillHeartbeat(Json::Value& aHeartbeat)
 {
   aHeartbeat["under_way"] = UsageOf("");
-  Json::Value& asked = aHeartbeat["asked"];
-  asked = Json::Value(Json::objectValue);
+  Json::Value& demand = aHeartbeat["asked"];
+  demand = Json::Value(Json::objectValue);
   for (const auto& [model, count] : mState.mRequestsSinceHeartbeat) {
-    asked[model] = count;
+    demand[model] = count;
   }
   mState.mRequestsSinceHeartbeat.clear();
 }
@@ -72,16 +73,16 @@
 {
   mState.mServers.PutPeerRequests(aPeer.mName,
                                   ReadCounts(aHeartbeat["under_way"]));
-  const Json::Value& asked = aHeartbeat["asked"];
-  for (const std::string& model : asked.getMemberNames()) {
+  const Json::Value& demand = aHeartbeat["asked"];
+  for (const std::string& model : demand.getMemberNames()) {
     // Each heartbeat reaches only a part of the instances, in turn.
     mState.mDemand.Add(
-      model, asked[model].asInt() * mPeers.HeartbeatRounds(), mState.Now());
+      model, demand[model].asInt() * mPeers.HeartbeatRounds(), mState.Now());
   }
 }
 
 void
-UsageRelay::Tell()
+UsageRelay::SendUsage()
 {
   if (mPeers.HeartbeatRounds() == 1) {
     return; // heartbeats reach all instances at this interval
@@ -97,29 +98,29 @@
 void
 UsageRelay::SendUsageTo(const std::string& aZone, const std::string& aHolder)
 {
-  Json::Value use = UsageOf(aZone);
+  Json::Value usage = UsageOf(aZone);
   // Empty counts are sent once, after the last request has ended.
-  if (use.empty() && !mTold.count(aZone)) {
+  if (usage.empty() && !mReportedZones.count(aZone)) {
     return;
   }
-  if (use.empty()) {
-    mTold.erase(aZone);
+  if (usage.empty()) {
+    mReportedZones.erase(aZone);
   } else {
-    mTold.insert(aZone);
+    mReportedZones.insert(aZone);
   }
-  Json::Value note;
-  note["from"] = mState.mSettings.mName;
-  note["zone"] = aZone;
-  note["servers"] = std::move(use);
-  mPeers.SendMessageTo(aHolder, kUse, note);
+  Json::Value message;
+  message["from"] = mState.mSettings.mName;
+  message["zone"] = aZone;
+  message["servers"] = std::move(usage);
+  mPeers.SendMessageTo(aHolder, kUsageMessage, message);
 }
 
 void
-UsageRelay::OnTold(const Json::Value& aNote)
+UsageRelay::OnUsage(const Json::Value& aMessage)
 {
-  mState.mServers.PutPeerRequestsIn(aNote["zone"].asString(),
-                                    aNote["from"].asString(),
-                                    ReadCounts(aNote["servers"]));
+  mState.mServers.PutPeerRequestsIn(aMessage["zone"].asString(),
+                                    aMessage["from"].asString(),
+                                    ReadCounts(aMessage["servers"]));
 }
 
 } // namespace caraway
--- a/src/entry/UsageRelay.h
+++ b/src/entry/UsageRelay.h
@@ -27,15 +27,15 @@
   void ReadHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat);
 
 private:
-  void Tell();
+  void SendUsage();
   void SendUsageTo(const std::string& aZone, const std::string& aHolder);
   Json::Value UsageOf(const std::string& aZone) const;
-  void OnTold(const Json::Value& aNote);
+  void OnUsage(const Json::Value& aMessage);
 
   EntryState& mState;
   Peers& mPeers;
   // Zones whose lease holder was last sent counts that were not empty.
-  std::set<std::string> mTold;
+  std::set<std::string> mReportedZones;
 };
 
 } // namespace caraway
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -21,15 +21,15 @@
 
 // Longest wait of one pass of the event loop; signals are checked between
 // passes.
-constexpr caraway::Millis kTurn{ 100 };
+constexpr caraway::Millis kMaxWait{ 100 };
 
-std::atomic<bool> sLeave{ false };
-std::atomic<bool> sReload{ false };
+std::atomic<bool> sStopRequested{ false };
+std::atomic<bool> sReloadRequested{ false };
 
 void
 OnSignal(int aSignal)
 {
-  (aSignal == SIGHUP ? sReload : sLeave) = true;
+  (aSignal == SIGHUP ? sReloadRequested : sStopRequested) = true;
 }
 
 std::string
@@ -43,7 +43,8 @@
 }
 
 bool
-Tell(const std::string& aPath, const caraway::wire::SettingsResult& aReading)
+PrintErrors(const std::string& aPath,
+            const caraway::wire::SettingsResult& aReading)
 {
   for (const auto& trouble : aReading.mTroubles) {
     std::fprintf(stderr,
@@ -68,14 +69,14 @@
 }
 
 std::optional<caraway::EntrySettings>
-ReadAgain(const std::string& aPath, std::string& aWrong)
+ReloadSettings(const std::string& aPath, std::string& aError)
 {
   auto reading = caraway::wire::ReadSettingsFile(aPath);
   if (reading.mTroubles.empty()) {
     return reading.mSettings;
   }
   const auto& first = reading.mTroubles.front();
-  aWrong = first.mField + ": expected " + first.mExpected;
+  aError = first.mField + ": expected " + first.mExpected;
   return std::nullopt;
 }
 
@@ -88,7 +89,7 @@
   gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   std::string path = SettingsPath();
   auto reading = caraway::wire::ReadSettingsFile(path);
-  bool good = Tell(path, reading);
+  bool good = PrintErrors(path, reading);
   if (FLAGS_check_config || !good) {
     return good ? 0 : 2;
   }
@@ -96,14 +97,14 @@
   caraway::BootClock clock;
   try {
     caraway::EntryDaemon daemon(clock, reading.mSettings, STDOUT_FILENO);
-    caraway::SettingsWatch settings(daemon.State(), path, ReadAgain);
+    caraway::SettingsWatch settings(daemon.State(), path, ReloadSettings);
     settings.Start();
     while (!daemon.Gone()) {
-      daemon.RunPass(kTurn);
-      if (sReload.exchange(false)) {
+      daemon.RunPass(kMaxWait);
+      if (sReloadRequested.exchange(false)) {
         settings.Reload("signal");
       }
-      if (sLeave.exchange(false)) {
+      if (sStopRequested.exchange(false)) {
         settings.ReloadIfChanged(); // the grace time may have changed
         daemon.Leave();
       }
