--- a/tests/platform/EmptyZonesTest.cpp
+++ b/tests/platform/EmptyZonesTest.cpp
@@ -1,5 +1,5 @@
-// A zone whose instances have all left: its servers are led by an instance of
-// another zone until one of its own starts.
+// When all instances of a zone have left, an instance of another zone sends
+// orders to its servers until an instance of the zone starts.
 
 #include <gtest/gtest.h>
 
@@ -12,14 +12,14 @@
 
 namespace {
 
-// From the last leave of a zone's instances until its servers take orders.
+// From the end of a zone's last instance until its servers receive orders.
 constexpr Millis kAdopted{ 14000 };
 
-// From the end of the last entry of a zone that was silent for long: its list
-// is read again, and a whole lease is waited.
+// From the removal of the last entry of a zone whose instances are silent: the
+// list is read again, and a full lease must pass.
 constexpr Millis kEntryGone{ 24000 };
 
-// From the start of an instance until it orders at its zone's servers.
+// From the start of an instance until it sends orders to its zone's servers.
 constexpr Millis kHandedBack{ 6000 };
 
 std::vector<HttpField>
@@ -58,7 +58,7 @@
   // The engine of zone b.
   StandInServer& Engine() { return *mEngines[1]; }
 
-  // Ends the instance as its operator does.
+  // Shuts the instance down as an operator does.
   void Remove(size_t aInstance)
   {
     mInstances[aInstance]->Leave();
@@ -67,7 +67,7 @@
     mInstances[aInstance].reset();
   }
 
-  // A model that lies on no server's memory is asked for at an instance.
+  // Sends a request for a model that no server has loaded.
   TestCallPtr Ask(size_t aInstance, const std::string& aModel)
   {
     return Call(aInstance,
@@ -76,7 +76,7 @@
                 Model(aModel));
   }
 
-  // Asks for models until one is served.
+  // Repeats a request until it is served.
   bool AskUntilServed(size_t aInstance,
                       const std::string& aModel,
                       Millis aWithin)
@@ -110,7 +110,8 @@
 
 } // namespace
 
-// Guards against servers that stand idle with nobody who may order there.
+// Guards against servers that stay idle because no instance may send them
+// orders.
 TEST(EmptyZones, ServersOfAnEmptiedZoneTakeOrders)
 {
   TwoZoneFleet world;
@@ -121,7 +122,8 @@
   world.ExpectOneHolderAToken();
 }
 
-// Guards against an adopter that keeps a zone whose own instance is back.
+// Guards against an instance of another zone that keeps the lease of a zone
+// whose own instance has started.
 TEST(EmptyZones, FirstInstanceOfTheZoneGetsItBack)
 {
   TwoZoneFleet world;
@@ -137,8 +139,8 @@
   world.ExpectOneHolderAToken();
 }
 
-// Guards against a zone that is adopted a second time by whoever reads an old
-// list, or isn't adopted a second time at all.
+// Guards against a zone that is not taken over again after it has been handed
+// back and emptied, or is taken over on the basis of an outdated list.
 TEST(EmptyZones, ZoneIsAdoptedAgainWhenItEmptiesAgain)
 {
   TwoZoneFleet world;
@@ -154,20 +156,20 @@
   world.ExpectOneHolderAToken();
 }
 
-// Guards against a zone that is taken because its instances are silent: their
-// entries stand, so they may live.
+// Guards against a zone that is taken over because its instances are silent:
+// while their entries exist, they may be alive.
 TEST(EmptyZones, SilentZoneWithEntriesIsNotAdopted)
 {
   TwoZoneFleet world;
   world.AwaitReady();
-  world.mInstances[1].reset(); // without a word
+  world.mInstances[1].reset(); // killed
   EXPECT_FALSE(world.AskUntilServed(0, "m1", kAdopted));
   EXPECT_TRUE(world.Engine().mHolders.empty());
   world.mStore->Remove("caraway-instances", "i1");
   EXPECT_TRUE(world.AskUntilServed(0, "m1", kEntryGone));
 }
 
-// Guards against two adopters of one zone.
+// Guards against two instances that take over the same zone.
 TEST(EmptyZones, OneOfSeveralAdopts)
 {
   EntryFleetOptions plan;
@@ -182,8 +184,8 @@
   world.ExpectOneHolderAToken();
 }
 
-// Guards against an adopter that leaves and keeps what it leads until its lease
-// ends.
+// Guards against an instance that shuts down and keeps the leases of other
+// zones until they expire.
 TEST(EmptyZones, AdopterThatLeavesHandsOn)
 {
   EntryFleetOptions plan;
--- a/tests/platform/OrdersTest.cpp
+++ b/tests/platform/OrdersTest.cpp
@@ -1,5 +1,6 @@
-// Orders to model servers: what is missing is brought, one holder at a time,
-// never more than fits, whatever becomes of an order.
+// Orders to model servers: a missing model is loaded, only one lease holder
+// sends orders at a time, and no server is ordered to hold more than fits, even
+// if an order is lost or late.
 
 #include <gtest/gtest.h>
 
@@ -38,9 +39,10 @@
   EXPECT_EQ(1, world.mEngines[0]->mOrdersSeen);
 }
 
-// A rare model's load from a server's disk ends; the server's report shows it
-// only a second later. Who waits for it is served when the load's time is up:
-// where a caller gives up after two or three seconds, reports come too late.
+// A server's report shows a load from its disk only a second after it has
+// ended. Callers give up after two or three seconds, so a request that waits
+// for the report is answered too late. It must be sent when the load time is
+// over.
 TEST(Orders, LoadFromDiskIsUsedBeforeItIsReported)
 {
   EntryTestFleet world;
@@ -68,9 +70,9 @@
   EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
-// A server carries an unload out in some 50 ms and refuses orders meanwhile.
-// A place for a rare model takes one unload and one load, none of them twice:
-// orders have their price, and there are a dozen such places a second.
+// A server takes about 50 ms for an unload and rejects orders meanwhile.
+// Loading a rare model must take one unload and one load without retries: each
+// order has its cost, and there are a dozen such loads a second.
 TEST(Orders, PlaceTakesTwoOrders)
 {
   EntryTestFleet world;
@@ -83,7 +85,7 @@
   EXPECT_EQ(2, engine.mOrdersSeen);
 }
 
-// Many callers ask for one cold model at the same moment: one load.
+// Many callers request the same missing model at once: it is loaded once.
 TEST(Orders, BurstForOneModelLoadsItOnce)
 {
   EntryTestFleet world;
@@ -121,9 +123,9 @@
   EXPECT_LE(engine.mModels["m0"].size(), 8u);
 }
 
-// All eight adapters are in use when a ninth is asked for. A server accepts
-// the unload of one and carries it out when its streams have ended; until then
-// its place isn't free.
+// All eight adapters are in use when a ninth is requested. A server accepts the
+// unload of one and carries it out when its streams have ended; until then the
+// slot is not free.
 TEST(Orders, PlaceOfAnAdapterInUseIsNotFree)
 {
   EntryTestFleet world;
@@ -144,8 +146,8 @@
   EXPECT_GE(engine.mOrdersSeen, 9);
 }
 
-// The server carries a load out and its answer is lost. The same order is
-// sent again under the same count, so that it can't take effect twice.
+// The server carries out a load and its answer is lost. The order is retried
+// under the same count, so that it cannot take effect twice.
 TEST(Orders, OrderWithoutAnswerTakesEffectOnce)
 {
   EntryTestFleet world;
@@ -159,9 +161,9 @@
   EXPECT_EQ(1, engine.mOrders);
 }
 
-// The instance is killed while a load that it ordered is under way. Its next
-// life sees two models and room for a third, and plans a load into it. By the
-// time the server takes orders again the first load has filled the room.
+// The instance is killed while a load that it ordered is in progress. After its
+// restart it sees two models and memory for a third, and plans a load. By the
+// time the server accepts orders again, the first load has filled the memory.
 TEST(Orders, LoadOfAFormerLifeFillsTheRoomFirst)
 {
   EntryTestFleet world;
@@ -177,8 +179,8 @@
   world.mInstances[0] = world.MakeInstance(0);
   world.AwaitReady();
   world.Send(0, "/resume/stream", "r2", Model("m3"));
-  // The server's entry tells of the first load before a report does, so that
-  // belief and report agree while the plan is old.
+  // The server's entry shows the first load before a report does, so that the
+  // known content agrees with the report while the plan is outdated.
   world.For(Millis(300));
   HeldModels before = engine.mModels;
   engine.mModels["m2"];
@@ -190,8 +192,8 @@
   EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
-// Guards against a count of orders that is believed together with content from
-// before the last of them ended: the next load would find no room.
+// Guards against an order count that is combined with content from before the
+// last order has ended: the next load would exceed the memory.
 TEST(Orders, CountToldDuringALoadIsNoAccountForASuccessor)
 {
   EntryFleetOptions plan;
@@ -224,8 +226,8 @@
   EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
-// An entry from before an adapter was loaded comes after it. The account of
-// what the server holds must not lose the adapter, or a ninth is ordered.
+// An entry from before an adapter was loaded arrives after the load. The
+// inventory must not lose the adapter, or a ninth adapter is loaded.
 TEST(Orders, LateEntryDoesNotUndoAnOrder)
 {
   EntryTestFleet world;
@@ -247,8 +249,9 @@
   EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
-// A server finds that it doesn't hold an adapter that it was believed to
-// hold. Requests keep off for a moment; the account stays with who orders.
+// A server answers that it does not hold a model that it is known to hold.
+// Requests avoid it for a moment, but the inventory is changed by the lease
+// holder only.
 TEST(Orders, RefusedRequestDoesNotChangeTheAccount)
 {
   EntryTestFleet world;
@@ -261,8 +264,8 @@
   EXPECT_TRUE(backend->Holds("m0", ""));
 }
 
-// Two instances of a zone: only one orders. When it is gone for good the
-// other takes over under a higher token, after the silence.
+// Of two instances of a zone only one sends orders. When it has left, the other
+// takes over after the order silence, with a higher token.
 TEST(Orders, OneHolderAtATimeUnderRisingTokens)
 {
   EntryFleetOptions plan;
@@ -292,8 +295,9 @@
   EXPECT_GT(engine.mTokens.back(), engine.mTokens.front());
 }
 
-// The server counts its heartbeats in the entry and orders in its report. An
-// order under the heartbeats' count would be refused for ever.
+// The sequence number of a server's entry counts heartbeats, that of its report
+// counts orders. An order under the count of heartbeats would always be
+// rejected.
 TEST(Orders, EntryCountsHeartbeatsNotOrders)
 {
   EntryTestFleet world;
--- a/tests/platform/RollingShutdownTest.cpp
+++ b/tests/platform/RollingShutdownTest.cpp
@@ -1,5 +1,5 @@
-// Instances leave one after the other: those that stay have fresh news, and
-// neither follow nor call the ones that left.
+// Instances shut down one after the other: the remaining ones have current
+// updates, and neither follow nor call those that have left.
 
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
   return plan;
 }
 
-// Withdraws the first tenant's key, and lets the first server drain.
+// Withdraws the first tenant's key and drains the first server.
 void
 Withdraw(EntryTestFleet& aWorld)
 {
@@ -42,7 +42,7 @@
   return server && server->mEntry.mDraining;
 }
 
-// The one that reads the store for the others.
+// The instance that reads the store for the others.
 size_t
 Reader(EntryTestFleet& aWorld)
 {
@@ -67,7 +67,8 @@
   return true;
 }
 
-// A change that all take over: what they know is as fresh as can be.
+// Makes a change and waits until all instances have it, so that all are
+// current.
 void
 Freshen(EntryTestFleet& aWorld)
 {
@@ -87,7 +88,7 @@
     Seconds(2)));
 }
 
-// Calls to others that failed, in the logs of those that are there.
+// Failed calls to peers in the logs of the instances from aFirst on.
 int
 FailedCalls(EntryTestFleet& aWorld, size_t aFirst)
 {
@@ -100,8 +101,8 @@
 
 } // namespace
 
-// Guards against followers that wait for news of a reader that has said that
-// it leaves.
+// Guards against followers that wait for updates of a reader that has announced
+// its shutdown.
 TEST(RollingShutdown, LeavingReaderIsFollowedNoMore)
 {
   EntryTestFleet world(Instances(3));
@@ -115,8 +116,8 @@
   EXPECT_TRUE(world.Until([&] { return AllKnow(world, reader); }, Millis(700)));
 }
 
-// Guards against a configuration that counts as fresh because the teller's list
-// of servers is.
+// Guards against a configuration that counts as current because the sender's
+// list of servers is current.
 TEST(RollingShutdown, ConfigurationHasAnAgeOfItsOwn)
 {
   EntryTestFleet world(Instances(3));
@@ -124,7 +125,7 @@
   size_t reader = Reader(world);
   Freshen(world);
   world.mStore->MuteWatchesOf(reader, wire::kConfigKind);
-  // Servers beat meanwhile, so that news of them never end.
+  // Servers update their entries meanwhile, so that the list keeps changing.
   world.mReactor.Every(
     Millis(200), [&world] { world.List(*world.mEngines[0], "engine", "a"); });
   world.For(Millis(50));
@@ -133,8 +134,8 @@
     world.Until([&] { return AllKnow(world, reader); }, Millis(2900)));
 }
 
-// Guards against news that lay unread and count as young as when they were
-// sent.
+// Guards against updates that waited unread and are taken for as recent as when
+// they were sent.
 TEST(RollingShutdown, NewsAgeWhileTheyLieUnread)
 {
   EntryTestFleet world(Instances(3));
@@ -152,8 +153,8 @@
     Millis(600)));
 }
 
-// Guards against calls to those that left, and against waiting for the store's
-// list to forget them.
+// Guards against calls to instances that have left, and against counting them
+// until the store's list no longer has them.
 TEST(RollingShutdown, ThoseThatLeftAreForgottenAndNotCalled)
 {
   EntryFleetOptions plan = Instances(3);
@@ -171,7 +172,7 @@
   ASSERT_TRUE(
     world.Until([&] { return world.mInstances[3]->Gone(); }, Seconds(9)));
   int before = FailedCalls(world, 4);
-  // More than the own parts: tokens are asked of others.
+  // More than the own parts, so that tokens are borrowed from peers.
   for (int i = 0; i < 20; ++i) {
     world.Call(4 + static_cast<size_t>(i % 2),
                "/order/x",
@@ -184,8 +185,8 @@
   }
 }
 
-// Guards against a server that is gone and comes back for a moment with each
-// news that still tell of its last change.
+// Guards against a removed server that reappears with each update that still
+// contains its last change.
 TEST(RollingShutdown, ServerThatIsGoneStaysGone)
 {
   EntryTestFleet world(Instances(3));
@@ -201,7 +202,8 @@
   }
 }
 
-// Guards against one instance that leads its zone and reads for it too.
+// Guards against one instance that both holds its zone's lease and reads the
+// store for the others.
 TEST(RollingShutdown, LeaderLetsAnotherRead)
 {
   EntryTestFleet world(Instances(4));
@@ -210,8 +212,8 @@
   EXPECT_EQ(0, world.LogLines(reader, "lease_taken"));
 }
 
-// Guards against a change that falls between many that leave: each that takes
-// callers has it within the bound.
+// Guards against a change that is lost while many instances shut down: each
+// instance that accepts callers has it within the time limit.
 TEST(RollingShutdown, ChangesAreInForceWhileMostLeave)
 {
   EntryTestFleet world(Instances(8));
@@ -231,8 +233,7 @@
   }
 }
 
-// Guards against an instance that starts again under its name and stays
-// forgotten.
+// Guards against an instance that restarts under its name and stays forgotten.
 TEST(RollingShutdown, NextLifeIsKnownAgain)
 {
   EntryTestFleet world(Instances(3));
--- a/tests/platform/TokensTest.cpp
+++ b/tests/platform/TokensTest.cpp
@@ -1,4 +1,4 @@
-// A tenant's rate and burst in tokens, over all instances together.
+// Limits of a tenant's rate and burst in tokens over all instances.
 
 #include <gtest/gtest.h>
 
@@ -23,7 +23,8 @@
   return { { wire::kTokens, std::to_string(aTokens) + ",0" } };
 }
 
-// The first tenant's limit, in force at all instances and full.
+// Sets the first tenant's rate and burst at all instances, and waits until the
+// buckets are full.
 void
 Limit(EntryTestFleet& aWorld, int aTokens)
 {
@@ -36,8 +37,8 @@
 
 } // namespace
 
-// A tenant sends several times its rate at all instances at once: what runs
-// stays at rate and burst, and refusals say when to come back.
+// A tenant sends several times its rate to all instances: what runs stays
+// within rate and burst, and refusals have a retry-after time.
 TEST(Tokens, FloodStaysAtTheLimit)
 {
   EntryTestFleet world(ThreeInstances());
@@ -63,12 +64,12 @@
     }
   }
   EXPECT_LE(served, 20 + 20 * seconds);
-  // Not much less either: a limit that is split must not be lost in parts.
+  // Dividing the limit among instances must not lose much of it.
   EXPECT_GE(served, 0.7 * 20 * seconds);
 }
 
-// All of a tenant's callers come to one instance: it may use far more than
-// an even part.
+// All requests of a tenant reach one instance, which may use far more than an
+// even part of the limit.
 TEST(Tokens, OneInstanceMayUseTheCommonPart)
 {
   EntryTestFleet world(ThreeInstances());
@@ -79,12 +80,12 @@
       world.Call(0, "/order/x", "r" + std::to_string(i), Cost(1000))->mStatus ==
       200;
   }
-  // An even third of the burst would let in ten.
+  // An even third of the burst would admit ten.
   EXPECT_EQ(18, served);
 }
 
-// All of a tenant's callers come to one instance of three and ask for nearly
-// the whole rate, for seconds. The others' even parts aren't lost to it.
+// All requests of a tenant reach one instance of three and use nearly the full
+// rate for seconds. The parts of the other instances must be usable, too.
 TEST(Tokens, RateOfIdleInstancesIsUsed)
 {
   EntryTestFleet world(ThreeInstances());
@@ -105,10 +106,10 @@
   EXPECT_GE(served, kAsked * 95 / 100);
 }
 
-// No server can be reached, so that a request is refused with the promise that
-// it didn't run. Its tokens are given back: the tenant's next request, to a
-// service that works, isn't refused by rate. The first costs more than an
-// instance's own part, so that it was lent by the keeper.
+// A request that all servers reject is refused with the guarantee that it did
+// not run, and its tokens are refunded: the tenant's next request, to a working
+// service, is not refused by rate. The first request costs more than an
+// instance's own part, so that some of its tokens are borrowed.
 TEST(Tokens, WhatDidNotRunCostsNothing)
 {
   EntryFleetOptions plan;
@@ -134,9 +135,9 @@
   EXPECT_EQ(200, next->mStatus);
 }
 
-// The keeper of a zone is gone. The other zone's keeper still has its part, so
-// that a small tenant, whose limit isn't split evenly, isn't refused as a
-// whole.
+// The limit of a small tenant is held by one instance of each zone. When the
+// holder of one zone is killed, that of the other zone still grants its part,
+// so that the tenant is not refused altogether.
 TEST(Tokens, LostKeeperCostsItsZonesPartOnly)
 {
   EntryFleetOptions plan;
@@ -145,7 +146,7 @@
   EntryTestFleet world(plan);
   Limit(world, 6000);
   size_t keeper = world.LogLines(0, "lease_taken") > 0 ? 0 : 1;
-  world.mInstances[keeper].reset(); // killed: its lease lasts for seconds
+  world.mInstances[keeper].reset(); // killed; its lease lasts for seconds
   world.For(Millis(2000));
   int served = 0;
   for (int i = 0; i < 5; ++i) {
@@ -156,8 +157,8 @@
   EXPECT_EQ(5, served);
 }
 
-// A request that costs more than the whole burst passes when nothing else
-// was spent; its tenant pays with the seconds that follow.
+// A request above the burst is admitted when the bucket is full. The debt
+// delays the tenant's next requests for seconds.
 TEST(Tokens, RequestAboveTheBurstPassesOnce)
 {
   EntryTestFleet world;
--- a/tests/support/EntryTestFleet.cpp
+++ b/tests/support/EntryTestFleet.cpp
@@ -15,12 +15,13 @@
 
 } // namespace
 
-// Ports are handed out in twos from a range that this process has locked by
-// binding its first one: suites that run side by side don't meet.
+// Returns the first of two free ports. They are from a range that this process
+// has locked by binding its first port, so that suites that run at the same
+// time use different ports.
 int
 EntryTestFleet::FreePort()
 {
-  constexpr int kFirst = 20000; // below those of outgoing connections
+  constexpr int kFirst = 20000; // below the ports of outgoing connections
   constexpr int kRange = 250;
   constexpr int kRanges = 48;
   static Poco::Net::ServerSocket sLock;
@@ -33,7 +34,7 @@
       sLock.listen(1);
       sBase = kFirst + i * kRange;
     } catch (const Poco::Exception&) {
-      sLock = Poco::Net::ServerSocket(); // another process has this range
+      sLock = Poco::Net::ServerSocket(); // another process holds this range
     }
   }
   sNext = sNext + 4 > kRange ? 2 : sNext + 2;
@@ -233,8 +234,8 @@
       return true;
     },
     Seconds(5)));
-  // Buckets of tokens begin empty; streams find some above what is reserved for
-  // more urgent ones after a quarter of the time that fills a bucket.
+  // Token buckets start empty. After a quarter of the time that fills a bucket,
+  // streams find tokens above the reserve for more urgent requests.
   For(Millis(700));
 }
 
@@ -275,7 +276,7 @@
     aView.mStatus = aView.mHead.mStatus;
     aView.mHeadAt = mClock.Now();
   }
-  // Read from the start each time: answers in tests are short.
+  // Parsed from the start each time, as answers in tests are short.
   HttpHead head;
   ReadAnswerHead(aView.mBytes, head, used);
   std::string rest = aView.mBytes.substr(used);
--- a/tests/support/EntryTestFleet.h
+++ b/tests/support/EntryTestFleet.h
@@ -1,5 +1,5 @@
 // EntryTestFleet.h: entry daemons, a store, servers and callers in one process,
-// on loopback, turned by one thread.
+// on loopback and on one thread.
 #ifndef caraway_tests_EntryTestFleet_h
 #define caraway_tests_EntryTestFleet_h
 
@@ -17,17 +17,17 @@
 
 namespace caraway {
 
-// One call of a caller, as far as it got.
+// A call of a caller and the answer received so far.
 struct TestCall
 {
   std::shared_ptr<Channel> mChannel;
-  std::string mBytes; // all that came, not yet read as answers
+  std::string mBytes; // all bytes received
   HttpHead mHead;
   std::string mBody;
   int mStatus = 0;      // 0 = no head yet
   bool mWhole = false;  // the answer is complete
   bool mClosed = false; // the connection ended
-  std::string mOver;    // bytes behind the whole answer
+  std::string mOver;    // bytes after the complete answer
   TimePoint mAsked{};
   TimePoint mHeadAt{};
   TimePoint mWholeAt{};
@@ -46,7 +46,7 @@
   int mInstances = 1; // in each zone
   int mEngines = 1;   // in each zone
   int mPlain = 2;     // plain servers, in the first zone
-  bool mOwn = true;   // instances in this process; false = run by others
+  bool mOwn = true;   // in this process; false = in processes of the test
 };
 
 class EntryTestFleet
@@ -55,21 +55,23 @@
   explicit EntryTestFleet(EntryFleetOptions aPlan = EntryFleetOptions());
   ~EntryTestFleet();
 
-  // Turns everything until aDone or aWithin; true when aDone.
+  // Runs all event loops until aDone returns true, at most for aWithin. Returns
+  // whether aDone did.
   bool Until(const std::function<bool()>& aDone, Millis aWithin);
   void For(Millis aTime);
-  // All instances are ready and know each other; fails the test if not.
+  // Waits until all instances are ready and know each other; fails the test if
+  // they are not within 5 s.
   void AwaitReady();
 
   std::unique_ptr<EntryDaemon> MakeInstance(size_t aIndex);
-  // The settings file of an instance, as the platform writes it.
+  // The settings file of an instance as the platform writes it.
   std::string SettingsText(size_t aIndex) const;
 
   std::string CallerAddress(size_t aIndex) const;
   std::string ReadinessAddress(size_t aIndex) const;
   size_t Instances() const { return mPorts.size(); }
 
-  // Writes mConfig with the next version.
+  // Writes mConfig to the store with the next version.
   void Configure();
   void List(StandInServer& aServer,
             const std::string& aService,
@@ -78,7 +80,8 @@
 
   // Sends raw bytes on a new connection.
   TestCallPtr SendRaw(size_t aInstance, const std::string& aBytes);
-  // A proper request to aPath; aFields in addition to the usual ones.
+  // A valid request to aPath; aFields are added to, or replace, the default
+  // ones.
   std::string RequestText(const std::string& aPath,
                           const std::string& aId,
                           const std::vector<HttpField>& aFields = {},
@@ -88,7 +91,7 @@
                    const std::string& aId,
                    const std::vector<HttpField>& aFields = {},
                    const std::string& aBody = "body");
-  // The same, until its answer or the end of its connection.
+  // Send(), and waits for the answer or the end of the connection.
   TestCallPtr Call(size_t aInstance,
                    const std::string& aPath,
                    const std::string& aId,
@@ -96,7 +99,7 @@
                    const std::string& aBody = "body");
 
   int RunsOf(const std::string& aId) const;
-  // Lines of an instance's log that contain aText.
+  // Number of occurrences of aText in an instance's log.
   int LogLines(size_t aInstance, const std::string& aText);
 
   BootClock mClock;
@@ -106,7 +109,7 @@
   std::vector<std::unique_ptr<StandInServer>> mEngines;
   std::vector<std::unique_ptr<StandInServer>> mPlain;
   std::vector<std::unique_ptr<EntryDaemon>> mInstances;
-  std::set<size_t> mFrozen; // instances that aren't turned
+  std::set<size_t> mFrozen; // instances whose event loop does not run
   // Routes /safe/, /order/, /stream/ (engine, at most once), /resume/stream/;
   // services "plain" and "engine"; tenants acme (key-acme) and globex.
   Json::Value mConfig;
@@ -118,7 +121,7 @@
     std::string mStore;
     int mCallers = 0;
     int mReadiness = 0;
-    int mPeers = 0; // metrics: the next
+    int mPeers = 0; // metrics: mPeers + 1
   };
   void FirstConfig();
   static int FreePort();
--- a/tests/support/StandInServer.cpp
+++ b/tests/support/StandInServer.cpp
@@ -33,7 +33,7 @@
     try {
       mServer.OnVisitor(mSocket.acceptConnection());
     } catch (const Poco::Exception&) {
-      return; // gone again
+      return; // closed before it was accepted
     }
   }
 
@@ -225,7 +225,8 @@
   if (aHead.mTarget.find("/stream") != std::string::npos &&
       (mBehaviour == ServerBehaviour::Proper ||
        mBehaviour == ServerBehaviour::StopsMidway ||
-       mBehaviour == ServerBehaviour::Refuses)) { // what it had taken before
+       mBehaviour ==
+         ServerBehaviour::Refuses)) { // taken before it began to refuse
     own.push_back({ "Content-Type", "text/event-stream" });
     own.push_back({ "Transfer-Encoding", "chunked" });
     channel.Write(WriteHead("HTTP/1.1 200 OK", own));
--- a/tests/support/StandInServer.h
+++ b/tests/support/StandInServer.h
@@ -1,5 +1,5 @@
-// StandInServer.h: a server behind the entry instances, by the platform's
-// published protocol, with the faults that servers have.
+// StandInServer.h: a server behind the entry instances that implements the
+// platform's published protocol and can be made to fail as servers do.
 #ifndef caraway_tests_StandInServer_h
 #define caraway_tests_StandInServer_h
 
@@ -19,19 +19,19 @@
 
 namespace caraway {
 
-// How it treats the requests that come.
+// How the server handles the requests that it receives.
 enum class ServerBehaviour
 {
   Proper,
-  Refuses,        // proves that it did not run them
+  Refuses,        // rejects with a proof that it did not run the request
   RunsThenCloses, // runs, then closes without an answer
   Truncates,      // closes in the middle of the body
-  Unsealed,       // a success that isn't marked as its own
-  Encoded,        // a success in a coding that nobody asked for
+  Unsealed,       // a success without the server's seal
+  Encoded,        // a success in a content coding that was not requested
   LateAnswer,     // another request's answer first, then the right one
-  ExtraAnswer,    // a second answer behind the right one
-  Garbage,        // bytes that are no answer
-  Fails,          // 500 of its own
+  ExtraAnswer,    // a second answer after the right one
+  Garbage,        // bytes that are not an HTTP answer
+  Fails,          // its own 500
   Hangs,          // never answers
   StopsMidway,    // a stream stops in the middle of its third event
 };
@@ -40,7 +40,7 @@
 {
   std::string mId;
   std::string mTenant;
-  std::string mKey; // must never be there
+  std::string mKey; // the caller's key; servers must never receive it
   std::string mLastEvent;
   std::string mTarget;
   std::string mBody;
@@ -56,40 +56,39 @@
 
   const std::string& Id() const { return mId; }
   std::string Address() const;
-  // Its entry in the list of servers.
+  // The server's entry in the list of servers.
   Json::Value Entry(const std::string& aService,
                     const std::string& aZone,
                     const std::string& aState = "ready") const;
 
   std::vector<ServerRun> mRuns;
-  int mArrivals = 0; // of requests, refused ones too
-  int mLeft = 0;     // connections closed while it worked
+  int mArrivals = 0; // requests, including refused ones
+  int mLeft = 0;     // connections closed while a request ran
   int mOrdersSeen = 0;
-  int mOverCapacityLoads =
-    0; // loads ordered beyond its memory or adapter places
+  int mOverCapacityLoads = 0; // beyond its memory or adapter slots
   std::set<std::string> mHolders;
-  std::vector<int64_t> mTokens; // fencing tokens, as they came
+  std::vector<int64_t> mTokens; // fencing tokens in the order received
   std::vector<std::pair<int64_t, std::string>> mOrderedBy; // token, holder
 
-  std::multiset<std::string> mInUse;     // MODEL/ADAPTER of streams under way
+  std::multiset<std::string> mInUse;     // MODEL/ADAPTER of streams in progress
   std::set<std::string> mPendingUnloads; // unloaded when their streams end
-  std::set<std::string> mNotYetReported; // loaded, and not yet in its reports
+  std::set<std::string> mNotYetReported; // loaded, but not yet in reports
 
   ServerBehaviour mBehaviour = ServerBehaviour::Proper;
-  std::string mExpectedId; // answers 421 to who expects another
+  std::string mExpectedId; // a request for another id is answered by 421
   HeldModels mModels;
   std::set<std::string> mOnDisk;
   int64_t mOrders = 0;
   bool mBusy = false;
   int mPlaces = 3; // models that fit
   int mAdapterCapacity = 8;
-  Millis mWork{ 5 }; // before an answer
+  Millis mWork{ 5 }; // time before an answer
   Millis mLoadTime{ 100 };
-  Millis mUnloadTime{ 0 }; // no other order is accepted meanwhile
-  Millis mReportLag{ 0 };  // a load that ended shows so much later
-  Millis mOrderDelay{ 0 }; // orders are answered and begun so much later
-  bool mDropsOrderAnswers = false; // carries them out, answers none
-  int mEvents = 5;                 // of a stream
+  Millis mUnloadTime{ 0 }; // other orders are rejected meanwhile
+  Millis mReportLag{ 0 };  // from the end of a load until a report shows it
+  Millis mOrderDelay{ 0 }; // before an unanswered order is carried out
+  bool mDropsOrderAnswers = false; // carries orders out without an answer
+  int mEvents = 5;                 // of each stream
   Millis mEventGap{ 10 };
 
 private:
--- a/tests/unit/SettingsWatchTest.cpp
+++ b/tests/unit/SettingsWatchTest.cpp
@@ -1,4 +1,4 @@
-// Settings that change while an instance runs.
+// Reload of settings while an instance runs.
 
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A stand-in for the platform's file: the seconds of grace, or nonsense.
+// Reads a file that holds only the grace time in seconds.
 std::optional<EntrySettings>
 ReadGrace(const std::string& aPath, std::string& aWrong)
 {
@@ -35,8 +35,8 @@
 
 } // namespace
 
-// The file changes without a signal, then becomes unreadable: the new value is
-// in force within some seconds, and an unreadable file changes nothing.
+// The file changes without a signal and then becomes invalid: the new value
+// takes effect within about a second, and the invalid file changes nothing.
 TEST(SettingsWatch, SilentChangeIsNoticedAndNonsenseIsNot)
 {
   std::string path = testing::TempDir() + "settings-watch.txt";
@@ -61,8 +61,8 @@
   std::remove(path.c_str());
 }
 
-// Guards against a process that is told to stop and goes by a grace that the
-// platform has changed: it would be killed with its last answers unsent.
+// Guards against a shutdown with an outdated grace time: the process would be
+// killed before its last answers are sent.
 TEST(SettingsWatch, ChangeIsInForceAtOnceWhenLookedAt)
 {
   std::string path = testing::TempDir() + "settings-watch-now.txt";
