--- a/tests/platform/EmptyZonesTest.cpp
+++ b/tests/platform/EmptyZonesTest.cpp
@@ -13,14 +13,14 @@
 namespace {
 
 // From the end of a zone's last instance until its servers receive orders.
-constexpr Millis kAdopted{ 14000 };
+constexpr Millis kMaxTakeoverTime{ 14000 };
 
 // From the removal of the last entry of a zone whose instances are silent: the
 // list is read again, and a full lease must pass.
-constexpr Millis kEntryGone{ 24000 };
+constexpr Millis kMaxTakeoverAfterRemovalTime{ 24000 };
 
 // From the start of an instance until it sends orders to its zone's servers.
-constexpr Millis kHandedBack{ 6000 };
+constexpr Millis kMaxHandBackTime{ 6000 };
 
 std::vector<HttpField>
 Model(const std::string& aName)
@@ -32,15 +32,15 @@
 EntryFleetOptions
 TwoZones()
 {
-  EntryFleetOptions plan;
-  plan.mZones = { "a", "b" };
-  return plan;
+  EntryFleetOptions options;
+  options.mZones = { "a", "b" };
+  return options;
 }
 
 struct TwoZoneFleet : EntryTestFleet
 {
-  explicit TwoZoneFleet(EntryFleetOptions aPlan = TwoZones())
-    : EntryTestFleet(std::move(aPlan))
+  explicit TwoZoneFleet(EntryFleetOptions aOptions = TwoZones())
+    : EntryTestFleet(std::move(aOptions))
   {
     mStore->Remove(wire::kServersKind, mEngines[0]->Id());
     EXPECT_TRUE(Until(
@@ -59,7 +59,7 @@
   StandInServer& Engine() { return *mEngines[1]; }
 
   // Shuts the instance down as an operator does.
-  void Remove(size_t aInstance)
+  void StopInstance(size_t aInstance)
   {
     mInstances[aInstance]->Leave();
     EXPECT_TRUE(
@@ -68,22 +68,22 @@
   }
 
   // Sends a request for a model that no server has loaded.
-  TestCallPtr Ask(size_t aInstance, const std::string& aModel)
+  TestCallPtr RequestModel(size_t aInstance, const std::string& aModel)
   {
     return Call(aInstance,
                 "/resume/stream",
-                "r" + std::to_string(++mAsked),
+                "r" + std::to_string(++mRequestCount),
                 Model(aModel));
   }
 
   // Repeats a request until it is served.
-  bool AskUntilServed(size_t aInstance,
-                      const std::string& aModel,
-                      Millis aWithin)
+  bool RequestUntilServed(size_t aInstance,
+                          const std::string& aModel,
+                          Millis aWithin)
   {
     TimePoint end = mClock.Now() + aWithin;
     while (mClock.Now() < end) {
-      if (Ask(aInstance, aModel)->mStatus == 200) {
+      if (RequestModel(aInstance, aModel)->mStatus == 200) {
         return true;
       }
       For(Millis(100));
@@ -91,7 +91,7 @@
     return false;
   }
 
-  void ExpectOneHolderAToken()
+  void ExpectOneHolderPerToken()
   {
     const std::vector<int64_t>& tokens = Engine().mTokens;
     EXPECT_TRUE(std::is_sorted(tokens.begin(), tokens.end()));
@@ -105,102 +105,102 @@
     EXPECT_EQ(0, Engine().mOverCapacityLoads);
   }
 
-  int mAsked = 0;
+  int mRequestCount = 0;
 };
 
 } // namespace
 
 // Guards against servers that stay idle because no instance may send them
 // orders.
-TEST(EmptyZones, ServersOfAnEmptiedZoneTakeOrders)
+TEST(EmptyZones, ServersOfEmptyZoneReceiveOrders)
 {
-  TwoZoneFleet world;
-  world.AwaitReady();
-  world.Remove(1);
-  EXPECT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
-  EXPECT_EQ(std::set<std::string>{ "i0" }, world.Engine().mHolders);
-  world.ExpectOneHolderAToken();
+  TwoZoneFleet fleet;
+  fleet.AwaitReady();
+  fleet.StopInstance(1);
+  EXPECT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  EXPECT_EQ(std::set<std::string>{ "i0" }, fleet.Engine().mHolders);
+  fleet.ExpectOneHolderPerToken();
 }
 
 // Guards against an instance of another zone that keeps the lease of a zone
 // whose own instance has started.
-TEST(EmptyZones, FirstInstanceOfTheZoneGetsItBack)
+TEST(EmptyZones, FirstInstanceOfTheZoneTakesItBack)
 {
-  TwoZoneFleet world;
-  world.AwaitReady();
-  world.Remove(1);
-  ASSERT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
-  world.mInstances[1] = world.MakeInstance(1);
-  EXPECT_TRUE(world.Until([&] { return world.mInstances[1]->HoldsLease(); },
-                          kHandedBack));
-  EXPECT_TRUE(world.AskUntilServed(0, "m2", kHandedBack));
-  EXPECT_EQ((std::set<std::string>{ "i0", "i1" }), world.Engine().mHolders);
-  EXPECT_EQ("i1", world.Engine().mOrderedBy.back().second);
-  world.ExpectOneHolderAToken();
+  TwoZoneFleet fleet;
+  fleet.AwaitReady();
+  fleet.StopInstance(1);
+  ASSERT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  fleet.mInstances[1] = fleet.MakeInstance(1);
+  EXPECT_TRUE(fleet.Until([&] { return fleet.mInstances[1]->HoldsLease(); },
+                          kMaxHandBackTime));
+  EXPECT_TRUE(fleet.RequestUntilServed(0, "m2", kMaxHandBackTime));
+  EXPECT_EQ((std::set<std::string>{ "i0", "i1" }), fleet.Engine().mHolders);
+  EXPECT_EQ("i1", fleet.Engine().mOrderedBy.back().second);
+  fleet.ExpectOneHolderPerToken();
 }
 
 // Guards against a zone that is not taken over again after it has been handed
 // back and emptied, or is taken over on the basis of an outdated list.
-TEST(EmptyZones, ZoneIsAdoptedAgainWhenItEmptiesAgain)
+TEST(EmptyZones, ZoneIsTakenOverAgainWhenItEmptiesAgain)
 {
-  TwoZoneFleet world;
-  world.AwaitReady();
-  world.Remove(1);
-  ASSERT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
-  world.mInstances[1] = world.MakeInstance(1);
-  ASSERT_TRUE(world.Until([&] { return world.mInstances[1]->HoldsLease(); },
-                          kHandedBack));
-  world.Remove(1);
-  EXPECT_TRUE(world.AskUntilServed(0, "m2", kAdopted));
-  EXPECT_EQ("i0", world.Engine().mOrderedBy.back().second);
-  world.ExpectOneHolderAToken();
+  TwoZoneFleet fleet;
+  fleet.AwaitReady();
+  fleet.StopInstance(1);
+  ASSERT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  fleet.mInstances[1] = fleet.MakeInstance(1);
+  ASSERT_TRUE(fleet.Until([&] { return fleet.mInstances[1]->HoldsLease(); },
+                          kMaxHandBackTime));
+  fleet.StopInstance(1);
+  EXPECT_TRUE(fleet.RequestUntilServed(0, "m2", kMaxTakeoverTime));
+  EXPECT_EQ("i0", fleet.Engine().mOrderedBy.back().second);
+  fleet.ExpectOneHolderPerToken();
 }
 
 // Guards against a zone that is taken over because its instances are silent:
 // while their entries exist, they may be alive.
-TEST(EmptyZones, SilentZoneWithEntriesIsNotAdopted)
+TEST(EmptyZones, SilentZoneWithEntriesIsNotTakenOver)
 {
-  TwoZoneFleet world;
-  world.AwaitReady();
-  world.mInstances[1].reset(); // killed
-  EXPECT_FALSE(world.AskUntilServed(0, "m1", kAdopted));
-  EXPECT_TRUE(world.Engine().mHolders.empty());
-  world.mStore->Remove("caraway-instances", "i1");
-  EXPECT_TRUE(world.AskUntilServed(0, "m1", kEntryGone));
+  TwoZoneFleet fleet;
+  fleet.AwaitReady();
+  fleet.mInstances[1].reset(); // killed
+  EXPECT_FALSE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  EXPECT_TRUE(fleet.Engine().mHolders.empty());
+  fleet.mStore->Remove("caraway-instances", "i1");
+  EXPECT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverAfterRemovalTime));
 }
 
 // Guards against two instances that take over the same zone.
-TEST(EmptyZones, OneOfSeveralAdopts)
+TEST(EmptyZones, OnlyOneInstanceTakesOver)
 {
-  EntryFleetOptions plan;
-  plan.mZones = { "a", "b", "c" };
-  TwoZoneFleet world(plan);
-  world.mStore->Remove(wire::kServersKind, world.mEngines[2]->Id());
-  world.AwaitReady();
-  world.Remove(1);
-  EXPECT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
-  EXPECT_TRUE(world.AskUntilServed(2, "m2", kAdopted));
-  EXPECT_EQ(1u, world.Engine().mHolders.size());
-  world.ExpectOneHolderAToken();
+  EntryFleetOptions options;
+  options.mZones = { "a", "b", "c" };
+  TwoZoneFleet fleet(options);
+  fleet.mStore->Remove(wire::kServersKind, fleet.mEngines[2]->Id());
+  fleet.AwaitReady();
+  fleet.StopInstance(1);
+  EXPECT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  EXPECT_TRUE(fleet.RequestUntilServed(2, "m2", kMaxTakeoverTime));
+  EXPECT_EQ(1u, fleet.Engine().mHolders.size());
+  fleet.ExpectOneHolderPerToken();
 }
 
 // Guards against an instance that shuts down and keeps the leases of other
 // zones until they expire.
-TEST(EmptyZones, AdopterThatLeavesHandsOn)
+TEST(EmptyZones, LeavingInstanceHandsItsZonesOn)
 {
-  EntryFleetOptions plan;
-  plan.mZones = { "a", "b", "c" };
-  TwoZoneFleet world(plan);
-  world.mStore->Remove(wire::kServersKind, world.mEngines[2]->Id());
-  world.AwaitReady();
-  world.Remove(1);
-  ASSERT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
-  ASSERT_EQ(1u, world.Engine().mHolders.size());
-  size_t adopter = world.Engine().mHolders.count("i0") > 0 ? 0 : 2;
-  world.Remove(adopter);
-  EXPECT_TRUE(world.AskUntilServed(2 - adopter, "m2", kAdopted));
-  EXPECT_EQ(2u, world.Engine().mHolders.size());
-  world.ExpectOneHolderAToken();
+  EntryFleetOptions options;
+  options.mZones = { "a", "b", "c" };
+  TwoZoneFleet fleet(options);
+  fleet.mStore->Remove(wire::kServersKind, fleet.mEngines[2]->Id());
+  fleet.AwaitReady();
+  fleet.StopInstance(1);
+  ASSERT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  ASSERT_EQ(1u, fleet.Engine().mHolders.size());
+  size_t leader = fleet.Engine().mHolders.count("i0") > 0 ? 0 : 2;
+  fleet.StopInstance(leader);
+  EXPECT_TRUE(fleet.RequestUntilServed(2 - leader, "m2", kMaxTakeoverTime));
+  EXPECT_EQ(2u, fleet.Engine().mHolders.size());
+  fleet.ExpectOneHolderPerToken();
 }
 
 } // namespace caraway
--- a/tests/platform/OrdersTest.cpp
+++ b/tests/platform/OrdersTest.cpp
@@ -18,25 +18,25 @@
 }
 
 TestCallPtr
-Stream(EntryTestFleet& aWorld,
+Stream(EntryTestFleet& aFleet,
        const std::string& aModel,
        const std::string& aId)
 {
-  return aWorld.Call(0, "/resume/stream", aId, Model(aModel));
+  return aFleet.Call(0, "/resume/stream", aId, Model(aModel));
 }
 
 } // namespace
 
 TEST(Orders, MissingModelIsLoadedAndServed)
 {
-  EntryTestFleet world;
-  world.mEngines[0]->mOnDisk = { "m1" };
-  world.List(*world.mEngines[0], "engine", "a");
-  world.AwaitReady();
-  TestCallPtr call = Stream(world, "m1", "r1");
+  EntryTestFleet fleet;
+  fleet.mEngines[0]->mOnDisk = { "m1" };
+  fleet.List(*fleet.mEngines[0], "engine", "a");
+  fleet.AwaitReady();
+  TestCallPtr call = Stream(fleet, "m1", "r1");
   EXPECT_EQ(200, call->mStatus);
   EXPECT_TRUE(call->mWhole);
-  EXPECT_EQ(1, world.mEngines[0]->mOrdersSeen);
+  EXPECT_EQ(1, fleet.mEngines[0]->mOrdersSeen);
 }
 
 // A server's report shows a load from its disk only a second after it has
@@ -45,26 +45,26 @@
 // over.
 TEST(Orders, LoadFromDiskIsUsedBeforeItIsReported)
 {
-  EntryTestFleet world;
-  StandInServer& engine = *world.mEngines[0];
+  EntryTestFleet fleet;
+  StandInServer& engine = *fleet.mEngines[0];
   engine.mOnDisk = { "m1" };
   engine.mReportLag = Seconds(1);
-  world.List(engine, "engine", "a");
-  world.AwaitReady();
-  TestCallPtr call = Stream(world, "m1", "r1");
+  fleet.List(engine, "engine", "a");
+  fleet.AwaitReady();
+  TestCallPtr call = Stream(fleet, "m1", "r1");
   EXPECT_EQ(200, call->mStatus);
   EXPECT_LT(call->mHeadAt - call->mAsked, Millis(600));
 }
 
-TEST(Orders, WhatNobodyAsksForMakesWay)
+TEST(Orders, IdleModelIsEvicted)
 {
-  EntryTestFleet world;
-  StandInServer& engine = *world.mEngines[0];
+  EntryTestFleet fleet;
+  StandInServer& engine = *fleet.mEngines[0];
   engine.mModels = { { "m0", {} }, { "m1", {} }, { "m2", {} } };
-  world.List(engine, "engine", "a");
-  world.AwaitReady();
-  Stream(world, "m0", "r1");
-  EXPECT_EQ(200, Stream(world, "m3", "r2")->mStatus);
+  fleet.List(engine, "engine", "a");
+  fleet.AwaitReady();
+  Stream(fleet, "m0", "r1");
+  EXPECT_EQ(200, Stream(fleet, "m3", "r2")->mStatus);
   EXPECT_TRUE(engine.mModels.count("m0"));
   EXPECT_EQ(3u, engine.mModels.size());
   EXPECT_EQ(0, engine.mOverCapacityLoads);
@@ -73,29 +73,29 @@
 // A server takes about 50 ms for an unload and rejects orders meanwhile.
 // Loading a rare model must take one unload and one load without retries: each
 // order has its cost, and there are a dozen such loads a second.
-TEST(Orders, PlaceTakesTwoOrders)
+TEST(Orders, EvictionAndLoadTakeTwoOrders)
 {
-  EntryTestFleet world;
-  StandInServer& engine = *world.mEngines[0];
+  EntryTestFleet fleet;
+  StandInServer& engine = *fleet.mEngines[0];
   engine.mModels = { { "m0", {} }, { "m1", {} }, { "m2", {} } };
   engine.mUnloadTime = Millis(45);
-  world.List(engine, "engine", "a");
-  world.AwaitReady();
-  EXPECT_EQ(200, Stream(world, "m3", "r1")->mStatus);
+  fleet.List(engine, "engine", "a");
+  fleet.AwaitReady();
+  EXPECT_EQ(200, Stream(fleet, "m3", "r1")->mStatus);
   EXPECT_EQ(2, engine.mOrdersSeen);
 }
 
 // Many callers request the same missing model at once: it is loaded once.
 TEST(Orders, BurstForOneModelLoadsItOnce)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
   std::vector<TestCallPtr> calls;
   for (int i = 0; i < 10; ++i) {
     calls.push_back(
-      world.Send(0, "/resume/stream", "r" + std::to_string(i), Model("m1")));
+      fleet.Send(0, "/resume/stream", "r" + std::to_string(i), Model("m1")));
   }
-  EXPECT_TRUE(world.Until(
+  EXPECT_TRUE(fleet.Until(
     [&] {
       for (const TestCallPtr& call : calls) {
         if (!call->mWhole) {
@@ -105,18 +105,18 @@
       return true;
     },
     Seconds(4)));
-  EXPECT_EQ(1, world.mEngines[0]->mOrdersSeen);
+  EXPECT_EQ(1, fleet.mEngines[0]->mOrdersSeen);
 }
 
-TEST(Orders, AdapterIsBroughtAndAnotherMakesWay)
+TEST(Orders, AdapterIsLoadedAndIdleOneEvicted)
 {
-  EntryTestFleet world;
-  StandInServer& engine = *world.mEngines[0];
+  EntryTestFleet fleet;
+  StandInServer& engine = *fleet.mEngines[0];
   engine.mAdapterCapacity = 8;
-  world.AwaitReady();
+  fleet.AwaitReady();
   for (int i = 0; i < 12; ++i) {
     TestCallPtr call =
-      Stream(world, "m0/a" + std::to_string(i), "r" + std::to_string(i));
+      Stream(fleet, "m0/a" + std::to_string(i), "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
   }
   EXPECT_EQ(0, engine.mOverCapacityLoads);
@@ -126,167 +126,169 @@
 // All eight adapters are in use when a ninth is requested. A server accepts the
 // unload of one and carries it out when its streams have ended; until then the
 // slot is not free.
-TEST(Orders, PlaceOfAnAdapterInUseIsNotFree)
+TEST(Orders, SlotOfAdapterInUseIsNotFree)
 {
-  EntryTestFleet world;
-  StandInServer& engine = *world.mEngines[0];
+  EntryTestFleet fleet;
+  StandInServer& engine = *fleet.mEngines[0];
   engine.mEvents = 40;
   engine.mEventGap = Millis(50);
-  world.AwaitReady();
+  fleet.AwaitReady();
   std::vector<TestCallPtr> calls;
   for (int i = 0; i < 10; ++i) {
-    calls.push_back(world.Send(0,
+    calls.push_back(fleet.Send(0,
                                "/resume/stream",
                                "r" + std::to_string(i),
                                Model("m0/a" + std::to_string(i))));
-    world.For(Millis(100));
+    fleet.For(Millis(100));
   }
-  world.Until([&] { return calls.back()->mWhole; }, Seconds(6));
+  fleet.Until([&] { return calls.back()->mWhole; }, Seconds(6));
   EXPECT_EQ(0, engine.mOverCapacityLoads);
   EXPECT_GE(engine.mOrdersSeen, 9);
 }
 
 // The server carries out a load and its answer is lost. The order is retried
 // under the same count, so that it cannot take effect twice.
-TEST(Orders, OrderWithoutAnswerTakesEffectOnce)
+TEST(Orders, UnansweredOrderTakesEffectOnce)
 {
-  EntryTestFleet world;
-  StandInServer& engine = *world.mEngines[0];
-  world.AwaitReady();
+  EntryTestFleet fleet;
+  StandInServer& engine = *fleet.mEngines[0];
+  fleet.AwaitReady();
   engine.mDropsOrderAnswers = true;
-  TestCallPtr call = world.Send(0, "/resume/stream", "r1", Model("m1"));
-  world.Until([&] { return engine.mOrdersSeen >= 2; }, Seconds(2));
+  TestCallPtr call = fleet.Send(0, "/resume/stream", "r1", Model("m1"));
+  fleet.Until([&] { return engine.mOrdersSeen >= 2; }, Seconds(2));
   engine.mDropsOrderAnswers = false;
-  EXPECT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(4)));
+  EXPECT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(4)));
   EXPECT_EQ(1, engine.mOrders);
 }
 
 // The instance is killed while a load that it ordered is in progress. After its
 // restart it sees two models and memory for a third, and plans a load. By the
 // time the server accepts orders again, the first load has filled the memory.
-TEST(Orders, LoadOfAFormerLifeFillsTheRoomFirst)
+TEST(Orders, LoadOrderedBeforeRestartIsCounted)
 {
-  EntryTestFleet world;
-  StandInServer& engine = *world.mEngines[0];
+  EntryTestFleet fleet;
+  StandInServer& engine = *fleet.mEngines[0];
   engine.mModels = { { "m0", {} }, { "m1", {} } };
   engine.mLoadTime = Millis(2500);
   engine.mEvents = 1;
-  world.List(engine, "engine", "a");
-  world.AwaitReady();
-  world.Send(0, "/resume/stream", "r1", Model("m2"));
-  ASSERT_TRUE(world.Until([&] { return engine.mBusy; }, Seconds(1)));
-  world.mInstances[0].reset();
-  world.mInstances[0] = world.MakeInstance(0);
-  world.AwaitReady();
-  world.Send(0, "/resume/stream", "r2", Model("m3"));
+  fleet.List(engine, "engine", "a");
+  fleet.AwaitReady();
+  fleet.Send(0, "/resume/stream", "r1", Model("m2"));
+  ASSERT_TRUE(fleet.Until([&] { return engine.mBusy; }, Seconds(1)));
+  fleet.mInstances[0].reset();
+  fleet.mInstances[0] = fleet.MakeInstance(0);
+  fleet.AwaitReady();
+  fleet.Send(0, "/resume/stream", "r2", Model("m3"));
   // The server's entry shows the first load before a report does, so that the
   // known content agrees with the report while the plan is outdated.
-  world.For(Millis(300));
+  fleet.For(Millis(300));
   HeldModels before = engine.mModels;
   engine.mModels["m2"];
-  world.List(engine, "engine", "a");
+  fleet.List(engine, "engine", "a");
   engine.mModels = before;
-  world.Until([&] { return !engine.mBusy; }, Seconds(4));
-  TestCallPtr call = Stream(world, "m3", "r3");
-  world.For(Seconds(1));
+  fleet.Until([&] { return !engine.mBusy; }, Seconds(4));
+  TestCallPtr call = Stream(fleet, "m3", "r3");
+  fleet.For(Seconds(1));
   EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
 // Guards against an order count that is combined with content from before the
 // last order has ended: the next load would exceed the memory.
-TEST(Orders, CountToldDuringALoadIsNoAccountForASuccessor)
+TEST(Orders, SuccessorDoesNotTrustContentSentDuringLoad)
 {
-  EntryFleetOptions plan;
-  plan.mInstances = 2;
-  EntryTestFleet world(plan);
-  StandInServer& engine = *world.mEngines[0];
+  EntryFleetOptions options;
+  options.mInstances = 2;
+  EntryTestFleet fleet(options);
+  StandInServer& engine = *fleet.mEngines[0];
   engine.mModels = { { "m0", {} }, { "m1", {} } };
   engine.mLoadTime = Millis(6000);
   engine.mEvents = 1;
-  world.List(engine, "engine", "a");
-  world.AwaitReady();
-  size_t holder = world.mInstances[0]->HoldsLease() ? 0 : 1;
-  world.Send(holder, "/resume/stream", "r1", Model("m2"));
-  ASSERT_TRUE(world.Until([&] { return engine.mBusy; }, Seconds(1)));
-  world.mInstances[holder].reset();
-  world.mInstances[holder] = world.MakeInstance(holder);
-  ASSERT_TRUE(world.Until(
-    [&] { return world.mInstances[holder]->HoldsLease(); }, Seconds(2)));
-  world.AwaitReady();
-  TestCallPtr gone = world.Send(holder, "/resume/stream", "r2", Model("m3"));
-  world.For(Millis(300));
-  gone->mChannel->Close();
-  world.For(Millis(300));
-  world.mInstances[holder]->Leave();
-  ASSERT_TRUE(world.Until(
-    [&] { return world.mInstances[1 - holder]->HoldsLease(); }, Seconds(3)));
-  ASSERT_TRUE(world.Until([&] { return !engine.mBusy; }, Seconds(8)));
-  world.Send(1 - holder, "/resume/stream", "r3", Model("m3"));
-  world.For(Millis(1500));
+  fleet.List(engine, "engine", "a");
+  fleet.AwaitReady();
+  size_t holder = fleet.mInstances[0]->HoldsLease() ? 0 : 1;
+  fleet.Send(holder, "/resume/stream", "r1", Model("m2"));
+  ASSERT_TRUE(fleet.Until([&] { return engine.mBusy; }, Seconds(1)));
+  fleet.mInstances[holder].reset();
+  fleet.mInstances[holder] = fleet.MakeInstance(holder);
+  ASSERT_TRUE(fleet.Until(
+    [&] { return fleet.mInstances[holder]->HoldsLease(); }, Seconds(2)));
+  fleet.AwaitReady();
+  TestCallPtr abandoned =
+    fleet.Send(holder, "/resume/stream", "r2", Model("m3"));
+  fleet.For(Millis(300));
+  abandoned->mChannel->Close();
+  fleet.For(Millis(300));
+  fleet.mInstances[holder]->Leave();
+  ASSERT_TRUE(fleet.Until(
+    [&] { return fleet.mInstances[1 - holder]->HoldsLease(); }, Seconds(3)));
+  ASSERT_TRUE(fleet.Until([&] { return !engine.mBusy; }, Seconds(8)));
+  fleet.Send(1 - holder, "/resume/stream", "r3", Model("m3"));
+  fleet.For(Millis(1500));
   EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
 // An entry from before an adapter was loaded arrives after the load. The
 // inventory must not lose the adapter, or a ninth adapter is loaded.
-TEST(Orders, LateEntryDoesNotUndoAnOrder)
+TEST(Orders, OutdatedEntryDoesNotUndoOrder)
 {
-  EntryTestFleet world;
-  StandInServer& engine = *world.mEngines[0];
-  world.AwaitReady();
+  EntryTestFleet fleet;
+  StandInServer& engine = *fleet.mEngines[0];
+  fleet.AwaitReady();
   for (int i = 0; i < 8; ++i) {
-    Stream(world, "m0/a" + std::to_string(i), "r" + std::to_string(i));
+    Stream(fleet, "m0/a" + std::to_string(i), "r" + std::to_string(i));
   }
   ASSERT_EQ(8u, engine.mModels["m0"].size());
   HeldModels all = engine.mModels;
-  world.List(engine, "engine", "a"); // with all eight
-  world.For(Millis(1000));
+  fleet.List(engine, "engine", "a"); // with all eight
+  fleet.For(Millis(1000));
   engine.mModels["m0"] = { "a0", "a1" };
-  world.List(engine, "engine", "a"); // as it was long before
+  fleet.List(engine, "engine", "a"); // as it was long before
   engine.mModels = all;
-  world.For(Millis(1200));
-  Stream(world, "m0/a9", "r9");
-  world.For(Millis(300));
+  fleet.For(Millis(1200));
+  Stream(fleet, "m0/a9", "r9");
+  fleet.For(Millis(300));
   EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
 // A server answers that it does not hold a model that it is known to hold.
 // Requests avoid it for a moment, but the inventory is changed by the lease
 // holder only.
-TEST(Orders, RefusedRequestDoesNotChangeTheAccount)
+TEST(Orders, RejectedRequestDoesNotChangeInventory)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  world.mEngines[0]->mExpectedId = "somebody-else"; // 421 to all
-  Stream(world, "m0", "r1");
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  fleet.mEngines[0]->mExpectedId = "somebody-else"; // 421 to all
+  Stream(fleet, "m0", "r1");
   const Backend* backend =
-    world.mInstances[0]->State().mServers.Find(world.mEngines[0]->Id());
+    fleet.mInstances[0]->State().mServers.Find(fleet.mEngines[0]->Id());
   ASSERT_TRUE(backend);
   EXPECT_TRUE(backend->Holds("m0", ""));
 }
 
 // Of two instances of a zone only one sends orders. When it has left, the other
 // takes over after the order silence, with a higher token.
-TEST(Orders, OneHolderAtATimeUnderRisingTokens)
+TEST(Orders, OneHolderAtATimeWithRisingTokens)
 {
-  EntryFleetOptions plan;
-  plan.mInstances = 2;
-  EntryTestFleet world(plan);
-  StandInServer& engine = *world.mEngines[0];
-  world.AwaitReady();
+  EntryFleetOptions options;
+  options.mInstances = 2;
+  EntryTestFleet fleet(options);
+  StandInServer& engine = *fleet.mEngines[0];
+  fleet.AwaitReady();
   for (size_t i = 0; i < 2; ++i) {
-    world.Call(i,
+    fleet.Call(i,
                "/resume/stream",
                "r" + std::to_string(i),
                Model("m" + std::to_string(i + 1)));
   }
   EXPECT_EQ(1u, engine.mHolders.size());
   bool firstHolds = *engine.mHolders.begin() == "i0";
-  size_t gone = firstHolds ? 0 : 1;
-  world.mInstances[gone]->Leave();
+  size_t former = firstHolds ? 0 : 1;
+  fleet.mInstances[former]->Leave();
   ASSERT_TRUE(
-    world.Until([&] { return world.mInstances[gone]->Gone(); }, Seconds(9)));
-  world.mInstances[gone].reset();
-  TestCallPtr call = world.Call(1 - gone, "/resume/stream", "r9", Model("m4"));
+    fleet.Until([&] { return fleet.mInstances[former]->Gone(); }, Seconds(9)));
+  fleet.mInstances[former].reset();
+  TestCallPtr call =
+    fleet.Call(1 - former, "/resume/stream", "r9", Model("m4"));
   EXPECT_EQ(200, call->mStatus);
   EXPECT_EQ(2u, engine.mHolders.size());
   for (size_t i = 1; i < engine.mTokens.size(); ++i) {
@@ -300,11 +302,11 @@
 // rejected.
 TEST(Orders, EntryCountsHeartbeatsNotOrders)
 {
-  EntryTestFleet world;
-  StandInServer& engine = *world.mEngines[0];
+  EntryTestFleet fleet;
+  StandInServer& engine = *fleet.mEngines[0];
   engine.mOrders = 5;
-  world.AwaitReady();
-  EXPECT_EQ(200, Stream(world, "m1", "r1")->mStatus);
+  fleet.AwaitReady();
+  EXPECT_EQ(200, Stream(fleet, "m1", "r1")->mStatus);
   EXPECT_EQ(6, engine.mOrders);
 }
 
--- a/tests/platform/TokensTest.cpp
+++ b/tests/platform/TokensTest.cpp
@@ -12,9 +12,9 @@
 EntryFleetOptions
 ThreeInstances()
 {
-  EntryFleetOptions plan;
-  plan.mInstances = 3;
-  return plan;
+  EntryFleetOptions options;
+  options.mInstances = 3;
+  return options;
 }
 
 std::vector<HttpField>
@@ -26,35 +26,35 @@
 // Sets the first tenant's rate and burst at all instances, and waits until the
 // buckets are full.
 void
-Limit(EntryTestFleet& aWorld, int aTokens)
+Limit(EntryTestFleet& aFleet, int aTokens)
 {
-  aWorld.mConfig["tenants"][0]["ratePerS"] = aTokens;
-  aWorld.mConfig["tenants"][0]["burst"] = aTokens;
-  aWorld.Configure();
-  aWorld.AwaitReady();
-  aWorld.For(Millis(2500));
+  aFleet.mConfig["tenants"][0]["ratePerS"] = aTokens;
+  aFleet.mConfig["tenants"][0]["burst"] = aTokens;
+  aFleet.Configure();
+  aFleet.AwaitReady();
+  aFleet.For(Millis(2500));
 }
 
 } // namespace
 
 // A tenant sends several times its rate to all instances: what runs stays
 // within rate and burst, and refusals have a retry-after time.
-TEST(Tokens, FloodStaysAtTheLimit)
+TEST(Tokens, FloodIsLimitedToRateAndBurst)
 {
-  EntryTestFleet world(ThreeInstances());
-  Limit(world, 20000);
-  TimePoint begin = world.mClock.Now();
+  EntryTestFleet fleet(ThreeInstances());
+  Limit(fleet, 20000);
+  TimePoint begin = fleet.mClock.Now();
   std::vector<TestCallPtr> calls;
   for (int i = 0; i < 300; ++i) {
-    calls.push_back(world.Send(static_cast<size_t>(i % 3),
+    calls.push_back(fleet.Send(static_cast<size_t>(i % 3),
                                "/order/x",
                                "r" + std::to_string(i),
                                Cost(1000)));
-    world.For(Millis(5));
+    fleet.For(Millis(5));
   }
-  world.For(Millis(300));
+  fleet.For(Millis(300));
   double seconds =
-    std::chrono::duration<double>(world.mClock.Now() - begin).count();
+    std::chrono::duration<double>(fleet.mClock.Now() - begin).count();
   int served = 0;
   for (const TestCallPtr& call : calls) {
     served += call->mStatus == 200 ? 1 : 0;
@@ -70,14 +70,14 @@
 
 // All requests of a tenant reach one instance, which may use far more than an
 // even part of the limit.
-TEST(Tokens, OneInstanceMayUseTheCommonPart)
+TEST(Tokens, OneInstanceMayUseMoreThanAnEvenPart)
 {
-  EntryTestFleet world(ThreeInstances());
-  Limit(world, 30000);
+  EntryTestFleet fleet(ThreeInstances());
+  Limit(fleet, 30000);
   int served = 0;
   for (int i = 0; i < 18; ++i) {
     served +=
-      world.Call(0, "/order/x", "r" + std::to_string(i), Cost(1000))->mStatus ==
+      fleet.Call(0, "/order/x", "r" + std::to_string(i), Cost(1000))->mStatus ==
       200;
   }
   // An even third of the burst would admit ten.
@@ -88,47 +88,47 @@
 // rate for seconds. The parts of the other instances must be usable, too.
 TEST(Tokens, RateOfIdleInstancesIsUsed)
 {
-  EntryTestFleet world(ThreeInstances());
-  Limit(world, 30000);
-  constexpr int kAsked = 170;
+  EntryTestFleet fleet(ThreeInstances());
+  Limit(fleet, 30000);
+  constexpr int kRequests = 170;
   std::vector<TestCallPtr> calls;
-  for (int i = 0; i < kAsked; ++i) {
+  for (int i = 0; i < kRequests; ++i) {
     calls.push_back(
-      world.Send(0, "/order/x", "r" + std::to_string(i), Cost(1000)));
-    world.For(Millis(35));
+      fleet.Send(0, "/order/x", "r" + std::to_string(i), Cost(1000)));
+    fleet.For(Millis(35));
   }
-  world.For(Millis(500));
+  fleet.For(Millis(500));
   int served = 0;
   for (const TestCallPtr& call : calls) {
     served += call->mStatus == 200 ? 1 : 0;
   }
   // Two thirds of rate and burst would be 140.
-  EXPECT_GE(served, kAsked * 95 / 100);
+  EXPECT_GE(served, kRequests * 95 / 100);
 }
 
 // A request that all servers reject is refused with the guarantee that it did
 // not run, and its tokens are refunded: the tenant's next request, to a working
 // service, is not refused by rate. The first request costs more than an
 // instance's own part, so that some of its tokens are borrowed.
-TEST(Tokens, WhatDidNotRunCostsNothing)
+TEST(Tokens, RequestThatDidNotRunIsRefunded)
 {
-  EntryFleetOptions plan;
-  plan.mInstances = 2;
-  EntryTestFleet world(plan);
-  world.mEngines[0]->mModels = { { "m1", {} } };
-  world.List(*world.mEngines[0], "engine", "a");
-  world.mConfig["tenants"][0]["ratePerS"] = 6000;
-  world.mConfig["tenants"][0]["burst"] = 6000;
-  world.Configure();
-  world.AwaitReady();
-  world.For(Millis(1500));
-  for (auto& server : world.mPlain) {
+  EntryFleetOptions options;
+  options.mInstances = 2;
+  EntryTestFleet fleet(options);
+  fleet.mEngines[0]->mModels = { { "m1", {} } };
+  fleet.List(*fleet.mEngines[0], "engine", "a");
+  fleet.mConfig["tenants"][0]["ratePerS"] = 6000;
+  fleet.mConfig["tenants"][0]["burst"] = 6000;
+  fleet.Configure();
+  fleet.AwaitReady();
+  fleet.For(Millis(1500));
+  for (auto& server : fleet.mPlain) {
     server->mBehaviour = ServerBehaviour::Refuses;
   }
-  TestCallPtr refused = world.Call(0, "/order/x", "r1", Cost(5500));
+  TestCallPtr refused = fleet.Call(0, "/order/x", "r1", Cost(5500));
   EXPECT_EQ(503, refused->mStatus);
   TestCallPtr next =
-    world.Call(1,
+    fleet.Call(1,
                "/stream/x",
                "r2",
                { { wire::kTokens, "5500,0" }, { wire::kModel, "m1" } });
@@ -138,20 +138,20 @@
 // The limit of a small tenant is held by one instance of each zone. When the
 // holder of one zone is killed, that of the other zone still grants its part,
 // so that the tenant is not refused altogether.
-TEST(Tokens, LostKeeperCostsItsZonesPartOnly)
+TEST(Tokens, KilledTokenHolderCostsOnlyItsZonePart)
 {
-  EntryFleetOptions plan;
-  plan.mZones = { "a", "b" };
-  plan.mInstances = 2;
-  EntryTestFleet world(plan);
-  Limit(world, 6000);
-  size_t keeper = world.LogLines(0, "lease_taken") > 0 ? 0 : 1;
-  world.mInstances[keeper].reset(); // killed; its lease lasts for seconds
-  world.For(Millis(2000));
+  EntryFleetOptions options;
+  options.mZones = { "a", "b" };
+  options.mInstances = 2;
+  EntryTestFleet fleet(options);
+  Limit(fleet, 6000);
+  size_t holder = fleet.LogLines(0, "lease_taken") > 0 ? 0 : 1;
+  fleet.mInstances[holder].reset(); // killed; its lease lasts for seconds
+  fleet.For(Millis(2000));
   int served = 0;
   for (int i = 0; i < 5; ++i) {
     served +=
-      world.Call(1 - keeper, "/order/x", "r" + std::to_string(i), Cost(500))
+      fleet.Call(1 - holder, "/order/x", "r" + std::to_string(i), Cost(500))
         ->mStatus == 200;
   }
   EXPECT_EQ(5, served);
@@ -159,12 +159,12 @@
 
 // A request above the burst is admitted when the bucket is full. The debt
 // delays the tenant's next requests for seconds.
-TEST(Tokens, RequestAboveTheBurstPassesOnce)
+TEST(Tokens, RequestAboveTheBurstIsAdmittedOnce)
 {
-  EntryTestFleet world;
-  Limit(world, 1000);
-  EXPECT_EQ(200, world.Call(0, "/order/x", "r1", Cost(3000))->mStatus);
-  EXPECT_EQ(429, world.Call(0, "/order/x", "r2", Cost(500))->mStatus);
+  EntryTestFleet fleet;
+  Limit(fleet, 1000);
+  EXPECT_EQ(200, fleet.Call(0, "/order/x", "r1", Cost(3000))->mStatus);
+  EXPECT_EQ(429, fleet.Call(0, "/order/x", "r2", Cost(500))->mStatus);
 }
 
 } // namespace caraway
--- a/tests/support/EntryTestFleet.cpp
+++ b/tests/support/EntryTestFleet.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Millis kTurn{ 1 };
+constexpr Millis kMaxWait{ 1 };
 
 } // namespace
 
@@ -41,13 +41,13 @@
   return sBase + sNext;
 }
 
-EntryTestFleet::EntryTestFleet(EntryFleetOptions aPlan)
+EntryTestFleet::EntryTestFleet(EntryFleetOptions aOptions)
   : mReactor(mClock)
-  , mPlan(std::move(aPlan))
+  , mOptions(std::move(aOptions))
   , mStore(std::make_unique<StandInStore>(mReactor))
 {
-  for (const std::string& zone : mPlan.mZones) {
-    for (int i = 0; i < mPlan.mInstances; ++i) {
+  for (const std::string& zone : mOptions.mZones) {
+    for (int i = 0; i < mOptions.mInstances; ++i) {
       Ports ports;
       ports.mZone = zone;
       ports.mStore = mStore->Open();
@@ -56,21 +56,21 @@
       ports.mPeers = FreePort();
       mPorts.push_back(ports);
     }
-    for (int i = 0; i < mPlan.mEngines; ++i) {
+    for (int i = 0; i < mOptions.mEngines; ++i) {
       std::string id = "engine-" + zone + std::to_string(i);
       mEngines.push_back(std::make_unique<StandInServer>(mReactor, id));
       mEngines.back()->mModels["m0"];
       List(*mEngines.back(), "engine", zone);
     }
   }
-  for (int i = 0; i < mPlan.mPlain; ++i) {
+  for (int i = 0; i < mOptions.mPlain; ++i) {
     std::string id = "plain-" + std::to_string(i);
     mPlain.push_back(std::make_unique<StandInServer>(mReactor, id));
-    List(*mPlain.back(), "plain", mPlan.mZones.front());
+    List(*mPlain.back(), "plain", mOptions.mZones.front());
   }
-  FirstConfig();
+  SetDefaultConfig();
   Configure();
-  for (size_t i = 0; mPlan.mOwn && i < mPorts.size(); ++i) {
+  for (size_t i = 0; mOptions.mOwn && i < mPorts.size(); ++i) {
     mInstances.push_back(MakeInstance(i));
   }
 }
@@ -100,7 +100,7 @@
     return "\"127.0.0.1:" + std::to_string(aPort) + "\"\n";
   };
   std::string zones;
-  for (const std::string& zone : mPlan.mZones) {
+  for (const std::string& zone : mOptions.mZones) {
     zones += zone + " = \"region\"\n";
   }
   return "nodeName = \"i" + std::to_string(aIndex) + "\"\nzone = \"" +
@@ -123,7 +123,7 @@
 }
 
 void
-EntryTestFleet::FirstConfig()
+EntryTestFleet::SetDefaultConfig()
 {
   auto route = [](const char* aName, const char* aKind, const char* aService) {
     Json::Value json;
@@ -202,7 +202,7 @@
     if (mClock.Now() >= end) {
       return false;
     }
-    mReactor.RunPass(kTurn);
+    mReactor.RunPass(kMaxWait);
     for (size_t i = 0; i < mInstances.size(); ++i) {
       auto& instance = mInstances[i];
       if (instance && !instance->Gone() && !mFrozen.count(i)) {
@@ -242,51 +242,51 @@
 TestCallPtr
 EntryTestFleet::SendRaw(size_t aInstance, const std::string& aBytes)
 {
-  auto view = std::make_shared<TestCall>();
-  view->mAsked = mClock.Now();
-  view->mChannel =
+  auto call = std::make_shared<TestCall>();
+  call->mAsked = mClock.Now();
+  call->mChannel =
     Channel::Connect(mReactor, CallerAddress(aInstance), Seconds(1));
   Channel::Events events;
-  std::weak_ptr<TestCall> weak = view;
-  events.mData = [this, weak] {
-    if (auto caller = weak.lock()) {
-      caller->mBytes += caller->mChannel->Input();
-      caller->mChannel->Input().clear();
-      ReadAnswer(*caller);
+  std::weak_ptr<TestCall> weakCall = call;
+  events.mData = [this, weakCall] {
+    if (auto received = weakCall.lock()) {
+      received->mBytes += received->mChannel->Input();
+      received->mChannel->Input().clear();
+      ReadAnswer(*received);
     }
   };
-  events.mEnd = [weak](ChannelCloseReason) {
-    if (auto caller = weak.lock()) {
-      caller->mClosed = true;
+  events.mEnd = [weakCall](ChannelCloseReason) {
+    if (auto received = weakCall.lock()) {
+      received->mClosed = true;
     }
   };
-  view->mChannel->Listen(std::move(events));
-  view->mChannel->Write(aBytes);
-  return view;
+  call->mChannel->Listen(std::move(events));
+  call->mChannel->Write(aBytes);
+  return call;
 }
 
 void
-EntryTestFleet::ReadAnswer(TestCall& aView)
+EntryTestFleet::ReadAnswer(TestCall& aCall)
 {
   size_t used = 0;
-  if (aView.mStatus == 0) {
-    if (ReadAnswerHead(aView.mBytes, aView.mHead, used) != HeadState::Whole) {
+  if (aCall.mStatus == 0) {
+    if (ReadAnswerHead(aCall.mBytes, aCall.mHead, used) != HeadState::Whole) {
       return;
     }
-    aView.mStatus = aView.mHead.mStatus;
-    aView.mHeadAt = mClock.Now();
+    aCall.mStatus = aCall.mHead.mStatus;
+    aCall.mHeadAt = mClock.Now();
   }
   // Parsed from the start each time, as answers in tests are short.
   HttpHead head;
-  ReadAnswerHead(aView.mBytes, head, used);
-  std::string rest = aView.mBytes.substr(used);
+  ReadAnswerHead(aCall.mBytes, head, used);
+  std::string rest = aCall.mBytes.substr(used);
   BodyReader reader(head);
-  aView.mBody.clear();
-  EXPECT_TRUE(reader.Take(rest, aView.mBody));
+  aCall.mBody.clear();
+  EXPECT_TRUE(reader.Take(rest, aCall.mBody));
   if (reader.Done()) {
-    aView.mWholeAt = aView.mWhole ? aView.mWholeAt : mClock.Now();
-    aView.mWhole = true;
-    aView.mOver = rest;
+    aCall.mCompleteAt = aCall.mWhole ? aCall.mCompleteAt : mClock.Now();
+    aCall.mWhole = true;
+    aCall.mOver = rest;
   }
 }
 
@@ -333,9 +333,9 @@
                      const std::vector<HttpField>& aFields,
                      const std::string& aBody)
 {
-  TestCallPtr view = Send(aInstance, aPath, aId, aFields, aBody);
-  Until([&view] { return view->mWhole || view->mClosed; }, Seconds(10));
-  return view;
+  TestCallPtr call = Send(aInstance, aPath, aId, aFields, aBody);
+  Until([&call] { return call->mWhole || call->mClosed; }, Seconds(10));
+  return call;
 }
 
 int
--- a/tests/support/EntryTestFleet.h
+++ b/tests/support/EntryTestFleet.h
@@ -30,7 +30,7 @@
   std::string mOver;    // bytes after the complete answer
   TimePoint mAsked{};
   TimePoint mHeadAt{};
-  TimePoint mWholeAt{};
+  TimePoint mCompleteAt{};
 
   std::string Field(const char* aName) const
   {
@@ -52,7 +52,7 @@
 class EntryTestFleet
 {
 public:
-  explicit EntryTestFleet(EntryFleetOptions aPlan = EntryFleetOptions());
+  explicit EntryTestFleet(EntryFleetOptions aOptions = EntryFleetOptions());
   ~EntryTestFleet();
 
   // Runs all event loops until aDone returns true, at most for aWithin. Returns
@@ -104,7 +104,7 @@
 
   BootClock mClock;
   Reactor mReactor; // of the stand-ins and callers
-  EntryFleetOptions mPlan;
+  EntryFleetOptions mOptions;
   std::unique_ptr<StandInStore> mStore;
   std::vector<std::unique_ptr<StandInServer>> mEngines;
   std::vector<std::unique_ptr<StandInServer>> mPlain;
@@ -123,9 +123,9 @@
     int mReadiness = 0;
     int mPeers = 0; // metrics: mPeers + 1
   };
-  void FirstConfig();
+  void SetDefaultConfig();
   static int FreePort();
-  void ReadAnswer(TestCall& aView);
+  void ReadAnswer(TestCall& aCall);
 
   std::vector<Ports> mPorts;
 };
--- a/tests/support/StandInServer.cpp
+++ b/tests/support/StandInServer.cpp
@@ -8,11 +8,11 @@
 
 namespace caraway {
 
-struct StandInServer::Visitor
+struct StandInServer::ClientConnection
 {
   std::shared_ptr<Channel> mChannel;
   bool mWorking = false;
-  bool mGone = false;
+  bool mClosed = false;
 };
 
 class StandInServer::Listener
@@ -31,7 +31,7 @@
   void OnReadable() override
   {
     try {
-      mServer.OnVisitor(mSocket.acceptConnection());
+      mServer.OnConnection(mSocket.acceptConnection());
     } catch (const Poco::Exception&) {
       return; // closed before it was accepted
     }
@@ -120,59 +120,59 @@
 }
 
 void
-StandInServer::OnVisitor(const Poco::Net::StreamSocket& aSocket)
+StandInServer::OnConnection(const Poco::Net::StreamSocket& aSocket)
 {
-  auto visitor = std::make_shared<Visitor>();
-  visitor->mChannel = Channel::Accepted(mReactor, aSocket);
+  auto client = std::make_shared<ClientConnection>();
+  client->mChannel = Channel::Accepted(mReactor, aSocket);
   Channel::Events events;
-  events.mData = [this, visitor] { OnData(visitor); };
-  events.mEnd = [this, visitor](ChannelCloseReason) {
-    visitor->mGone = true;
-    mLeft += visitor->mWorking ? 1 : 0;
+  events.mData = [this, client] { OnData(client); };
+  events.mEnd = [this, client](ChannelCloseReason) {
+    client->mClosed = true;
+    mLeft += client->mWorking ? 1 : 0;
   };
-  visitor->mChannel->Listen(std::move(events));
+  client->mChannel->Listen(std::move(events));
 }
 
 void
-StandInServer::OnData(const std::shared_ptr<Visitor>& aVisitor)
+StandInServer::OnData(const std::shared_ptr<ClientConnection>& aClient)
 {
-  std::string& input = aVisitor->mChannel->Input();
+  std::string& input = aClient->mChannel->Input();
   HttpHead head;
   size_t used = 0;
-  if (aVisitor->mWorking ||
+  if (aClient->mWorking ||
       ReadRequestHead(input, head, used) != HeadState::Whole ||
       input.size() < used + head.mLength) {
     return;
   }
   std::string body = input.substr(used, head.mLength);
   input.erase(0, used + head.mLength);
-  OnRequest(aVisitor, head, body);
+  OnRequest(aClient, head, body);
 }
 
 void
-StandInServer::Reply(const std::shared_ptr<Visitor>& aVisitor,
+StandInServer::Reply(const std::shared_ptr<ClientConnection>& aClient,
                      int aStatus,
                      std::vector<HttpField> aFields,
                      const std::string& aBody)
 {
-  aVisitor->mWorking = false;
+  aClient->mWorking = false;
   aFields.push_back({ "Content-Length", std::to_string(aBody.size()) });
-  aVisitor->mChannel->Write(
+  aClient->mChannel->Write(
     WriteHead("HTTP/1.1 " + std::to_string(aStatus) + " Status", aFields) +
     aBody);
 }
 
 void
-StandInServer::OnRequest(const std::shared_ptr<Visitor>& aVisitor,
+StandInServer::OnRequest(const std::shared_ptr<ClientConnection>& aClient,
                          const HttpHead& aHead,
                          const std::string& aBody)
 {
   if (aHead.mTarget == "/order") {
-    OnOrder(aVisitor, JsonParseOrEmpty(aBody));
+    OnOrder(aClient, JsonParseOrEmpty(aBody));
     return;
   }
   if (aHead.mTarget == "/report") {
-    Report(aVisitor);
+    Report(aClient);
     return;
   }
   ++mArrivals;
@@ -184,19 +184,19 @@
     held = mModels[name].count(model.substr(model.find('/') + 1)) > 0;
   }
   if (expected != mExpectedId || !held) {
-    Reply(aVisitor, 421, { { wire::kInstance, mExpectedId } }, "");
+    Reply(aClient, 421, { { wire::kInstance, mExpectedId } }, "");
     return;
   }
   if (mBehaviour == ServerBehaviour::Refuses) {
-    Reply(aVisitor, 503, { { wire::kNotRun, "1" } }, "");
+    Reply(aClient, 503, { { wire::kNotRun, "1" } }, "");
     return;
   }
-  aVisitor->mWorking = true;
-  std::weak_ptr<Visitor> weak = aVisitor;
+  aClient->mWorking = true;
+  std::weak_ptr<ClientConnection> weak = aClient;
   mReactor.After(mWork, [this, weak, aHead, aBody] {
-    auto visitor = weak.lock();
-    if (visitor && !visitor->mGone) {
-      Work(visitor, aHead, aBody);
+    auto client = weak.lock();
+    if (client && !client->mClosed) {
+      Work(client, aHead, aBody);
     }
   });
   ServerRun run;
@@ -213,7 +213,7 @@
 }
 
 void
-StandInServer::Work(const std::shared_ptr<Visitor>& aVisitor,
+StandInServer::Work(const std::shared_ptr<ClientConnection>& aClient,
                     const HttpHead& aHead,
                     const std::string& aBody)
 {
@@ -221,7 +221,7 @@
   std::vector<HttpField> own = { { wire::kRequestId, id },
                                  { wire::kSeal, "seal-" + mId } };
   std::string answer = "answer to " + id + " of " + aBody;
-  Channel& channel = *aVisitor->mChannel;
+  Channel& channel = *aClient->mChannel;
   if (aHead.mTarget.find("/stream") != std::string::npos &&
       (mBehaviour == ServerBehaviour::Proper ||
        mBehaviour == ServerBehaviour::StopsMidway ||
@@ -233,49 +233,49 @@
     std::string last = ValueOf(aHead, wire::kLastEvent);
     std::string model = ValueOf(aHead, wire::kModel);
     mInUse.insert(model);
-    Stream(aVisitor, model, last.empty() ? 1 : std::stoi(last) + 1);
+    Stream(aClient, model, last.empty() ? 1 : std::stoi(last) + 1);
     return;
   }
   switch (mBehaviour) {
     case ServerBehaviour::Proper:
     case ServerBehaviour::StopsMidway:
     case ServerBehaviour::Refuses:
-      Reply(aVisitor, 200, own, answer);
+      Reply(aClient, 200, own, answer);
       break;
     case ServerBehaviour::RunsThenCloses:
-      aVisitor->mWorking = false;
+      aClient->mWorking = false;
       channel.Close();
       break;
     case ServerBehaviour::Truncates:
       own.push_back({ "Content-Length", std::to_string(answer.size()) });
       channel.Write(WriteHead("HTTP/1.1 200 OK", own) + answer.substr(0, 5));
-      aVisitor->mWorking = false;
+      aClient->mWorking = false;
       channel.Finish();
       break;
     case ServerBehaviour::Unsealed:
-      Reply(aVisitor, 200, { own.front() }, answer);
+      Reply(aClient, 200, { own.front() }, answer);
       break;
     case ServerBehaviour::Encoded:
       own.push_back({ "Content-Encoding", "gzip" });
-      Reply(aVisitor, 200, own, answer);
+      Reply(aClient, 200, own, answer);
       break;
     case ServerBehaviour::LateAnswer:
-      Reply(aVisitor,
+      Reply(aClient,
             200,
             { { wire::kRequestId, "somebody-else" }, { wire::kSeal, "s" } },
             "not yours");
-      Reply(aVisitor, 200, own, answer);
+      Reply(aClient, 200, own, answer);
       break;
     case ServerBehaviour::ExtraAnswer:
-      Reply(aVisitor, 200, own, answer);
-      Reply(aVisitor, 200, own, "once more");
+      Reply(aClient, 200, own, answer);
+      Reply(aClient, 200, own, "once more");
       break;
     case ServerBehaviour::Garbage:
-      aVisitor->mWorking = false;
+      aClient->mWorking = false;
       channel.Write("\x01\x02 nothing that anybody asked for\r\n\r\n");
       break;
     case ServerBehaviour::Fails:
-      Reply(aVisitor, 500, own, "failed");
+      Reply(aClient, 500, own, "failed");
       break;
     case ServerBehaviour::Hangs:
       break;
@@ -283,31 +283,31 @@
 }
 
 void
-StandInServer::Stream(const std::shared_ptr<Visitor>& aVisitor,
+StandInServer::Stream(const std::shared_ptr<ClientConnection>& aClient,
                       const std::string& aModel,
                       int aNext)
 {
-  if (aVisitor->mGone) {
+  if (aClient->mClosed) {
     EndUse(aModel);
     return;
   }
-  Channel& channel = *aVisitor->mChannel;
+  Channel& channel = *aClient->mChannel;
   if (aNext > mEvents) {
     channel.Write("0\r\n\r\n");
-    aVisitor->mWorking = false;
+    aClient->mWorking = false;
     EndUse(aModel);
     return;
   }
   if (mBehaviour == ServerBehaviour::StopsMidway && aNext == 3) {
     channel.Write(Chunk(EventText(aNext).substr(0, 8)));
-    aVisitor->mWorking = false;
+    aClient->mWorking = false;
     channel.Finish();
     EndUse(aModel);
     return;
   }
   channel.Write(Chunk(EventText(aNext)));
-  mReactor.After(mEventGap, [this, aVisitor, aModel, aNext] {
-    Stream(aVisitor, aModel, aNext + 1);
+  mReactor.After(mEventGap, [this, aClient, aModel, aNext] {
+    Stream(aClient, aModel, aNext + 1);
   });
 }
 
@@ -325,7 +325,7 @@
 }
 
 void
-StandInServer::OnOrder(const std::shared_ptr<Visitor>& aVisitor,
+StandInServer::OnOrder(const std::shared_ptr<ClientConnection>& aClient,
                        const Json::Value& aOrder)
 {
   ++mOrdersSeen;
@@ -334,10 +334,10 @@
   mOrderedBy.emplace_back(mTokens.back(), aOrder["holder"].asString());
   if (mDropsOrderAnswers) {
     mReactor.After(mOrderDelay, [this, aOrder] { CarryOut(aOrder); });
-    aVisitor->mChannel->Close();
+    aClient->mChannel->Close();
     return;
   }
-  Reply(aVisitor, CarryOut(aOrder), {}, "");
+  Reply(aClient, CarryOut(aOrder), {}, "");
 }
 
 int
@@ -368,8 +368,9 @@
   for (const auto& [name, held] : mModels) {
     adapters += held.size();
   }
-  bool full = adapter.empty() ? static_cast<int>(mModels.size()) >= mPlaces
-                              : static_cast<int>(adapters) >= mAdapterCapacity;
+  bool full = adapter.empty()
+                ? static_cast<int>(mModels.size()) >= mModelCapacity
+                : static_cast<int>(adapters) >= mAdapterCapacity;
   mOverCapacityLoads += full ? 1 : 0;
   if (!adapter.empty()) {
     mModels[model].insert(adapter);
@@ -386,7 +387,7 @@
 }
 
 void
-StandInServer::Report(const std::shared_ptr<Visitor>& aVisitor)
+StandInServer::Report(const std::shared_ptr<ClientConnection>& aClient)
 {
   Json::Value report;
   report["stage"] = "both";
@@ -399,7 +400,7 @@
       report["models"].append(model);
     }
   }
-  Reply(aVisitor,
+  Reply(aClient,
         200,
         { { "Content-Type", "application/json" } },
         JsonWrite(report));
--- a/tests/support/StandInServer.h
+++ b/tests/support/StandInServer.h
@@ -80,7 +80,7 @@
   std::set<std::string> mOnDisk;
   int64_t mOrders = 0;
   bool mBusy = false;
-  int mPlaces = 3; // models that fit
+  int mModelCapacity = 3; // models that fit
   int mAdapterCapacity = 8;
   Millis mWork{ 5 }; // time before an answer
   Millis mLoadTime{ 100 };
@@ -93,24 +93,24 @@
 
 private:
   class Listener;
-  struct Visitor;
-  void OnVisitor(const Poco::Net::StreamSocket& aSocket);
-  void OnData(const std::shared_ptr<Visitor>& aVisitor);
-  void OnRequest(const std::shared_ptr<Visitor>& aVisitor,
+  struct ClientConnection;
+  void OnConnection(const Poco::Net::StreamSocket& aSocket);
+  void OnData(const std::shared_ptr<ClientConnection>& aClient);
+  void OnRequest(const std::shared_ptr<ClientConnection>& aClient,
                  const HttpHead& aHead,
                  const std::string& aBody);
-  void Work(const std::shared_ptr<Visitor>& aVisitor,
+  void Work(const std::shared_ptr<ClientConnection>& aClient,
             const HttpHead& aHead,
             const std::string& aBody);
-  void Stream(const std::shared_ptr<Visitor>& aVisitor,
+  void Stream(const std::shared_ptr<ClientConnection>& aClient,
               const std::string& aModel,
               int aNext);
-  void OnOrder(const std::shared_ptr<Visitor>& aVisitor,
+  void OnOrder(const std::shared_ptr<ClientConnection>& aClient,
                const Json::Value& aOrder);
   void EndUse(const std::string& aModel);
   int CarryOut(const Json::Value& aOrder);
-  void Report(const std::shared_ptr<Visitor>& aVisitor);
-  void Reply(const std::shared_ptr<Visitor>& aVisitor,
+  void Report(const std::shared_ptr<ClientConnection>& aClient);
+  void Reply(const std::shared_ptr<ClientConnection>& aClient,
              int aStatus,
              std::vector<HttpField> aFields,
              const std::string& aBody);
--- a/tests/unit/SettingsWatchTest.cpp
+++ b/tests/unit/SettingsWatchTest.cpp
@@ -14,12 +14,12 @@
 
 // Reads a file that holds only the grace time in seconds.
 std::optional<EntrySettings>
-ReadGrace(const std::string& aPath, std::string& aWrong)
+ReadGrace(const std::string& aPath, std::string& aError)
 {
   std::ifstream file(aPath);
   int64_t seconds = 0;
   if (!(file >> seconds)) {
-    aWrong = "not a number";
+    aError = "not a number";
     return std::nullopt;
   }
   EntrySettings settings;
@@ -37,7 +37,7 @@
 
 // The file changes without a signal and then becomes invalid: the new value
 // takes effect within about a second, and the invalid file changes nothing.
-TEST(SettingsWatch, SilentChangeIsNoticedAndNonsenseIsNot)
+TEST(SettingsWatch, ChangeWithoutSignalIsAppliedAndInvalidFileIsNot)
 {
   std::string path = testing::TempDir() + "settings-watch.txt";
   Write(path, "8");
@@ -45,17 +45,17 @@
   EntryState state(clock, EntrySettings(), -1);
   SettingsWatch watch(state, path, ReadGrace);
   watch.Start();
-  auto turnFor = [&](Millis aTime) {
+  auto runFor = [&](Millis aTime) {
     TimePoint until = clock.Now() + aTime;
     while (clock.Now() < until) {
       state.mReactor.RunPass(Millis(20));
     }
   };
   Write(path, "12");
-  turnFor(Millis(1300));
+  runFor(Millis(1300));
   EXPECT_EQ(Seconds(12), state.mSettings.mGrace);
   Write(path, "nonsense");
-  turnFor(Millis(1300));
+  runFor(Millis(1300));
   EXPECT_EQ(Seconds(12), state.mSettings.mGrace);
   EXPECT_NE(std::string::npos, state.mLog.Gathered().find("not a number"));
   std::remove(path.c_str());
@@ -63,7 +63,7 @@
 
 // Guards against a shutdown with an outdated grace time: the process would be
 // killed before its last answers are sent.
-TEST(SettingsWatch, ChangeIsInForceAtOnceWhenLookedAt)
+TEST(SettingsWatch, ChangeIsAppliedAtOnceByReloadIfChanged)
 {
   std::string path = testing::TempDir() + "settings-watch-now.txt";
   Write(path, "12");
