--- a/src/entry/EntrySettings.h
+++ b/src/entry/EntrySettings.h
@@ -19,12 +19,11 @@
   std::string mPeers;              // ip:port for other instances, TCP and UDP
   std::string mMetrics;            // ip:port for metrics; "" = none
   std::string mStore;              // ip:port of the object store
-  double mCpuShare = 1;            // in cores
+  double mCpuShare = 1;            // of a core
   Millis mGrace{ 8000 };           // from SIGTERM to SIGKILL
-  Millis mOrderSilence{ 3000 };    // between orders of two holders
-  Millis mServerHeartbeatInterval{
-    1200
-  };                        // interval of the servers' entry updates
+  Millis mOrderSilence{ 3000 };    // between orders of two lease holders
+  // Interval at which servers update their entries.
+  Millis mServerHeartbeatInterval{ 1200 };
   double mRetryRatio = 0.2; // retries per request, over all instances
   double mRetrySlack = 0;   // additional retries in each window
   Millis mRetryWindow{ 10000 };
--- a/src/entry/EntryState.h
+++ b/src/entry/EntryState.h
@@ -39,8 +39,8 @@
   ServerView mServers;
   bool mServersKnown = false; // the list has been received at least once
   DemandTracker mDemand;      // at all instances
-  std::map<std::string, int>
-    mRequestsSinceHeartbeat; // at this instance, by model
+  // At this instance, by model.
+  std::map<std::string, int> mRequestsSinceHeartbeat;
   ServerRetryBudget mRepeats;
   int mInstances = 1; // that may be running, including this one
   RunTimeEstimates mRunTimes;
--- a/src/entry/LeaseLoop.cpp
+++ b/src/entry/LeaseLoop.cpp
@@ -84,8 +84,8 @@
       aHeartbeat["leases"].append(mName);
     }
   });
-  std::uniform_int_distribution<int64_t> stagger(0, kMaxStartDelay.count());
-  mState.mReactor.After(Millis(stagger(mState.mRandom)), [this] {
+  std::uniform_int_distribution<int64_t> startDelay(0, kMaxStartDelay.count());
+  mState.mReactor.After(Millis(startDelay(mState.mRandom)), [this] {
     Tick();
     mState.mReactor.Every(kCheckInterval, [this] { Tick(); });
   });
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -293,7 +293,7 @@
     mZone.OnListed(zone, aAskedAt, mState.Now());
   }
   if (aFresh && readable) {
-    mOnCensus(counts, aAskedAt);
+    mOnZoneCounts(counts, aAskedAt);
   }
   DropSilentPeers(listed);
   mOnChange();
--- a/src/entry/Membership.h
+++ b/src/entry/Membership.h
@@ -35,7 +35,10 @@
   // Called with the number of entries of each zone after each fresh list.
   using ZoneCounts =
     std::function<void(const std::map<std::string, int>&, TimePoint aAskedAt)>;
-  void OnZoneCounts(ZoneCounts aCensus) { mOnCensus = std::move(aCensus); }
+  void OnZoneCounts(ZoneCounts aOnZoneCounts)
+  {
+    mOnZoneCounts = std::move(aOnZoneCounts);
+  }
   // Makes the next list of entries a fresh one, and reads it soon.
   void RequestFreshList() { mFreshListDue = true; }
 
@@ -67,7 +70,7 @@
   Peers& mPeers;
   ZoneMembers mZone;
   std::function<void()> mOnChange = [] {};
-  ZoneCounts mOnCensus = [](const auto&, TimePoint) {};
+  ZoneCounts mOnZoneCounts = [](const auto&, TimePoint) {};
   Millis mListWait;
   uint64_t mListRound = 0;
   bool mListing = false;
--- a/src/entry/Peers.cpp
+++ b/src/entry/Peers.cpp
@@ -96,16 +96,16 @@
 }
 
 int
-Peers::HeartbeatRounds() const
+Peers::TicksPerRound() const
 {
-  size_t rounds = (mPeers.size() + kPeersPerTick - 1) / kPeersPerTick;
-  return static_cast<int>(std::max<size_t>(rounds, 1));
+  size_t ticks = (mPeers.size() + kPeersPerTick - 1) / kPeersPerTick;
+  return static_cast<int>(std::max<size_t>(ticks, 1));
 }
 
 Millis
 Peers::HeartbeatInterval() const
 {
-  return kHeartbeatTick * HeartbeatRounds();
+  return kHeartbeatTick * TicksPerRound();
 }
 
 bool
--- a/src/entry/Peers.h
+++ b/src/entry/Peers.h
@@ -72,6 +72,7 @@
   // left.
   void SendMessageInZone(const std::string& aKind, const Json::Value& aMessage);
 
+  // Registers the method aName, which other instances may call.
   void Add(const std::string& aName, Method aMethod);
   void Call(const std::string& aPeer,
             const std::string& aMethod,
@@ -109,8 +110,8 @@
   std::optional<Millis> RoundTripTime(const Json::Value& aEchoes) const;
   // Interval of the heartbeats to one instance.
   Millis HeartbeatInterval() const;
-  // Ticks in which each instance is sent one heartbeat.
-  int HeartbeatRounds() const;
+  // Number of ticks in which each instance is sent one heartbeat.
+  int TicksPerRound() const;
 
   void OnReadable() override;
 
--- a/src/entry/ServerInventories.cpp
+++ b/src/entry/ServerInventories.cpp
@@ -226,7 +226,7 @@
   }
   TimePoint now = mState.Now();
   Millis interval =
-    mPeers.HeartbeatInterval() * mPeers.HeartbeatRounds() * kSendAllRounds;
+    mPeers.HeartbeatInterval() * mPeers.TicksPerRound() * kSendAllRounds;
   bool due = now - mSentAllAt >= interval;
   Json::Value all(Json::arrayValue);
   for (auto& [id, backend] : mState.mServers.All()) {
--- a/src/entry/UsageRelay.cpp
+++ b/src/entry/UsageRelay.cpp
@@ -77,14 +77,14 @@
   for (const std::string& model : demand.getMemberNames()) {
     // Each heartbeat reaches only a part of the instances, in turn.
     mState.mDemand.Add(
-      model, demand[model].asInt() * mPeers.HeartbeatRounds(), mState.Now());
+      model, demand[model].asInt() * mPeers.TicksPerRound(), mState.Now());
   }
 }
 
 void
 UsageRelay::SendUsage()
 {
-  if (mPeers.HeartbeatRounds() == 1) {
+  if (mPeers.TicksPerRound() == 1) {
     return; // heartbeats reach all instances at this interval
   }
   for (const std::string& zone : mState.mSettings.mZones) {
