--- a/src/entry/LoadSchedulerSend.cpp
+++ b/src/entry/LoadSchedulerSend.cpp
@@ -104,7 +104,7 @@
   // Checked before each order: the lease may have expired while the process was
   // suspended.
   if (!mLease.MayAct()) {
-    EndJob(aServer, "zone lease lost");
+    EndJob(aServer, "zone lease ended");
     return;
   }
   if (++job->mAttempts > kMaxOrderAttempts) {
@@ -129,7 +129,7 @@
   const EngineSpec* engine = EngineOf(job->mRequest.mService);
   if (order.mLoad &&
       (!engine || !inventory.Fits(*engine, order, mState.Now()))) {
-    EndJob(aServer, "no memory left on the server");
+    EndJob(aServer, "model or adapter no longer fits on the server");
     return;
   }
   order.mOrders = inventory.Orders();
