--- a/src/entry/EntryDaemon.cpp
+++ b/src/entry/EntryDaemon.cpp
@@ -58,11 +58,11 @@
   })
   , mMetricsReplies([this](const InboundRequest&) { return MetricsReply(); })
 {
-  Begin();
+  StartUp();
 }
 
 void
-EntryDaemon::Begin()
+EntryDaemon::StartUp()
 {
   mState.mLog.Line("started")
     .Text("zone", mState.mSettings.mZone)
@@ -117,7 +117,7 @@
 }
 
 bool
-EntryDaemon::Settled() const
+EntryDaemon::LeaseHolderKnown() const
 {
   return mZoneLease.MayAct() || !mPeers.HolderOf(mZoneLease.Name()).empty();
 }
--- a/src/entry/EntryDaemon.h
+++ b/src/entry/EntryDaemon.h
@@ -36,14 +36,14 @@
   bool Gone() const { return mGone; }
   bool Ready() const;
   // The lease of this zone has a known holder.
-  bool Settled() const;
+  bool LeaseHolderKnown() const;
   // This instance holds the lease of its zone.
   bool HoldsLease() const { return mZoneLease.Holds(); }
 
   EntryState& State() { return mState; }
 
 private:
-  void Begin();
+  void StartUp();
   void CheckLeaving();
   void LeaveZone();
   void OnStateChanged();
--- a/tests/support/EntryTestFleet.cpp
+++ b/tests/support/EntryTestFleet.cpp
@@ -227,7 +227,7 @@
     [this, all] {
       for (auto& instance : mInstances) {
         if (!instance->Ready() || instance->State().mInstances != all ||
-            !instance->Settled()) {
+            !instance->LeaseHolderKnown()) {
           return false;
         }
       }
