--- a/src/entry/EntryDaemon.cpp
+++ b/src/entry/EntryDaemon.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-constexpr Millis kSweep{ 500 };
+constexpr Millis kSweepInterval{ 500 };
 
-// Callers' connections at a time; two hundred descriptors are left for
-// servers, peers and the store.
-constexpr size_t kMostCallers = 3400;
-constexpr size_t kMostOthers = 64;
+// Concurrent connections of callers; 200 file descriptors are left for servers,
+// peers and the store.
+constexpr size_t kMaxCallers = 3400;
+constexpr size_t kMaxOtherConnections = 64;
 
-// For the last answers to reach their callers.
-constexpr Millis kLastAnswers{ 200 };
+// Time for the last answers to reach their callers.
+constexpr Millis kLastAnswersTime{ 200 };
 
-// A caller that was told that its connection stays sends the next request
-// within this, as a rule; it is answered here, and told to go.
-constexpr Millis kNextRequest{ 300 };
+// A caller on a connection that was kept alive usually sends its next request
+// within this time. It is still answered here, and the connection is closed.
+constexpr Millis kNextRequestTime{ 300 };
 
-// Between two looks whether everything is done.
-constexpr Millis kLeaveLook{ 50 };
+// Interval of the checks whether the shutdown is complete.
+constexpr Millis kLeaveCheckInterval{ 50 };
 
 } // namespace
 
@@ -58,11 +58,11 @@
   })
   , mMetricsReplies([this](const InboundRequest&) { return MetricsReply(); })
 {
-  Begin();
+  StartUp();
 }
 
 void
-EntryDaemon::Begin()
+EntryDaemon::StartUp()
 {
   mState.mLog.Line("started")
     .Text("zone", mState.mSettings.mZone)
@@ -70,12 +70,14 @@
     .Text("store", mState.mSettings.mStore);
   Reactor& reactor = mState.mReactor;
   mCallers =
-    ListenPort::Open(reactor, mState.mSettings.mCallers, mFront, kMostCallers);
+    ListenPort::Open(reactor, mState.mSettings.mCallers, mFront, kMaxCallers);
   mReadiness = ListenPort::Open(
-    reactor, mState.mSettings.mReadiness, mReadyReplies, kMostOthers);
+    reactor, mState.mSettings.mReadiness, mReadyReplies, kMaxOtherConnections);
   if (!mState.mSettings.mMetrics.empty()) {
-    mMetricsPort = ListenPort::Open(
-      reactor, mState.mSettings.mMetrics, mMetricsReplies, kMostOthers);
+    mMetricsPort = ListenPort::Open(reactor,
+                                    mState.mSettings.mMetrics,
+                                    mMetricsReplies,
+                                    kMaxOtherConnections);
   }
   mPeers.OnHeartbeatFill(
     [this](Json::Value& aHeartbeat) { FillHeartbeat(aHeartbeat); });
@@ -90,7 +92,7 @@
   mZoneLease.Start();
   mTokens.Start();
   mOrders.Start();
-  reactor.Every(kSweep, [this] {
+  reactor.Every(kSweepInterval, [this] {
     mCallers->Sweep();
     mReadiness->Sweep();
     mState.mServerPool.Sweep();
@@ -115,12 +117,12 @@
 }
 
 bool
-EntryDaemon::Settled() const
+EntryDaemon::LeaseHolderKnown() const
 {
   return mZoneLease.MayAct() || !mPeers.HolderOf(mZoneLease.Name()).empty();
 }
 
-// ---- What instances tell each other
+// ---- Heartbeats
 
 void
 EntryDaemon::FillHeartbeat(Json::Value& aHeartbeat)
@@ -163,12 +165,12 @@
   return { 200, "text/plain", text };
 }
 
-// ---- Running and leaving
+// ---- Event loop and shutdown
 
 void
-EntryDaemon::RunPass(Millis aMost)
+EntryDaemon::RunPass(Millis aMaxWait)
 {
-  mState.mReactor.RunPass(aMost);
+  mState.mReactor.RunPass(aMaxWait);
   mState.mLog.Flush();
 }
 
@@ -188,8 +190,8 @@
   CheckLeaving();
 }
 
-// Nobody new comes: what is left of tenants' tokens goes to a mate, and the
-// part to all.
+// Called when no new callers are accepted: the remaining tenant tokens go to a
+// zone peer, and this instance's part of the limits is divided among all.
 void
 EntryDaemon::LeaveZone()
 {
@@ -204,11 +206,11 @@
 EntryDaemon::CheckLeaving()
 {
   TimePoint now = mState.Now();
-  mState.mLeave.Shorten(mState.mSettings.mGrace); // it may have changed
+  mState.mLeave.Shorten(mState.mSettings.mGrace); // may have been reloaded
   bool closed = !mState.mLeave.ExpectsCallers(now);
   if (closed) {
     mCallers->Close();
-    mCallers->CloseIdle(ConnectionCloseReason::Leaving, kNextRequest);
+    mCallers->CloseIdle(ConnectionCloseReason::Leaving, kNextRequestTime);
     LeaveZone();
   }
   if (now >= mState.mLeave.End() && !mAnsweredAll) {
@@ -220,13 +222,13 @@
   }
   bool done = closed && mFront.RequestsInFlight() == 0 &&
               mCallers->AllClosed() && !mMembers.RemovingEntry();
-  if (done || now >= mState.mLeave.End() + kLastAnswers) {
+  if (done || now >= mState.mLeave.End() + kLastAnswersTime) {
     mCallers->EndAll();
     mState.mLog.Line("left").Ms("after_ms", mState.AgeOf(mLeavingSince));
     mGone = true;
     return;
   }
-  mState.mReactor.After(kLeaveLook, [this] { CheckLeaving(); });
+  mState.mReactor.After(kLeaveCheckInterval, [this] { CheckLeaving(); });
 }
 
 } // namespace caraway
--- a/src/entry/EntryDaemon.h
+++ b/src/entry/EntryDaemon.h
@@ -22,27 +22,28 @@
 class EntryDaemon
 {
 public:
-  // aLogFile: see EventLog. Throws Poco::Exception when an address of the
-  // settings can't be bound.
+  // aLogFile: see EventLog. Throws Poco::Exception if an address of the
+  // settings cannot be bound.
   EntryDaemon(const Clock& aClock, EntrySettings aSettings, int aLogFile);
   ~EntryDaemon() { mState.mReactor.Drop(); }
 
-  // One wait of at most aMost and what it brought; until Gone().
-  void RunPass(Millis aMost);
-  // Begins to leave: unready at once, ends when nothing is under way, within
-  // the time that the platform grants.
+  // Waits for events for at most aMaxWait and handles them; called until
+  // Gone().
+  void RunPass(Millis aMaxWait);
+  // Starts the shutdown: the instance is no longer ready, and ends once no
+  // request is in flight, within the grace time of the platform.
   void Leave();
   bool Gone() const { return mGone; }
   bool Ready() const;
-  // Somebody holds the leases that requests depend on here.
-  bool Settled() const;
-  // This instance orders its zone's servers.
+  // The lease of this zone has a known holder.
+  bool LeaseHolderKnown() const;
+  // This instance holds the lease of its zone.
   bool HoldsLease() const { return mZoneLease.Holds(); }
 
   EntryState& State() { return mState; }
 
 private:
-  void Begin();
+  void StartUp();
   void CheckLeaving();
   void LeaveZone();
   void OnStateChanged();
--- a/src/entry/LoadScheduler.h
+++ b/src/entry/LoadScheduler.h
@@ -1,9 +1,10 @@
-// LoadScheduler.h: brings models and adapters to servers.
+// LoadScheduler.h: loads models and adapters on the servers of one zone.
 //
-// The holder of a zone's lease decides and orders. It alone orders servers of
-// the zone, one order at a time for each, under the count of orders that it
-// believes a server has accepted: an order that is carried out late, after
-// others, then does nothing. Any instance asks it, see ZoneSchedulers.
+// Only the holder of the zone's lease sends orders to its servers, one at a
+// time to each server. An order names the number of orders that the server is
+// assumed to have accepted before it, so an order that arrives late, after
+// others, has no effect. Every instance sends its load requests to the lease
+// holder; see ZoneSchedulers.
 #ifndef caraway_entry_LoadScheduler_h
 #define caraway_entry_LoadScheduler_h
 
@@ -29,51 +30,57 @@
 class LoadScheduler
 {
 public:
-  // Tells the other zones' holders.
-  using Tell = std::function<void(const char* aKind, const Json::Value& aNote)>;
+  // Sends a message to the lease holders of the other zones.
+  using Notify =
+    std::function<void(const char* aKind, const Json::Value& aMessage)>;
 
-  // aLease: of aZone. aChanged: what some server holds is believed anew.
+  // aLease: the lease of aZone. aChanged: called when the known content of a
+  // server has changed.
   LoadScheduler(EntryState& aState,
                 Peers& aPeers,
                 LeaseLoop& aLease,
                 std::string aZone,
-                Tell aTell,
+                Notify aNotify,
                 std::function<void()> aChanged);
 
   void Start();
-  // The list of servers or the configuration changed.
+  // Called when the list of servers or the configuration has changed.
   void OnChanged();
 
   const std::string& Zone() const { return mZone; }
-  // It gives the orders of its zone.
+  // This instance holds the zone's lease.
   bool Holds() const { return mLease.Holds(); }
   size_t Loads() const { return mJobs.size(); }
   size_t Waiting() const { return mQueue.size(); }
 
-  // Somebody asks for a model or adapter; when it is expected.
-  Json::Value OnLoadRequest(const LoadRequest& aWant);
-  // Of another zone's holder.
-  void OnClaim(const Json::Value& aNote);
-  void OnStoreLoad(const Json::Value& aNote);
-  // Of this zone's holder, about one of its servers.
-  void OnContent(const Json::Value& aNote) { mInventories.OnContent(aNote); }
+  // Queues a load request of any instance. The result says in how many ms the
+  // model or adapter is expected to be loaded.
+  Json::Value OnLoadRequest(const LoadRequest& aRequest);
+  // Messages from the lease holder of another zone.
+  void OnClaim(const Json::Value& aMessage);
+  void OnStoreLoad(const Json::Value& aMessage);
+  // A message from the lease holder of this zone about one of its servers.
+  void OnContent(const Json::Value& aMessage)
+  {
+    mInventories.OnContent(aMessage);
+  }
 
 private:
   // Service, model, adapter.
   using Key = std::tuple<std::string, std::string, std::string>;
 
-  // A want that waits for a server or for the weight store.
-  struct Queued
+  // A load request that waits for a server or for the weight store.
+  struct PendingLoad
   {
-    LoadRequest mWant;
+    LoadRequest mRequest;
     TimePoint mSince{};
-    TimePoint mAskedAt{};
-    TimePoint mNeedBy{}; // the youngest request's answer begins late after it
+    TimePoint mLastRequestedAt{};
+    TimePoint mNeedBy{}; // latest start of an answer in time, over all requests
   };
-  // The orders that bring one model or adapter to one server.
+  // The orders that load one model or adapter on one server.
   struct Job
   {
-    LoadRequest mWant;
+    LoadRequest mRequest;
     std::string mServer;
     int64_t mStartTime = 0;
     std::deque<ModelOrder> mSteps;
@@ -82,65 +89,66 @@
     Millis mLoad{ 0 };
     TimePoint mBegan{};
     TimePoint mExpected{};
-    bool mLoading = false; // its last order was accepted
-    // Only own orders can be under way at the server: the last one was
-    // accepted, and no answer was missed since.
-    bool mCounted = false;
+    bool mLoading = false; // the last order, the load, was accepted
+    // No order of another sender can be in progress at the server: the last
+    // order of this job was accepted, and none has gone unanswered since.
+    bool mOnlyOwnOrders = false;
     int mUnanswered = 0;
-    int mTries = 0; // of the step at hand
-    int mBusy = 0;  // answers that another order is under way
+    int mAttempts = 0;    // attempts at the current step
+    int mBusyAnswers = 0; // answers that an order is already in progress
     uint64_t mId = 0;
   };
 
-  static Key KeyOf(const LoadRequest& aWant);
+  static Key KeyOf(const LoadRequest& aRequest);
   const EngineSpec* EngineOf(const std::string& aService) const;
 
-  // Deciding.
-  void Pump();
-  LoadPriorityFacts PriorityFactsOf(const Queued& aQueued) const;
-  Millis ShortestLoadTime(const LoadRequest& aWant) const;
-  bool Begin(const LoadRequest& aWant, PlacementFacts& aFacts);
-  bool BeginAdapter(const LoadRequest& aWant);
+  // Decisions.
+  void ScheduleQueued();
+  LoadPriorityFacts PriorityFactsOf(const PendingLoad& aPending) const;
+  Millis ShortestLoadTime(const LoadRequest& aRequest) const;
+  bool TryStartModel(const LoadRequest& aRequest, PlacementFacts& aFacts);
+  bool TryStartAdapter(const LoadRequest& aRequest);
   std::optional<ModelOrder> LeastDemandedAdapter(const Backend& aBackend) const;
   PlacementFacts& FactsFor(const std::string& aService);
   size_t ServersInZone(const std::string& aService) const;
   bool AnyServerFree(const PlacementFacts& aFacts) const;
-  std::optional<Millis> Estimate(const LoadRequest& aWant);
-  std::optional<Millis> ExpectedFromOtherZone(const LoadRequest& aWant);
+  std::optional<Millis> Estimate(const LoadRequest& aRequest);
+  std::optional<Millis> ExpectedFromOtherZone(const LoadRequest& aRequest);
   void AddReplicas();
-  // To the other zones' holders, for a model that nobody holds.
-  void SendClaim(const LoadRequest& aWant, bool aBegun, Millis aExpected);
+  // Announces to the other zones a load of a model that no server holds.
+  void SendClaim(const LoadRequest& aRequest, bool aBegun, Millis aExpected);
   void SendStoreLoad(const std::string& aServer, Millis aLeft);
 
-  // Ordering.
+  // Orders.
   Job* Find(const std::string& aServer, uint64_t aId);
   void StartJob(Job aJob);
   void SendStep(const std::string& aServer, uint64_t aId);
   void OnAnswer(const std::string& aServer, uint64_t aId, OrderAnswer aAnswer);
   void OnAccepted(Job& aJob, bool aDone);
-  void AfterLoadOrder(Job& aJob);
+  void OnLoadOrderAccepted(Job& aJob);
   void AssumeLoaded(const std::string& aServer, uint64_t aId);
   void Retry(Job& aJob, Millis aDelay);
   void Resync(Job& aJob);
-  void PollLoaded(const std::string& aServer, uint64_t aId);
-  void OnPolled(const std::string& aServer, uint64_t aId, bool aSettled);
+  void PollLoad(const std::string& aServer, uint64_t aId);
+  void OnLoadPolled(const std::string& aServer, uint64_t aId, bool aConfirmed);
   void EndJob(const std::string& aServer, const char* aWhy);
-  void Settle(const std::string& aServer, const std::string& aModel);
+  void MarkRecentlyLoaded(const std::string& aServer,
+                          const std::string& aModel);
 
   EntryState& mState;
   Peers& mPeers;
-  Tell mTell;
+  Notify mNotify;
   std::function<void()> mChanged;
   LeaseLoop& mLease;
   std::string mZone;
-  std::map<Key, Queued> mQueue;
+  std::map<Key, PendingLoad> mQueue;
   std::map<std::string, Job> mJobs; // by server
   ServerInventories mInventories;
-  // Until when, by server and model; see PlacementFacts.
+  // End of the eviction protection by server and model; see PlacementFacts.
   std::map<std::pair<std::string, std::string>, TimePoint> mRecentlyLoaded;
   StoreLoadTracker mStoreLoads;
   LoadClaims mClaims;
-  // By service, with when demand and replicas were counted.
+  // By service, with the time when demand and replicas were last counted.
   std::map<std::string, std::pair<TimePoint, PlacementFacts>> mFacts;
   bool mScheduleDue = false;
   TimePoint mScheduledAt{};
--- a/src/entry/LoadSchedulerReport.cpp
+++ b/src/entry/LoadSchedulerReport.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr Millis kResyncRetry{ 120 }; // reports are some hundred ms old
+// A server's report shows its state of about 100 ms ago.
+constexpr Millis kResyncInterval{ 120 };
+constexpr Millis kLoadPollInterval{ 120 };
 
-constexpr Millis kPollAgain{ 120 };
-
-// A load that takes so much longer than expected is given up.
-constexpr int kLoadPatience = 6;
+// A load that takes this many times its expected time is given up.
+constexpr int kLoadTimeoutFactor = 6;
 
 } // namespace
 
-// What servers report, where the account of their orders is in doubt.
+// Reports of servers whose content is not certain.
 
 void
 LoadScheduler::Resync(Job& aJob)
@@ -24,58 +24,62 @@
   uint64_t id = aJob.mId;
   Backend* backend = mState.mServers.Find(server);
   HeldModels planned = backend ? backend->mModels : HeldModels();
-  mInventories.Learn(server, [this, server, id, planned](bool aSettled) {
-    Job* job = Find(server, id);
-    Backend* known = mState.mServers.Find(server);
-    if (!job || !known) {
-      return;
-    }
-    if (!aSettled && ++job->mTries > kMaxOrderAttempts) {
-      EndJob(server, "no report");
-    } else if (!aSettled) {
-      Retry(*job, kResyncRetry);
-    } else if (known->Holds(job->mWant.mModel, job->mWant.mAdapter)) {
-      EndJob(server, "held already");
-      mChanged();
-    } else if (planned != known->mModels) {
-      EndJob(server, "planned anew");
-    } else {
-      Retry(*job, Millis(0));
-    }
-  });
+  mInventories.RequestReport(
+    server, [this, server, id, planned](bool aConfirmed) {
+      Job* job = Find(server, id);
+      Backend* known = mState.mServers.Find(server);
+      if (!job || !known) {
+        return;
+      }
+      if (!aConfirmed && ++job->mAttempts > kMaxOrderAttempts) {
+        EndJob(server, "server sent no usable report");
+      } else if (!aConfirmed) {
+        Retry(*job, kResyncInterval);
+      } else if (known->Holds(job->mRequest.mModel, job->mRequest.mAdapter)) {
+        EndJob(server, "already loaded");
+        mChanged();
+      } else if (planned != known->mModels) {
+        EndJob(server, "server content changed; placement planned again");
+      } else {
+        Retry(*job, Millis(0));
+      }
+    });
 }
 
 void
-LoadScheduler::PollLoaded(const std::string& aServer, uint64_t aId)
+LoadScheduler::PollLoad(const std::string& aServer, uint64_t aId)
 {
   Job* job = Find(aServer, aId);
   if (!job) {
     return;
   }
-  if (mState.Now() - job->mBegan > job->mLoad * kLoadPatience + Seconds(2)) {
-    EndJob(aServer, "load takes too long");
+  if (mState.Now() - job->mBegan >
+      job->mLoad * kLoadTimeoutFactor + Seconds(2)) {
+    EndJob(aServer, "load did not finish before its deadline");
     return;
   }
-  mInventories.Learn(aServer, [this, aServer, aId](bool aSettled) {
-    OnPolled(aServer, aId, aSettled);
+  mInventories.RequestReport(aServer, [this, aServer, aId](bool aConfirmed) {
+    OnLoadPolled(aServer, aId, aConfirmed);
   });
 }
 
 void
-LoadScheduler::OnPolled(const std::string& aServer, uint64_t aId, bool aSettled)
+LoadScheduler::OnLoadPolled(const std::string& aServer,
+                            uint64_t aId,
+                            bool aConfirmed)
 {
   if (!Find(aServer, aId)) {
     return;
   }
-  if (!aSettled) {
-    mState.mReactor.After(kPollAgain,
-                          [this, aServer, aId] { PollLoaded(aServer, aId); });
+  if (!aConfirmed) {
+    mState.mReactor.After(kLoadPollInterval,
+                          [this, aServer, aId] { PollLoad(aServer, aId); });
     return;
   }
   OnChanged();
   mChanged();
   if (Find(aServer, aId)) {
-    EndJob(aServer, "not loaded");
+    EndJob(aServer, "server reports the model as not loaded");
   }
 }
 
--- a/src/entry/LoadSchedulerSend.cpp
+++ b/src/entry/LoadSchedulerSend.cpp
@@ -12,36 +12,36 @@
 
 constexpr Millis kOrderRetry{ 25 };
 
-// An unload waits for its runs, which take up to seconds: the longer it has
-// lasted, the less is lost by asking later.
-constexpr Millis kMostBusyDelay{ 100 };
+// An unload waits for the requests that use the model, which take up to
+// seconds. The longer it has lasted, the less a longer retry interval costs.
+constexpr Millis kMaxBusyDelay{ 100 };
 
 Millis
 BusyDelay(int aTimes)
 {
-  return std::min(kOrderRetry * aTimes, kMostBusyDelay);
+  return std::min(kOrderRetry * aTimes, kMaxBusyDelay);
 }
 
-constexpr int kMostUnanswered = 4; // then another server is tried
+// Unanswered orders after which the job ends, so that another server is tried.
+constexpr int kMaxUnanswered = 4;
 
-// A server is asked whether a load has ended so long after it should have,
-// and then as often: reports are a hundred milliseconds old, and a report
-// costs an eighth of a call to the store, which tells it later.
-constexpr Millis kPollAfter{ 120 };
+// A server is first asked whether a load has ended this long after its expected
+// end: reports are about 100 ms old. A report costs an eighth of a call to the
+// object store, and the store shows the end of a load later.
+constexpr Millis kFirstPollDelay{ 120 };
 
-// A server's timers run a little late, as all do; who comes too early is sent
-// a second time.
+// The timers of servers run slightly late; a request that reaches the server
+// before the load has ended is rejected and has to be sent again.
 constexpr Millis kLoadMargin{ 10 };
 
-// A pulse may be lost, so two of them are waited for; in a large fleet, where
-// pulses are rare, no longer than a load takes.
+// Covers two heartbeats, as one may be lost, but in a large fleet, where
+// heartbeats are rare, no more than the time of a load.
 constexpr int kSettleRounds = 2;
-
-constexpr Millis kMostSettle{ 1000 };
+constexpr Millis kMaxSettleTime{ 1000 };
 
 } // namespace
 
-// The orders of one job, one after the other, and what becomes of them.
+// Sends the orders of a job one after the other and handles their answers.
 
 LoadScheduler::Job*
 LoadScheduler::Find(const std::string& aServer, uint64_t aId)
@@ -67,22 +67,23 @@
   const ModelOrder& first = aJob.mSteps.front();
   mState.mLog.Line("place_decided")
     .Text("server", aJob.mServer)
-    .Text("model", aJob.mWant.mModel)
-    .Text("adapter", aJob.mWant.mAdapter)
+    .Text("model", aJob.mRequest.mModel)
+    .Text("adapter", aJob.mRequest.mAdapter)
     .Text("evict", first.mLoad ? "" : first.mModel + "/" + first.mAdapter)
     .Count("source", static_cast<int>(aJob.mSource))
     .Count("orders", mInventories.Of(aJob.mServer).Orders())
-    .Number("rate", mState.mDemand.Rate(aJob.mWant.mModel, now))
-    .Count("priority", aJob.mWant.mPriority)
+    .Number("rate", mState.mDemand.Rate(aJob.mRequest.mModel, now))
+    .Count("priority", aJob.mRequest.mPriority)
     .Ms("expected_ms", aJob.mUnload + aJob.mLoad);
   std::string server = aJob.mServer;
   uint64_t id = aJob.mId;
-  // That it loads now; with an unload first, that one's end tells it.
-  bool tell = first.mLoad && first.mAdapter.empty();
+  // The other instances learn of the load now; if an unload comes first, with
+  // the content that is sent when it is accepted.
+  bool announce = first.mLoad && first.mAdapter.empty();
   backend->mLoadingUntil = aJob.mExpected;
   mJobs[server] = std::move(aJob);
-  if (tell) {
-    mInventories.Tell(server);
+  if (announce) {
+    mInventories.SendContent(server);
   }
   SendStep(server, id);
 }
@@ -100,33 +101,38 @@
     EndJob(aServer, "server gone");
     return;
   }
-  // Looked at for each order: a holder that was suspended has lost its lease.
+  // Checked before each order: the lease may have expired while the process was
+  // suspended.
   if (!mLease.MayAct()) {
-    EndJob(aServer, "lease ended");
+    EndJob(aServer, "zone lease ended");
     return;
   }
-  if (++job->mTries > kMaxOrderAttempts) {
-    EndJob(aServer, "too many tries");
+  if (++job->mAttempts > kMaxOrderAttempts) {
+    EndJob(aServer, "too many attempts at one order");
     return;
   }
-  ServerInventory& account = mInventories.Of(aServer);
-  if (!account.Known()) {
+  ServerInventory& inventory = mInventories.Of(aServer);
+  if (!inventory.Known()) {
     Resync(*job);
     return;
   }
   ModelOrder& order = job->mSteps.front();
-  // A report may have come since, asked for by others than this job.
-  if (account.Holds(order.mModel, order.mAdapter) == order.mLoad) {
-    EndJob(aServer, order.mLoad ? "held already" : "planned anew");
+  // A report that something other than this job requested may have arrived
+  // since.
+  if (inventory.Holds(order.mModel, order.mAdapter) == order.mLoad) {
+    EndJob(aServer,
+           order.mLoad ? "already loaded"
+                       : "server content changed; placement planned again");
     mChanged();
     return;
   }
-  const EngineSpec* engine = EngineOf(job->mWant.mService);
-  if (order.mLoad && (!engine || !account.Fits(*engine, order, mState.Now()))) {
-    EndJob(aServer, "no room any more");
+  const EngineSpec* engine = EngineOf(job->mRequest.mService);
+  if (order.mLoad &&
+      (!engine || !inventory.Fits(*engine, order, mState.Now()))) {
+    EndJob(aServer, "model or adapter no longer fits on the server");
     return;
   }
-  order.mOrders = account.Orders();
+  order.mOrders = inventory.Orders();
   order.mHolder = mState.mSettings.mName;
   order.mToken = mLease.Token();
   wire::OrderCall call =
@@ -139,7 +145,7 @@
   StartBufferedCall(mState.mReactor,
                     mState.mServerPool,
                     std::move(request),
-                    kOrderTime,
+                    kOrderTimeout,
                     [this, aServer, aId](BufferedAnswer& aAnswer) {
                       OnAnswer(
                         aServer, aId, wire::ReadOrderAnswer(aAnswer.mStatus));
@@ -159,41 +165,41 @@
                         "answer=\"" +
                           std::to_string(static_cast<int>(aAnswer)) + "\"");
   const ModelOrder& step = job->mSteps.front();
-  ServerInventory& account = mInventories.Of(aServer);
+  ServerInventory& inventory = mInventories.Of(aServer);
   switch (aAnswer) {
     case OrderAnswer::Accepted:
       OnAccepted(*job, false);
       break;
     case OrderAnswer::Holds:
-      // An adapter's unload is done at once, and counts; what was so already
-      // doesn't.
+      // The unload of an idle adapter is done at once and counts as an order;
+      // an order that found nothing to do does not.
       if (!step.mLoad && !step.mAdapter.empty()) {
         OnAccepted(*job, true);
       } else {
-        account.Forget();
+        inventory.Forget();
         Resync(*job);
       }
       break;
     case OrderAnswer::Busy:
-      ++job->mBusy;
-      // An unload of this job's may still wait for its runs; else somebody
-      // else's order was accepted, or is under way.
-      if (!job->mCounted) {
-        account.Forget();
+      ++job->mBusyAnswers;
+      // Either an unload of this job still waits for the model's requests, or
+      // an order of another sender was accepted or is in progress.
+      if (!job->mOnlyOwnOrders) {
+        inventory.Forget();
       }
-      Retry(*job, BusyDelay(job->mBusy));
+      Retry(*job, BusyDelay(job->mBusyAnswers));
       break;
     case OrderAnswer::Unknown:
-      // Sent again under the same count: only one of the two can take effect.
+      // Retried under the same count: only one of the two can take effect.
       mState.mLog.Line("order_unanswered")
         .Text("server", aServer)
         .Text("model", step.mModel)
-        .Count("try", job->mTries);
-      job->mCounted = false;
-      account.OnUnanswered(step, mState.Now());
+        .Count("try", job->mAttempts);
+      job->mOnlyOwnOrders = false;
+      inventory.OnUnanswered(step, mState.Now());
       mState.mServers.Heard(aServer, ServerOutcome::Broken, mState.Now());
-      if (++job->mUnanswered >= kMostUnanswered) {
-        EndJob(aServer, "no answer");
+      if (++job->mUnanswered >= kMaxUnanswered) {
+        EndJob(aServer, "server did not answer orders");
       } else {
         Retry(*job, kOrderRetry * 4);
       }
@@ -201,7 +207,7 @@
     case OrderAnswer::Fenced:
     case OrderAnswer::WrongServer:
     case OrderAnswer::Refused:
-      EndJob(aServer, "order refused");
+      EndJob(aServer, "order rejected by the server");
       break;
   }
 }
@@ -213,26 +219,26 @@
   uint64_t id = aJob.mId;
   ModelOrder step = aJob.mSteps.front();
   aJob.mSteps.pop_front();
-  aJob.mTries = 0;
-  aJob.mCounted = true;
+  aJob.mAttempts = 0;
+  aJob.mOnlyOwnOrders = true;
   mInventories.Of(server).OnAccepted(step, aDone);
   if (step.mLoad) {
-    mInventories.Put(server);
+    mInventories.Apply(server);
   } else {
-    mInventories.Show(server);
-    mChanged(); // may end the job
+    mInventories.ApplyAndSend(server);
+    mChanged(); // may end this job
   }
   Job* job = Find(server, id);
   if (!job) {
     return;
   }
   if (job->mSteps.empty()) {
-    AfterLoadOrder(*job);
+    OnLoadOrderAccepted(*job);
     return;
   }
-  // An adapter in use goes when its requests have ended; until a report shows
-  // that, its place isn't free. A model's unload takes a moment in which the
-  // server refuses other orders.
+  // An adapter in use is unloaded when its requests have ended; its slot is
+  // free only once a report shows that. While it unloads a model, a server
+  // rejects other orders.
   bool adapter = !step.mAdapter.empty();
   if (adapter && !aDone) {
     mInventories.Of(server).Forget();
@@ -241,7 +247,7 @@
 }
 
 void
-LoadScheduler::AfterLoadOrder(Job& aJob)
+LoadScheduler::OnLoadOrderAccepted(Job& aJob)
 {
   std::string server = aJob.mServer;
   uint64_t id = aJob.mId;
@@ -251,20 +257,20 @@
     backend->mLoadingUntil = aJob.mExpected;
   }
   if (aJob.mSource == WeightSource::Store) {
-    mState.mReactor.After(aJob.mLoad + kPollAfter,
-                          [this, server, id] { PollLoaded(server, id); });
+    mState.mReactor.After(aJob.mLoad + kFirstPollDelay,
+                          [this, server, id] { PollLoad(server, id); });
     return;
   }
-  // Servers don't tell when an adapter has come, and their reports tell of a
-  // model only a fifth of a second late: a quarter of what its load takes.
-  bool adapter = !aJob.mWant.mAdapter.empty();
+  // Servers do not announce that an adapter is loaded, and their reports show a
+  // loaded model a fifth of a second late, which is a quarter of its load time.
+  bool adapter = !aJob.mRequest.mAdapter.empty();
   mState.mReactor.After(aJob.mLoad + (adapter ? Millis(0) : kLoadMargin),
                         [this, server, id] { AssumeLoaded(server, id); });
 }
 
-// What comes from a server's own memory or disk comes in the time that the
-// configuration names. Should it be late, a request finds it missing and is
-// sent again.
+// A load from a server's own memory or disk is assumed to take the time that
+// the configuration gives. If it is late, a request is rejected by the server
+// and sent again.
 void
 LoadScheduler::AssumeLoaded(const std::string& aServer, uint64_t aId)
 {
@@ -278,8 +284,8 @@
     return;
   }
   mInventories.Of(aServer).OnLoadFinished();
-  mInventories.Show(aServer);
-  EndJob(aServer, job->mWant.mAdapter.empty() ? "loaded" : "adapter loaded");
+  mInventories.ApplyAndSend(aServer);
+  EndJob(aServer, job->mRequest.mAdapter.empty() ? "loaded" : "adapter loaded");
   mChanged();
 }
 
@@ -301,8 +307,8 @@
     Backend* backend = mState.mServers.Find(server);
     if (!backend || backend->mEntry.mStartTime != job.mStartTime) {
       lost.push_back(server);
-    } else if (job.mLoading && job.mWant.mAdapter.empty() &&
-               backend->Holds(job.mWant.mModel, "")) {
+    } else if (job.mLoading && job.mRequest.mAdapter.empty() &&
+               backend->Holds(job.mRequest.mModel, "")) {
       loaded.push_back(server);
     }
   }
@@ -323,45 +329,47 @@
   }
   mState.mLog.Line("place_ended")
     .Text("server", aServer)
-    .Text("model", found->second.mWant.mModel)
-    .Text("adapter", found->second.mWant.mAdapter)
+    .Text("model", found->second.mRequest.mModel)
+    .Text("adapter", found->second.mRequest.mAdapter)
     .Text("why", aWhy)
-    .Count("busy", found->second.mBusy)
+    .Count("busy", found->second.mBusyAnswers)
     .Ms("took_ms", mState.AgeOf(found->second.mBegan));
   const Job& job = found->second;
   Backend* backend = mState.mServers.Find(aServer);
-  bool there = backend && backend->Holds(job.mWant.mModel, job.mWant.mAdapter);
+  bool held =
+    backend && backend->Holds(job.mRequest.mModel, job.mRequest.mAdapter);
   if (job.mSource == WeightSource::Store) {
-    mStoreLoads.Ended(aServer, there, mState.Now());
+    mStoreLoads.Ended(aServer, held, mState.Now());
     SendStoreLoad(aServer, Millis(0));
   }
   if (backend) {
     backend->mLoadingUntil = mState.Now();
   }
-  // An order may still be under way, or come late.
-  if (backend && !there) {
+  // An order may still be in progress, or arrive late.
+  if (backend && !held) {
     mInventories.Of(aServer).Forget();
   }
-  if (there && job.mWant.mAdapter.empty()) {
-    Settle(aServer, job.mWant.mModel);
+  if (held && job.mRequest.mAdapter.empty()) {
+    MarkRecentlyLoaded(aServer, job.mRequest.mModel);
   }
   mScheduleDue = true;
   mJobs.erase(found);
 }
 
-// Requests that waited for a model at other instances show in the counts of
-// what is under way only with those instances' next pulses. Without this a
-// model that nobody seemed to use makes way for the next load as soon as it has
-// come.
+// Protects a model that has just been loaded from eviction. Requests that
+// waited for it at other instances appear in the counts of requests in flight
+// only with those instances' next heartbeats. Without the protection the model
+// seems idle and is evicted by the next load as soon as it is loaded.
 void
-LoadScheduler::Settle(const std::string& aServer, const std::string& aModel)
+LoadScheduler::MarkRecentlyLoaded(const std::string& aServer,
+                                  const std::string& aModel)
 {
   TimePoint now = mState.Now();
   for (auto at = mRecentlyLoaded.begin(); at != mRecentlyLoaded.end();) {
     at = now < at->second ? std::next(at) : mRecentlyLoaded.erase(at);
   }
   mRecentlyLoaded[{ aServer, aModel }] =
-    now + std::min(mPeers.HeartbeatInterval() * kSettleRounds, kMostSettle);
+    now + std::min(mPeers.HeartbeatInterval() * kSettleRounds, kMaxSettleTime);
 }
 
 } // namespace caraway
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -6,30 +6,28 @@
 
 constexpr char kKind[] = "caraway-instances";
 
-// A mate's request to be counted, and the note that it spends no more.
-constexpr char kCountMe[] = "count_me";
+// The call of an instance to be counted, and the message that it has stopped
+// spending.
+constexpr char kCountMeMethod[] = "count_me";
+constexpr char kLeftMessage[] = "left_zone";
 
-constexpr char kLeft[] = "left_zone";
+// An entry was marked or removed; receivers read a fresh list.
+constexpr char kListChangedMessage[] = "list_news";
 
-// An entry was marked or removed: the list is worth a look.
-constexpr char kListNews[] = "list_news";
+// The interval of the list doubles from the first of these to the second:
+// instances that start together may each read it before the others are on it.
+constexpr Millis kMinListInterval{ 300 };
+constexpr Millis kMaxListInterval{ 10000 };
 
-// The list is read again after the first of these, then twice as long each
-// time up to the last: instances that start together may each read it before
-// the others are on it.
-constexpr Millis kListSoon{ 300 };
+// Interval while ZoneMembers::NeedsStore().
+constexpr Millis kNeededListInterval{ 1000 };
 
-constexpr Millis kListAgain{ 10000 };
+constexpr Millis kRetryInterval{ 300 };
 
-// While the store's word is needed, see ZoneMembers.
-constexpr Millis kListNeeded{ 1000 };
+constexpr Millis kCheckInterval{ 200 };
 
-constexpr Millis kRetry{ 300 };
-
-constexpr Millis kTick{ 200 };
-
-// An answer takes milliseconds; a mate that stands still is asked again.
-constexpr Millis kAskTime{ 300 };
+// An answer takes milliseconds; a peer that does not answer is called again.
+constexpr Millis kCallTimeout{ 300 };
 
 bool
 IsSet(const Json::Value& aSpec, const char* aName)
@@ -44,22 +42,22 @@
   , mStore(aStore)
   , mPeers(aPeers)
   , mZone(aState.mSettings.mName)
-  , mListWait(kListSoon)
+  , mListWait(kMinListInterval)
 {
 }
 
 void
 Membership::Start()
 {
-  mPeers.Add(kCountMe, [this](const Json::Value& aParams) {
+  mPeers.Add(kCountMeMethod, [this](const Json::Value& aParams) {
     OnCountMe(aParams);
     return Json::Value(Json::objectValue);
   });
-  mPeers.OnMessage(kLeft, [this](const Json::Value& aNote) {
-    mZone.OnLeft(aNote["name"].asString());
+  mPeers.OnMessage(kLeftMessage, [this](const Json::Value& aMessage) {
+    mZone.OnLeft(aMessage["name"].asString());
     mOnChange();
   });
-  mPeers.OnMessage(kListNews,
+  mPeers.OnMessage(kListChangedMessage,
                    [this](const Json::Value&) { mFreshListDue = true; });
   mPeers.OnHeartbeatFill(
     [this](Json::Value& aHeartbeat) { FillHeartbeat(aHeartbeat); });
@@ -70,11 +68,11 @@
   });
   Join();
   List();
-  mState.mReactor.Every(kTick, [this] { Look(); });
+  mState.mReactor.Every(kCheckInterval, [this] { Check(); });
 }
 
 void
-Membership::Look()
+Membership::Check()
 {
   TimePoint now = mState.Now();
   mZone.SetHeartbeatInterval(mPeers.HeartbeatInterval());
@@ -83,10 +81,10 @@
     Join();
   }
   RequestConfirmations();
-  Forget();
+  ForgetSilentPeer();
   ReportChange();
   bool needed = mZone.NeedsStore(now);
-  Millis wait = needed ? std::min(mListWait, kListNeeded) : mListWait;
+  Millis wait = needed ? std::min(mListWait, kNeededListInterval) : mListWait;
   if (!mListing && (mFreshListDue || mState.AgeOf(mListedAt) >= wait)) {
     List();
   }
@@ -95,10 +93,10 @@
 void
 Membership::FillHeartbeat(Json::Value& aHeartbeat) const
 {
-  MemberHeartbeat pulse = mZone.Pulse(mState.Now());
-  aHeartbeat["counted"] = pulse.mCounted;
-  for (const std::string& mate : pulse.mSilent) {
-    aHeartbeat["silent"].append(mate);
+  MemberHeartbeat heartbeat = mZone.Pulse(mState.Now());
+  aHeartbeat["counted"] = heartbeat.mCounted;
+  for (const std::string& peer : heartbeat.mSilent) {
+    aHeartbeat["silent"].append(peer);
   }
 }
 
@@ -106,12 +104,12 @@
 Membership::ReadHeartbeat(const std::string& aZonePeer,
                           const Json::Value& aHeartbeat)
 {
-  MemberHeartbeat pulse;
-  pulse.mCounted = aHeartbeat["counted"].asBool();
-  for (const Json::Value& mate : aHeartbeat["silent"]) {
-    pulse.mSilent.insert(mate.asString());
+  MemberHeartbeat heartbeat;
+  heartbeat.mCounted = aHeartbeat["counted"].asBool();
+  for (const Json::Value& peer : aHeartbeat["silent"]) {
+    heartbeat.mSilent.insert(peer.asString());
   }
-  mZone.OnHeartbeat(aZonePeer, pulse, mState.Now());
+  mZone.OnHeartbeat(aZonePeer, heartbeat, mState.Now());
 }
 
 void
@@ -119,10 +117,10 @@
 {
   std::string name = aParams["name"].asString();
   std::string zone = aParams["zone"].asString();
-  mPeers.Learn(name, zone, aParams["address"].asString());
+  mPeers.AddPeer(name, zone, aParams["address"].asString());
   if (!name.empty() && zone == mState.mSettings.mZone) {
     mZone.OnNewcomer(name, mState.Now());
-    mOnChange(); // before the answer: the newcomer may spend then
+    mOnChange(); // before the answer, after which the newcomer may spend
   }
 }
 
@@ -152,38 +150,40 @@
                 } else if (aOutcome == StoreOutcome::Missing) {
                   Write(0, false);
                 } else {
-                  mState.mReactor.After(kRetry, [this] { Join(); });
+                  mState.mReactor.After(kRetryInterval, [this] { Join(); });
                 }
               });
 }
 
-// aRevision 0: it is new. aCounted: the entry that it replaces was counted by
-// all, and nobody forgets it without removing the entry.
+// aRevision 0: there is no entry yet. aCounted: the entry to be replaced was
+// counted by all, and no instance stops counting it before the entry is
+// removed.
 void
 Membership::Write(int64_t aRevision, bool aCounted)
 {
   StoreObject self = Entry(aCounted);
   self.mRevision = aRevision;
-  TimePoint asked = mState.Now();
-  mStore.Call(
-    "join",
-    aRevision > 0 ? wire::ReplaceCall(kKind, self)
-                  : wire::CreateCall(kKind, self),
-    [this, aCounted, asked](StoreOutcome aOutcome, const std::string& aBody) {
-      auto object = wire::ReadObjectAnswer(aBody);
-      if (aOutcome != StoreOutcome::Done || !object) {
-        mState.mReactor.After(kRetry, [this] { Join(); });
-        return;
-      }
-      mJoining = false;
-      mRevision = object->mRevision;
-      mRecordedCounted = aCounted;
-      mZone.OnJoined(aCounted, asked);
-      List();
-    });
+  TimePoint requestedAt = mState.Now();
+  mStore.Call("join",
+              aRevision > 0 ? wire::ReplaceCall(kKind, self)
+                            : wire::CreateCall(kKind, self),
+              [this, aCounted, requestedAt](StoreOutcome aOutcome,
+                                            const std::string& aBody) {
+                auto object = wire::ReadObjectAnswer(aBody);
+                if (aOutcome != StoreOutcome::Done || !object) {
+                  mState.mReactor.After(kRetryInterval, [this] { Join(); });
+                  return;
+                }
+                mJoining = false;
+                mRevision = object->mRevision;
+                mRecordedCounted = aCounted;
+                mZone.OnJoined(aCounted, requestedAt);
+                List();
+              });
 }
 
-// So that its next life needs nobody's confirmation.
+// Records in the entry that this instance is counted, so that after a restart
+// it needs no confirmation.
 void
 Membership::RecordCounted()
 {
@@ -208,8 +208,8 @@
               });
 }
 
-// The zone is told once the entry is gone: a next life that found it would take
-// itself to be counted.
+// The zone is notified only after the entry has been removed: a restarted
+// instance that still found the entry would assume that it is counted.
 void
 Membership::Leave()
 {
@@ -220,43 +220,44 @@
     return;
   }
   mRemovingEntry = true;
-  Json::Value note;
-  note["name"] = mState.mSettings.mName;
+  Json::Value message;
+  message["name"] = mState.mSettings.mName;
   mStore.Call("leave",
               wire::DeleteCall(kKind, mState.mSettings.mName, mRevision),
-              [this, note](StoreOutcome aOutcome, const std::string&) {
+              [this, message](StoreOutcome aOutcome, const std::string&) {
                 mRemovingEntry = false;
                 if (aOutcome == StoreOutcome::Done) {
-                  mPeers.SendMessageInZone(kLeft, note);
+                  mPeers.SendMessageInZone(kLeftMessage, message);
                 }
               });
 }
 
-// ---- The others
+// ---- Other instances
 
 void
 Membership::List()
 {
   uint64_t round = ++mListRound;
   mListing = true;
-  TimePoint asked = mState.Now();
-  bool fresh = mFreshListDue || mZone.NeedsStore(asked);
+  TimePoint requestedAt = mState.Now();
+  bool fresh = mFreshListDue || mZone.NeedsStore(requestedAt);
   mFreshListDue = false;
   mStore.Call("list_instances",
               wire::ListCall(kKind, "", !fresh),
-              [this, round, asked, fresh](StoreOutcome aOutcome,
-                                          const std::string& aBody) {
+              [this, round, requestedAt, fresh](StoreOutcome aOutcome,
+                                                const std::string& aBody) {
                 auto page = aOutcome == StoreOutcome::Done
                               ? wire::ReadListAnswer(aBody)
                               : std::nullopt;
                 if (page) {
-                  OnList(*page, fresh, asked);
+                  OnList(*page, fresh, requestedAt);
                 }
                 if (round != mListRound) {
                   return;
                 }
                 mListedAt = mState.Now();
-                mListWait = page ? std::min(mListWait * 2, kListAgain) : kRetry;
+                mListWait = page ? std::min(mListWait * 2, kMaxListInterval)
+                                 : kRetryInterval;
                 mListing = false;
               });
 }
@@ -266,18 +267,18 @@
 {
   std::vector<MemberEntry> zone;
   std::set<std::string> listed;
-  std::map<std::string, int> census;
+  std::map<std::string, int> counts;
   bool readable = true;
   for (const StoreChange& change : aPage.mChanges) {
     const StoreObject& object = change.mObject;
     const Json::Value& spec = object.mSpec;
     if (!spec["address"].isString() || !spec["zone"].isString()) {
       mState.mLog.Line("instance_unreadable").Text("peer", object.mName);
-      readable = false; // it may be of any zone
+      readable = false; // its zone is not known
       continue;
     }
-    census[spec["zone"].asString()] += 1;
-    mPeers.Learn(
+    counts[spec["zone"].asString()] += 1;
+    mPeers.AddPeer(
       object.mName, spec["zone"].asString(), spec["address"].asString());
     listed.insert(object.mName);
     if (spec["zone"].asString() == mState.mSettings.mZone) {
@@ -292,13 +293,13 @@
     mZone.OnListed(zone, aAskedAt, mState.Now());
   }
   if (aFresh && readable) {
-    mOnCensus(census, aAskedAt);
+    mOnZoneCounts(counts, aAskedAt);
   }
   DropSilentPeers(listed);
   mOnChange();
 }
 
-// Those that the list lacks and that are silent are gone.
+// Drops the peers that are silent and not in the list.
 void
 Membership::DropSilentPeers(const std::set<std::string>& aListed)
 {
@@ -310,7 +311,7 @@
   }
   for (const std::string& name : gone) {
     mState.mLog.Line("instance_forgotten").Text("peer", name);
-    mPeers.Drop(name);
+    mPeers.RemovePeer(name);
     mEntries.erase(name);
   }
 }
@@ -322,51 +323,51 @@
   params["name"] = mState.mSettings.mName;
   params["zone"] = mState.mSettings.mZone;
   params["address"] = mState.mSettings.mPeers;
-  for (const std::string& mate : mZone.Unconfirmed()) {
-    if (!mAsking.insert(mate).second) {
+  for (const std::string& peer : mZone.Unconfirmed()) {
+    if (!mConfirming.insert(peer).second) {
       continue;
     }
-    mPeers.Call(mate,
-                kCountMe,
+    mPeers.Call(peer,
+                kCountMeMethod,
                 params,
-                kAskTime,
-                [this, mate](bool aGood, const Json::Value&) {
-                  mAsking.erase(mate);
+                kCallTimeout,
+                [this, peer](bool aGood, const Json::Value&) {
+                  mConfirming.erase(peer);
                   if (aGood) {
-                    mZone.OnConfirmed(mate);
+                    mZone.OnConfirmed(peer);
                     mOnChange();
                   }
                 });
   }
 }
 
-// Marks the entry of a silent mate, and removes it later, so that its part is
-// spent again.
+// Marks the entry of a silent zone peer and later removes it, so that its part
+// of the limits is divided among the others.
 void
-Membership::Forget()
+Membership::ForgetSilentPeer()
 {
   if (mForgetting || mState.mLeave.Leaving() || !mStore.Reachable()) {
     return;
   }
   TimePoint now = mState.Now();
-  for (const std::string& mate : mZone.All()) {
-    bool mark = mZone.MayMark(mate, now);
-    auto entry = mEntries.find(mate);
-    if (entry == mEntries.end() || !(mark || mZone.MayRemove(mate, now))) {
+  for (const std::string& peer : mZone.All()) {
+    bool mark = mZone.MayMark(peer, now);
+    auto entry = mEntries.find(peer);
+    if (entry == mEntries.end() || !(mark || mZone.MayRemove(peer, now))) {
       continue;
     }
     StoreObject object = entry->second;
     object.mSpec["marked"] = true;
     auto call = mark ? wire::ReplaceCall(kKind, object)
-                     : wire::DeleteCall(kKind, mate, object.mRevision);
+                     : wire::DeleteCall(kKind, peer, object.mRevision);
     mForgetting = true;
-    mState.mLog.Line("mate_silent").Text("peer", mate).Flag("removed", !mark);
+    mState.mLog.Line("mate_silent").Text("peer", peer).Flag("removed", !mark);
     mStore.Call(mark ? "mark_instance" : "forget_instance",
                 call,
                 [this](StoreOutcome, const std::string&) {
                   mFreshListDue = true;
-                  mPeers.SendMessageInZone(kListNews, Json::Value());
-                  mState.mReactor.After(kRetry,
+                  mPeers.SendMessageInZone(kListChangedMessage, Json::Value());
+                  mState.mReactor.After(kRetryInterval,
                                         [this] { mForgetting = false; });
                 });
     return;
@@ -378,8 +379,8 @@
 {
   RecordCounted();
   bool spends = MaySpend();
-  if (spends != mTold) {
-    mTold = spends;
+  if (spends != mReportedMaySpend) {
+    mReportedMaySpend = spends;
     mState.mLog.Line(spends ? "part_begun" : "part_ended")
       .Count("members", static_cast<int64_t>(CountedMembers().size()))
       .Count("unconfirmed", static_cast<int64_t>(mZone.Unconfirmed().size()))
--- a/src/entry/PeersCall.cpp
+++ b/src/entry/PeersCall.cpp
@@ -6,8 +6,8 @@
 
 namespace caraway {
 
-// JSON-RPC 2.0 between instances, over the reactor: libjsonrpccpp's own
-// connectors block.
+// JSON-RPC 2.0 between instances. It runs on the reactor because the connectors
+// of libjsonrpccpp block.
 
 ImmediateReply
 Peers::Answer(const InboundRequest& aRequest)
@@ -40,7 +40,7 @@
 Peers::Call(const std::string& aPeer,
             const std::string& aMethod,
             const Json::Value& aParams,
-            Millis aMost,
+            Millis aTimeout,
             Reply aReply)
 {
   auto found = mPeers.find(aPeer);
@@ -50,13 +50,13 @@
   }
   Json::Value body;
   body["jsonrpc"] = "2.0";
-  body["id"] = 1; // one call a connection at a time
+  body["id"] = 1; // a connection carries one call at a time
   body["method"] = aMethod;
   body["params"] = aParams;
   OutboundRequest request;
   request.mAddress = found->second.mAddress;
   request.mBody = JsonWrite(body);
-  request.mConnectLimit = std::min(aMost, Millis(300));
+  request.mConnectLimit = std::min(aTimeout, Millis(300));
   request.mHead =
     WriteHead("POST /rpc HTTP/1.1",
               { { "Host", request.mAddress },
@@ -66,7 +66,7 @@
     mState.mReactor,
     mState.mPeerPool,
     std::move(request),
-    aMost,
+    aTimeout,
     [this, aMethod, aPeer, reply = std::move(aReply)](BufferedAnswer& aAnswer) {
       Json::Value answer = JsonParseOrEmpty(aAnswer.mBody);
       bool good = answer.isMember("result");
--- a/tests/platform/EmptyZonesTest.cpp
+++ b/tests/platform/EmptyZonesTest.cpp
@@ -1,5 +1,5 @@
-// A zone whose instances have all left: its servers are led by an instance of
-// another zone until one of its own starts.
+// When all instances of a zone have left, an instance of another zone sends
+// orders to its servers until an instance of the zone starts.
 
 #include <gtest/gtest.h>
 
@@ -12,15 +12,15 @@
 
 namespace {
 
-// From the last leave of a zone's instances until its servers take orders.
-constexpr Millis kAdopted{ 14000 };
+// From the end of a zone's last instance until its servers receive orders.
+constexpr Millis kMaxTakeoverTime{ 14000 };
 
-// From the end of the last entry of a zone that was silent for long: its list
-// is read again, and a whole lease is waited.
-constexpr Millis kEntryGone{ 24000 };
+// From the removal of the last entry of a zone whose instances are silent: the
+// list is read again, and a full lease must pass.
+constexpr Millis kMaxTakeoverAfterRemovalTime{ 24000 };
 
-// From the start of an instance until it orders at its zone's servers.
-constexpr Millis kHandedBack{ 6000 };
+// From the start of an instance until it sends orders to its zone's servers.
+constexpr Millis kMaxHandBackTime{ 6000 };
 
 std::vector<HttpField>
 Model(const std::string& aName)
@@ -32,15 +32,15 @@
 EntryFleetOptions
 TwoZones()
 {
-  EntryFleetOptions plan;
-  plan.mZones = { "a", "b" };
-  return plan;
+  EntryFleetOptions options;
+  options.mZones = { "a", "b" };
+  return options;
 }
 
 struct TwoZoneFleet : EntryTestFleet
 {
-  explicit TwoZoneFleet(EntryFleetOptions aPlan = TwoZones())
-    : EntryTestFleet(std::move(aPlan))
+  explicit TwoZoneFleet(EntryFleetOptions aOptions = TwoZones())
+    : EntryTestFleet(std::move(aOptions))
   {
     mStore->Remove(wire::kServersKind, mEngines[0]->Id());
     EXPECT_TRUE(Until(
@@ -58,8 +58,8 @@
   // The engine of zone b.
   StandInServer& Engine() { return *mEngines[1]; }
 
-  // Ends the instance as its operator does.
-  void Remove(size_t aInstance)
+  // Shuts the instance down as an operator does.
+  void StopInstance(size_t aInstance)
   {
     mInstances[aInstance]->Leave();
     EXPECT_TRUE(
@@ -67,23 +67,23 @@
     mInstances[aInstance].reset();
   }
 
-  // A model that lies on no server's memory is asked for at an instance.
-  TestCallPtr Ask(size_t aInstance, const std::string& aModel)
+  // Sends a request for a model that no server has loaded.
+  TestCallPtr RequestModel(size_t aInstance, const std::string& aModel)
   {
     return Call(aInstance,
                 "/resume/stream",
-                "r" + std::to_string(++mAsked),
+                "r" + std::to_string(++mRequestCount),
                 Model(aModel));
   }
 
-  // Asks for models until one is served.
-  bool AskUntilServed(size_t aInstance,
-                      const std::string& aModel,
-                      Millis aWithin)
+  // Repeats a request until it is served.
+  bool RequestUntilServed(size_t aInstance,
+                          const std::string& aModel,
+                          Millis aWithin)
   {
     TimePoint end = mClock.Now() + aWithin;
     while (mClock.Now() < end) {
-      if (Ask(aInstance, aModel)->mStatus == 200) {
+      if (RequestModel(aInstance, aModel)->mStatus == 200) {
         return true;
       }
       For(Millis(100));
@@ -91,7 +91,7 @@
     return false;
   }
 
-  void ExpectOneHolderAToken()
+  void ExpectOneHolderPerToken()
   {
     const std::vector<int64_t>& tokens = Engine().mTokens;
     EXPECT_TRUE(std::is_sorted(tokens.begin(), tokens.end()));
@@ -105,100 +105,102 @@
     EXPECT_EQ(0, Engine().mOverCapacityLoads);
   }
 
-  int mAsked = 0;
+  int mRequestCount = 0;
 };
 
 } // namespace
 
-// Guards against servers that stand idle with nobody who may order there.
-TEST(EmptyZones, ServersOfAnEmptiedZoneTakeOrders)
+// Guards against servers that stay idle because no instance may send them
+// orders.
+TEST(EmptyZones, ServersOfEmptyZoneReceiveOrders)
 {
-  TwoZoneFleet world;
-  world.AwaitReady();
-  world.Remove(1);
-  EXPECT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
-  EXPECT_EQ(std::set<std::string>{ "i0" }, world.Engine().mHolders);
-  world.ExpectOneHolderAToken();
+  TwoZoneFleet fleet;
+  fleet.AwaitReady();
+  fleet.StopInstance(1);
+  EXPECT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  EXPECT_EQ(std::set<std::string>{ "i0" }, fleet.Engine().mHolders);
+  fleet.ExpectOneHolderPerToken();
 }
 
-// Guards against an adopter that keeps a zone whose own instance is back.
-TEST(EmptyZones, FirstInstanceOfTheZoneGetsItBack)
+// Guards against an instance of another zone that keeps the lease of a zone
+// whose own instance has started.
+TEST(EmptyZones, FirstInstanceOfTheZoneTakesItBack)
 {
-  TwoZoneFleet world;
-  world.AwaitReady();
-  world.Remove(1);
-  ASSERT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
-  world.mInstances[1] = world.MakeInstance(1);
-  EXPECT_TRUE(world.Until([&] { return world.mInstances[1]->HoldsLease(); },
-                          kHandedBack));
-  EXPECT_TRUE(world.AskUntilServed(0, "m2", kHandedBack));
-  EXPECT_EQ((std::set<std::string>{ "i0", "i1" }), world.Engine().mHolders);
-  EXPECT_EQ("i1", world.Engine().mOrderedBy.back().second);
-  world.ExpectOneHolderAToken();
+  TwoZoneFleet fleet;
+  fleet.AwaitReady();
+  fleet.StopInstance(1);
+  ASSERT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  fleet.mInstances[1] = fleet.MakeInstance(1);
+  EXPECT_TRUE(fleet.Until([&] { return fleet.mInstances[1]->HoldsLease(); },
+                          kMaxHandBackTime));
+  EXPECT_TRUE(fleet.RequestUntilServed(0, "m2", kMaxHandBackTime));
+  EXPECT_EQ((std::set<std::string>{ "i0", "i1" }), fleet.Engine().mHolders);
+  EXPECT_EQ("i1", fleet.Engine().mOrderedBy.back().second);
+  fleet.ExpectOneHolderPerToken();
 }
 
-// Guards against a zone that is adopted a second time by whoever reads an old
-// list, or isn't adopted a second time at all.
-TEST(EmptyZones, ZoneIsAdoptedAgainWhenItEmptiesAgain)
+// Guards against a zone that is not taken over again after it has been handed
+// back and emptied, or is taken over on the basis of an outdated list.
+TEST(EmptyZones, ZoneIsTakenOverAgainWhenItEmptiesAgain)
 {
-  TwoZoneFleet world;
-  world.AwaitReady();
-  world.Remove(1);
-  ASSERT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
-  world.mInstances[1] = world.MakeInstance(1);
-  ASSERT_TRUE(world.Until([&] { return world.mInstances[1]->HoldsLease(); },
-                          kHandedBack));
-  world.Remove(1);
-  EXPECT_TRUE(world.AskUntilServed(0, "m2", kAdopted));
-  EXPECT_EQ("i0", world.Engine().mOrderedBy.back().second);
-  world.ExpectOneHolderAToken();
+  TwoZoneFleet fleet;
+  fleet.AwaitReady();
+  fleet.StopInstance(1);
+  ASSERT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  fleet.mInstances[1] = fleet.MakeInstance(1);
+  ASSERT_TRUE(fleet.Until([&] { return fleet.mInstances[1]->HoldsLease(); },
+                          kMaxHandBackTime));
+  fleet.StopInstance(1);
+  EXPECT_TRUE(fleet.RequestUntilServed(0, "m2", kMaxTakeoverTime));
+  EXPECT_EQ("i0", fleet.Engine().mOrderedBy.back().second);
+  fleet.ExpectOneHolderPerToken();
 }
 
-// Guards against a zone that is taken because its instances are silent: their
-// entries stand, so they may live.
-TEST(EmptyZones, SilentZoneWithEntriesIsNotAdopted)
+// Guards against a zone that is taken over because its instances are silent:
+// while their entries exist, they may be alive.
+TEST(EmptyZones, SilentZoneWithEntriesIsNotTakenOver)
 {
-  TwoZoneFleet world;
-  world.AwaitReady();
-  world.mInstances[1].reset(); // without a word
-  EXPECT_FALSE(world.AskUntilServed(0, "m1", kAdopted));
-  EXPECT_TRUE(world.Engine().mHolders.empty());
-  world.mStore->Remove("caraway-instances", "i1");
-  EXPECT_TRUE(world.AskUntilServed(0, "m1", kEntryGone));
+  TwoZoneFleet fleet;
+  fleet.AwaitReady();
+  fleet.mInstances[1].reset(); // killed
+  EXPECT_FALSE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  EXPECT_TRUE(fleet.Engine().mHolders.empty());
+  fleet.mStore->Remove("caraway-instances", "i1");
+  EXPECT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverAfterRemovalTime));
 }
 
-// Guards against two adopters of one zone.
-TEST(EmptyZones, OneOfSeveralAdopts)
+// Guards against two instances that take over the same zone.
+TEST(EmptyZones, OnlyOneInstanceTakesOver)
 {
-  EntryFleetOptions plan;
-  plan.mZones = { "a", "b", "c" };
-  TwoZoneFleet world(plan);
-  world.mStore->Remove(wire::kServersKind, world.mEngines[2]->Id());
-  world.AwaitReady();
-  world.Remove(1);
-  EXPECT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
-  EXPECT_TRUE(world.AskUntilServed(2, "m2", kAdopted));
-  EXPECT_EQ(1u, world.Engine().mHolders.size());
-  world.ExpectOneHolderAToken();
+  EntryFleetOptions options;
+  options.mZones = { "a", "b", "c" };
+  TwoZoneFleet fleet(options);
+  fleet.mStore->Remove(wire::kServersKind, fleet.mEngines[2]->Id());
+  fleet.AwaitReady();
+  fleet.StopInstance(1);
+  EXPECT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  EXPECT_TRUE(fleet.RequestUntilServed(2, "m2", kMaxTakeoverTime));
+  EXPECT_EQ(1u, fleet.Engine().mHolders.size());
+  fleet.ExpectOneHolderPerToken();
 }
 
-// Guards against an adopter that leaves and keeps what it leads until its lease
-// ends.
-TEST(EmptyZones, AdopterThatLeavesHandsOn)
+// Guards against an instance that shuts down and keeps the leases of other
+// zones until they expire.
+TEST(EmptyZones, LeavingInstanceHandsItsZonesOn)
 {
-  EntryFleetOptions plan;
-  plan.mZones = { "a", "b", "c" };
-  TwoZoneFleet world(plan);
-  world.mStore->Remove(wire::kServersKind, world.mEngines[2]->Id());
-  world.AwaitReady();
-  world.Remove(1);
-  ASSERT_TRUE(world.AskUntilServed(0, "m1", kAdopted));
-  ASSERT_EQ(1u, world.Engine().mHolders.size());
-  size_t adopter = world.Engine().mHolders.count("i0") > 0 ? 0 : 2;
-  world.Remove(adopter);
-  EXPECT_TRUE(world.AskUntilServed(2 - adopter, "m2", kAdopted));
-  EXPECT_EQ(2u, world.Engine().mHolders.size());
-  world.ExpectOneHolderAToken();
+  EntryFleetOptions options;
+  options.mZones = { "a", "b", "c" };
+  TwoZoneFleet fleet(options);
+  fleet.mStore->Remove(wire::kServersKind, fleet.mEngines[2]->Id());
+  fleet.AwaitReady();
+  fleet.StopInstance(1);
+  ASSERT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
+  ASSERT_EQ(1u, fleet.Engine().mHolders.size());
+  size_t leader = fleet.Engine().mHolders.count("i0") > 0 ? 0 : 2;
+  fleet.StopInstance(leader);
+  EXPECT_TRUE(fleet.RequestUntilServed(2 - leader, "m2", kMaxTakeoverTime));
+  EXPECT_EQ(2u, fleet.Engine().mHolders.size());
+  fleet.ExpectOneHolderPerToken();
 }
 
 } // namespace caraway
--- a/tests/unit/SettingsWatchTest.cpp
+++ b/tests/unit/SettingsWatchTest.cpp
@@ -1,4 +1,4 @@
-// Settings that change while an instance runs.
+// Reload of settings while an instance runs.
 
 #include <gtest/gtest.h>
 
@@ -12,14 +12,14 @@
 
 namespace {
 
-// A stand-in for the platform's file: the seconds of grace, or nonsense.
+// Reads a file that holds only the grace time in seconds.
 std::optional<EntrySettings>
-ReadGrace(const std::string& aPath, std::string& aWrong)
+ReadGrace(const std::string& aPath, std::string& aError)
 {
   std::ifstream file(aPath);
   int64_t seconds = 0;
   if (!(file >> seconds)) {
-    aWrong = "not a number";
+    aError = "not a number";
     return std::nullopt;
   }
   EntrySettings settings;
@@ -35,9 +35,9 @@
 
 } // namespace
 
-// The file changes without a signal, then becomes unreadable: the new value is
-// in force within some seconds, and an unreadable file changes nothing.
-TEST(SettingsWatch, SilentChangeIsNoticedAndNonsenseIsNot)
+// The file changes without a signal and then becomes invalid: the new value
+// takes effect within about a second, and the invalid file changes nothing.
+TEST(SettingsWatch, ChangeWithoutSignalIsAppliedAndInvalidFileIsNot)
 {
   std::string path = testing::TempDir() + "settings-watch.txt";
   Write(path, "8");
@@ -45,25 +45,25 @@
   EntryState state(clock, EntrySettings(), -1);
   SettingsWatch watch(state, path, ReadGrace);
   watch.Start();
-  auto turnFor = [&](Millis aTime) {
+  auto runFor = [&](Millis aTime) {
     TimePoint until = clock.Now() + aTime;
     while (clock.Now() < until) {
       state.mReactor.RunPass(Millis(20));
     }
   };
   Write(path, "12");
-  turnFor(Millis(1300));
+  runFor(Millis(1300));
   EXPECT_EQ(Seconds(12), state.mSettings.mGrace);
   Write(path, "nonsense");
-  turnFor(Millis(1300));
+  runFor(Millis(1300));
   EXPECT_EQ(Seconds(12), state.mSettings.mGrace);
   EXPECT_NE(std::string::npos, state.mLog.Gathered().find("not a number"));
   std::remove(path.c_str());
 }
 
-// Guards against a process that is told to stop and goes by a grace that the
-// platform has changed: it would be killed with its last answers unsent.
-TEST(SettingsWatch, ChangeIsInForceAtOnceWhenLookedAt)
+// Guards against a shutdown with an outdated grace time: the process would be
+// killed before its last answers are sent.
+TEST(SettingsWatch, ChangeIsAppliedAtOnceByReloadIfChanged)
 {
   std::string path = testing::TempDir() + "settings-watch-now.txt";
   Write(path, "12");
