--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Callers leave a stream without a first event after the longest of these.
-constexpr Millis kPatience{ 2000 };
+constexpr Millis kFirstByteTimeout{ 2000 };
 
 constexpr int kFirstByteTargets = 4;
 
@@ -29,7 +29,7 @@
 constexpr double kServiceRequestsPerSlot = 3.0;
 
 double
-CostOf(const RequestFacts& aFacts, const TenantLimit& aTenant)
+TokenCost(const RequestFacts& aFacts, const TenantLimit& aTenant)
 {
   if (!aTenant.mInTokens) {
     return 1;
@@ -65,14 +65,14 @@
 
 Exchange::Exchange(EntryState& aState,
                    ExchangeOwner& aOwner,
-                   RateLimiter& aTokens,
-                   LoadRequester& aPlaces,
+                   RateLimiter& aRateLimiter,
+                   LoadRequester& aLoadRequester,
                    std::shared_ptr<InboundConnection> aCaller,
                    InboundRequest aRequest)
   : mState(aState)
   , mOwner(aOwner)
-  , mTokens(aTokens)
-  , mPlaces(aPlaces)
+  , mRateLimiter(aRateLimiter)
+  , mLoadRequester(aLoadRequester)
   , mCaller(std::move(aCaller))
   , mRequest(std::move(aRequest))
   , mArrived(aState.Now())
@@ -126,13 +126,14 @@
   mFinalAnswerBy = mArrived + most;
   mFirstByteBy = mFinalAnswerBy;
   if (mRoute->mKind == RouteKind::Stream) {
-    Millis patience = std::max(kPatience, mRoute->mTarget * kFirstByteTargets);
+    Millis patience =
+      std::max(kFirstByteTimeout, mRoute->mTarget * kFirstByteTargets);
     mFirstByteBy = std::min(mFinalAnswerBy, mArrived + patience);
   }
   std::weak_ptr<Exchange> weak = weak_from_this();
   mTimer = mState.mReactor.After(most, [weak] {
     if (auto exchange = weak.lock()) {
-      exchange->OnTimeUp();
+      exchange->OnDeadline();
     }
   });
 }
@@ -154,21 +155,22 @@
 {
   TokenRequest request;
   request.mTenant = mTenant;
-  request.mTokens = CostOf(mFacts, aTenant);
+  request.mTokens = TokenCost(mFacts, aTenant);
   request.mMaxWait =
     std::max(mRoute->mTarget / kTokenWaitDivisor, kMinTokenWait);
   if (mRoute->mKind == RouteKind::Stream) {
     request.mReserve = ReserveFor(mRoute->mPriority, mConfig->LeastUrgent());
   }
   std::weak_ptr<Exchange> weak = weak_from_this();
-  mTokens.Ask(request, [weak, &tokens = mTokens](const TokenAnswer& aAnswer) {
-    auto exchange = weak.lock();
-    if (exchange && !exchange->mOver) {
-      exchange->OnTokens(aAnswer);
-    } else if (aAnswer.mGrant) {
-      tokens.GiveBack(*aAnswer.mGrant); // its caller left meanwhile
-    }
-  });
+  mRateLimiter.Ask(
+    request, [weak, &limiter = mRateLimiter](const TokenAnswer& aAnswer) {
+      auto exchange = weak.lock();
+      if (exchange && !exchange->mFinished) {
+        exchange->OnTokens(aAnswer);
+      } else if (aAnswer.mGrant) {
+        limiter.GiveBack(*aAnswer.mGrant); // its caller left meanwhile
+      }
+    });
 }
 
 bool
@@ -228,7 +230,7 @@
 // ---- Finding a server
 
 LoadRequest
-Exchange::Want() const
+Exchange::ToLoadRequest() const
 {
   Millis left = mRoute->mTarget - kServiceTime - mState.AgeOf(mArrived);
   return { mService, mFacts.mModel, mFacts.mAdapter, mPriority, left };
@@ -237,7 +239,7 @@
 void
 Exchange::Dispatch()
 {
-  if (!mOver && !FindServer() && !mOver && !mWaiting) {
+  if (!mFinished && !FindServer() && !mFinished && !mWaiting) {
     mWaiting = true;
     mState.mLog.Line("request_waits")
       .Text("id", mFacts.mId)
@@ -245,18 +247,18 @@
       .Text("model", mFacts.mModel)
       .Text("adapter", mFacts.mAdapter)
       .Ms("since_ms", mState.AgeOf(mArrived));
-    mOwner.Wait(shared_from_this());
+    mOwner.WaitForServer(shared_from_this());
   }
 }
 
 bool
 Exchange::TryDispatch()
 {
-  if (mOver || !mWaiting) {
+  if (mFinished || !mWaiting) {
     return true;
   }
   if (!FindServer()) {
-    return mOver;
+    return mFinished;
   }
   mWaiting = false;
   return true;
@@ -319,7 +321,7 @@
   }
   if (engine && !choice.mHeld && !mFacts.mModel.empty()) {
     mColdStart = true;
-    mPlaces.Want(Want());
+    mLoadRequester.Want(ToLoadRequest());
   }
   return RefuseIfUnmeetable(choice);
 }
@@ -342,7 +344,7 @@
   }
   Millis wait{ 0 };
   if (!aChoice.mHeld) {
-    wait = mPlaces.Expected(Want()).value_or(Millis(0));
+    wait = mLoadRequester.Expected(ToLoadRequest()).value_or(Millis(0));
   }
   TimePoint begin = mState.Now() + wait;
   // How long a place takes to come free isn't known: as long as a caller would
--- a/src/entry/Exchange.h
+++ b/src/entry/Exchange.h
@@ -23,8 +23,8 @@
 {
 public:
   virtual ~ExchangeOwner() = default;
-  virtual void Wait(const std::shared_ptr<Exchange>& aExchange) = 0;
-  virtual void Over(Exchange& aExchange) = 0;
+  virtual void WaitForServer(const std::shared_ptr<Exchange>& aExchange) = 0;
+  virtual void OnExchangeDone(Exchange& aExchange) = 0;
 };
 
 class Exchange : public std::enable_shared_from_this<Exchange>
@@ -32,8 +32,8 @@
 public:
   Exchange(EntryState& aState,
            ExchangeOwner& aOwner,
-           RateLimiter& aTokens,
-           LoadRequester& aPlaces,
+           RateLimiter& aRateLimiter,
+           LoadRequester& aLoadRequester,
            std::shared_ptr<InboundConnection> aCaller,
            InboundRequest aRequest);
 
@@ -68,17 +68,17 @@
   // its end would cut the request.
   bool MayStart(TimePoint aStart) const;
   void RefuseShuttingDown();
-  LoadRequest Want() const;
+  LoadRequest ToLoadRequest() const;
   // One send.
   void Send(Backend& aBackend);
   std::string ServerRequestHead(const Backend& aBackend) const;
   void OnHead(const HttpHead& aHead);
   void OnBody(std::string& aBytes);
-  void OnCallDone(CallOutcome aEnd);
+  void OnCallDone(CallOutcome aOutcome);
   void OnCompleteAnswer();
   void OnNotRun();
   void OnNotSent();
-  void OnAnswerLost(CallOutcome aEnd);
+  void OnAnswerLost(CallOutcome aOutcome);
   void ReleaseCall();
   // Repeats.
   bool MayRerun() const;
@@ -90,7 +90,7 @@
   void ForwardEvents();
   void RecordPause();
   void Refuse(ErrorKind aKind, Millis aAfter, const char* aWhy);
-  void OnTimeUp();
+  void OnDeadline();
   void End(int aStatus, const char* aWhy);
 
   RequestClass Class() const;
@@ -98,8 +98,8 @@
 
   EntryState& mState;
   ExchangeOwner& mOwner;
-  RateLimiter& mTokens;
-  LoadRequester& mPlaces;
+  RateLimiter& mRateLimiter;
+  LoadRequester& mLoadRequester;
   std::shared_ptr<InboundConnection> mCaller;
   InboundRequest mRequest;
   RequestFacts mFacts;
@@ -117,7 +117,7 @@
   std::set<std::string> mBadServers;   // servers that it isn't sent to again
   std::optional<TokenGrant> mGrant;    // while its tokens aren't used
   int mSends = 0;
-  int mRuns = 0;            // sends that ended without proof that it didn't run
+  int mPossibleRuns = 0;    // sends that ended without proof that it didn't run
   bool mMayHaveRun = false; // a send ended without proof that it didn't
   std::shared_ptr<OutboundCall> mCall;
   std::string mServer; // of mCall
@@ -133,7 +133,7 @@
   bool mWaiting = false;
   bool mColdStart = false;  // its model or adapter had to be brought
   TimePoint mLastChunkAt{}; // of a stream
-  bool mOver = false;
+  bool mFinished = false;
 };
 
 } // namespace caraway
--- a/src/entry/ExchangeEnd.cpp
+++ b/src/entry/ExchangeEnd.cpp
@@ -26,7 +26,7 @@
 {
   bool repeatable = mRoute->mKind == RouteKind::Idempotent ||
                     (mRoute->mKind == RouteKind::Stream && mRoute->mResumable);
-  return repeatable && mRuns < mRoute->mMaxServers;
+  return repeatable && mPossibleRuns < mRoute->mMaxServers;
 }
 
 // Takes from the budget of repeats. What is sent again goes to another
@@ -52,7 +52,7 @@
   std::weak_ptr<Exchange> weak = weak_from_this();
   mState.mReactor.After(aDelay, [weak] {
     auto exchange = weak.lock();
-    if (exchange && !exchange->mOver && !exchange->mCall) {
+    if (exchange && !exchange->mFinished && !exchange->mCall) {
       exchange->Dispatch();
     }
   });
@@ -119,13 +119,13 @@
 }
 
 void
-Exchange::OnAnswerLost(CallOutcome aEnd)
+Exchange::OnAnswerLost(CallOutcome aOutcome)
 {
   std::string server = mServer;
   bool kept = mCall && mCall->Reused();
   mMayHaveRun = true;
   mGrant.reset();
-  ++mRuns;
+  ++mPossibleRuns;
   mState.mServers.Heard(server, ServerOutcome::Broken, mState.Now());
   mBadServers.insert(server);
   ReleaseCall();
@@ -133,7 +133,7 @@
   mState.mLog.Line("server_broke")
     .Text("id", mFacts.mId)
     .Text("server", server)
-    .Text("how", aEnd == CallOutcome::Malformed ? "garbled" : "cut")
+    .Text("how", aOutcome == CallOutcome::Malformed ? "garbled" : "cut")
     .Flag("kept_connection", kept)
     .Flag("streaming", mStreaming)
     .Ms("after_ms", mState.AgeOf(mSentAt));
@@ -154,7 +154,7 @@
 void
 Exchange::Refuse(ErrorKind aKind, Millis aAfter, const char* aWhy)
 {
-  if (mOver) {
+  if (mFinished) {
     return;
   }
   if (mStreaming) {
@@ -194,9 +194,9 @@
 }
 
 void
-Exchange::OnTimeUp()
+Exchange::OnDeadline()
 {
-  if (mOver) {
+  if (mFinished) {
     return;
   }
   if (mServer.empty()) {
@@ -209,7 +209,7 @@
     std::weak_ptr<Exchange> weak = weak_from_this();
     mTimer = mState.mReactor.After(kLateAnswerMargin, [weak] {
       if (auto exchange = weak.lock()) {
-        exchange->OnTimeUp();
+        exchange->OnDeadline();
       }
     });
     return;
@@ -229,7 +229,7 @@
 void
 Exchange::OnCallerDisconnected()
 {
-  if (mOver) {
+  if (mFinished) {
     return;
   }
   if (mCall) {
@@ -243,7 +243,7 @@
 void
 Exchange::OnInstanceExit()
 {
-  if (mOver) {
+  if (mFinished) {
     return;
   }
   constexpr const char* kWhy = "instance ends";
@@ -264,13 +264,13 @@
 void
 Exchange::End(int aStatus, const char* aWhy)
 {
-  if (mOver) {
+  if (mFinished) {
     return;
   }
-  mOver = true;
+  mFinished = true;
   mState.mReactor.Cancel(mTimer);
   if (mGrant) {
-    mTokens.GiveBack(*mGrant);
+    mRateLimiter.GiveBack(*mGrant);
   }
   Millis first =
     mFirstByteAt == TimePoint()
@@ -292,7 +292,7 @@
     }
     mState.mMetrics.Observe("whole", mTenant, Class(), mState.AgeOf(mArrived));
   }
-  mOwner.Over(*this);
+  mOwner.OnExchangeDone(*this);
 }
 
 } // namespace caraway
--- a/src/entry/ExchangeSend.cpp
+++ b/src/entry/ExchangeSend.cpp
@@ -112,9 +112,9 @@
       exchange->OnBody(aBytes);
     }
   };
-  events.mEnd = [weak](CallOutcome aEnd) {
+  events.mEnd = [weak](CallOutcome aOutcome) {
     if (auto exchange = weak.lock()) {
-      exchange->OnCallDone(aEnd);
+      exchange->OnCallDone(aOutcome);
     }
   };
   mCall = OutboundCall::Start(
@@ -215,17 +215,17 @@
 }
 
 void
-Exchange::OnCallDone(CallOutcome aEnd)
+Exchange::OnCallDone(CallOutcome aOutcome)
 {
-  if (mOver || mServer.empty()) {
+  if (mFinished || mServer.empty()) {
     return;
   }
-  if (aEnd == CallOutcome::NotSent) {
+  if (aOutcome == CallOutcome::NotSent) {
     OnNotSent();
   } else if (mHasAnswerHead && mAnswerFacts.mNotRun) {
     OnNotRun();
-  } else if (aEnd != CallOutcome::Whole) {
-    OnAnswerLost(aEnd);
+  } else if (aOutcome != CallOutcome::Whole) {
+    OnAnswerLost(aOutcome);
   } else {
     OnCompleteAnswer();
   }
@@ -248,7 +248,7 @@
     End(mAnswer.mStatus, "served");
     return;
   }
-  mRuns += failed ? 1 : 0;
+  mPossibleRuns += failed ? 1 : 0;
   mMayHaveRun = mMayHaveRun || failed;
   if (failed && MayRetry()) {
     mState.mLog.Line("request_again")
--- a/src/entry/InboundConnection.cpp
+++ b/src/entry/InboundConnection.cpp
@@ -100,7 +100,7 @@
 {
   if (mBusy) {
     mBusy = false;
-    mHandler.OnLeft(*this);
+    mHandler.OnDisconnected(*this);
   }
 }
 
@@ -269,7 +269,7 @@
     bool wasBusy = mBusy;
     Abort(ConnectionCloseReason::SlowReader);
     if (wasBusy) {
-      mHandler.OnLeft(*this);
+      mHandler.OnDisconnected(*this);
     }
   }
 }
--- a/src/entry/InboundConnection.h
+++ b/src/entry/InboundConnection.h
@@ -31,7 +31,7 @@
   virtual void OnRequest(const std::shared_ptr<InboundConnection>& aConn,
                          InboundRequest& aRequest) = 0;
   // The caller closed before its answer was whole.
-  virtual void OnLeft(InboundConnection& aConn) { (void)aConn; }
+  virtual void OnDisconnected(InboundConnection& aConn) { (void)aConn; }
   // This instance is about to end the connection; not told when the caller
   // ends it.
   virtual void OnConnectionClosing(const InboundConnection& aConn,
--- a/src/entry/RequestDispatcher.cpp
+++ b/src/entry/RequestDispatcher.cpp
@@ -14,11 +14,11 @@
 } // namespace
 
 RequestDispatcher::RequestDispatcher(EntryState& aState,
-                                     RateLimiter& aTokens,
-                                     LoadRequester& aPlaces)
+                                     RateLimiter& aRateLimiter,
+                                     LoadRequester& aLoadRequester)
   : mState(aState)
-  , mTokens(aTokens)
-  , mPlaces(aPlaces)
+  , mRateLimiter(aRateLimiter)
+  , mLoadRequester(aLoadRequester)
 {
 }
 
@@ -27,13 +27,13 @@
                              InboundRequest& aRequest)
 {
   auto exchange = std::make_shared<Exchange>(
-    mState, *this, mTokens, mPlaces, aConn, std::move(aRequest));
+    mState, *this, mRateLimiter, mLoadRequester, aConn, std::move(aRequest));
   mExchanges[aConn.get()] = exchange;
   exchange->Begin();
 }
 
 void
-RequestDispatcher::OnLeft(InboundConnection& aConn)
+RequestDispatcher::OnDisconnected(InboundConnection& aConn)
 {
   auto found = mExchanges.find(&aConn);
   if (found != mExchanges.end()) {
@@ -44,26 +44,26 @@
 
 void
 RequestDispatcher::OnConnectionClosing(const InboundConnection& aConn,
-                                       const ConnectionClose& aEnd)
+                                       const ConnectionClose& aClose)
 {
   mState.mMetrics.Count("caraway_connections_ended_total",
                         std::string("why=\"") +
-                          ConnectionCloseReasonName(aEnd.mReason) + "\"");
-  if (aEnd.mReason == ConnectionCloseReason::AnswerWithClose &&
-      aEnd.mUnread == 0) {
+                          ConnectionCloseReasonName(aClose.mReason) + "\"");
+  if (aClose.mReason == ConnectionCloseReason::AnswerWithClose &&
+      aClose.mUnread == 0) {
     return; // the caller knew
   }
   auto found = mExchanges.find(&aConn);
   mState.mLog.Line("connection_ended")
-    .Text("why", ConnectionCloseReasonName(aEnd.mReason))
+    .Text("why", ConnectionCloseReasonName(aClose.mReason))
     .Text("id", found == mExchanges.end() ? "" : found->second->Id())
-    .Flag("busy", aEnd.mBusy)
-    .Count("requests", aEnd.mRequests)
-    .Count("unread", static_cast<int64_t>(aEnd.mUnread))
-    .Ms("age_ms", aEnd.mAge)
-    .Ms("quiet_ms", aEnd.mSinceLastAnswer)
-    .Ms("reading_ms", aEnd.mReading)
-    .Ms("idle_limit_ms", aEnd.mIdleLimit)
+    .Flag("busy", aClose.mBusy)
+    .Count("requests", aClose.mRequests)
+    .Count("unread", static_cast<int64_t>(aClose.mUnread))
+    .Ms("age_ms", aClose.mAge)
+    .Ms("quiet_ms", aClose.mSinceLastAnswer)
+    .Ms("reading_ms", aClose.mReading)
+    .Ms("idle_limit_ms", aClose.mIdleLimit)
     .Count("config", mState.mConfig ? mState.mConfig->mVersion : 0);
 }
 
@@ -96,14 +96,14 @@
 }
 
 void
-RequestDispatcher::Wait(const std::shared_ptr<Exchange>& aExchange)
+RequestDispatcher::WaitForServer(const std::shared_ptr<Exchange>& aExchange)
 {
   mWaiting.push_back(aExchange);
   ArmTimer();
 }
 
 void
-RequestDispatcher::Over(Exchange& aExchange)
+RequestDispatcher::OnExchangeDone(Exchange& aExchange)
 {
   auto found = mExchanges.find(aExchange.Caller());
   if (found != mExchanges.end() && found->second.get() == &aExchange) {
@@ -132,12 +132,12 @@
   mRetryScheduled = true;
   mState.mReactor.After(Millis(0), [this] {
     mRetryScheduled = false;
-    LookAgain();
+    RetryWaiting();
   });
 }
 
 void
-RequestDispatcher::LookAgain()
+RequestDispatcher::RetryWaiting()
 {
   std::vector<std::shared_ptr<Exchange>> waiting = std::move(mWaiting);
   mWaiting.clear();
@@ -163,7 +163,7 @@
   mTimerArmed = true;
   mState.mReactor.After(kRetryWaitingInterval, [this] {
     mTimerArmed = false;
-    LookAgain();
+    RetryWaiting();
   });
 }
 
--- a/src/entry/RequestDispatcher.h
+++ b/src/entry/RequestDispatcher.h
@@ -16,8 +16,8 @@
 {
 public:
   RequestDispatcher(EntryState& aState,
-                    RateLimiter& aTokens,
-                    LoadRequester& aPlaces);
+                    RateLimiter& aRateLimiter,
+                    LoadRequester& aLoadRequester);
 
   // What servers hold or have room for has changed: those who wait look
   // again, the most urgent first, at the end of this turn.
@@ -31,25 +31,25 @@
 
   void OnRequest(const std::shared_ptr<InboundConnection>& aConn,
                  InboundRequest& aRequest) override;
-  void OnLeft(InboundConnection& aConn) override;
+  void OnDisconnected(InboundConnection& aConn) override;
   void OnConnectionClosing(const InboundConnection& aConn,
-                           const ConnectionClose& aEnd) override;
+                           const ConnectionClose& aClose) override;
   void OnInputDiscarded(size_t aBytes) override;
   void OnConnectionRejected(size_t aOpen) override;
   void OnRequestRejected(int aStatus, const char* aWhy) override;
   CallerLimits Limits() const override;
   bool Leaving() const override { return mState.mLeave.Leaving(); }
 
-  void Wait(const std::shared_ptr<Exchange>& aExchange) override;
-  void Over(Exchange& aExchange) override;
+  void WaitForServer(const std::shared_ptr<Exchange>& aExchange) override;
+  void OnExchangeDone(Exchange& aExchange) override;
 
 private:
-  void LookAgain();
+  void RetryWaiting();
   void ArmTimer();
 
   EntryState& mState;
-  RateLimiter& mTokens;
-  LoadRequester& mPlaces;
+  RateLimiter& mRateLimiter;
+  LoadRequester& mLoadRequester;
   std::map<const InboundConnection*, std::shared_ptr<Exchange>> mExchanges;
   std::vector<std::shared_ptr<Exchange>> mWaiting;
   bool mRetryScheduled = false;
