--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -11,19 +11,21 @@
 
 namespace {
 
-// Callers leave a stream without a first event after the longest of these.
+// Callers give up on a stream without a first event after kFirstByteTimeout or
+// kFirstByteTargets times the route's target, whichever is longer.
 constexpr Millis kFirstByteTimeout{ 2000 };
 
 constexpr int kFirstByteTargets = 4;
 
-// Of a request's target: the part that it waits for its tenant's tokens.
+// A request waits for its tenant's tokens for at most its route's target
+// divided by this.
 constexpr int kTokenWaitDivisor = 8;
 
 constexpr Millis kMinTokenWait{ 50 };
 
-// Requests a slot that a server may have under way. An engine admits as many
-// as it has slots; a plain service's requests are short, so that a few may
-// queue there and still be answered in time.
+// Requests in flight per slot of a server. An engine admits as many as it has
+// slots; requests to a plain service are short, so a few can queue there and
+// still be answered in time.
 constexpr double kEngineRequestsPerSlot = 1.1;
 
 constexpr double kServiceRequestsPerSlot = 3.0;
@@ -40,7 +42,8 @@
   return *aFacts.mPromptTokens + aFacts.mOutputTokens.value_or(0);
 }
 
-// The same part for the same request, in proportion to the weights.
+// Chooses a service in proportion to the weights, always the same one for the
+// same request id.
 const std::string&
 PickService(const RouteSpec& aRoute, const std::string& aId)
 {
@@ -126,9 +129,9 @@
   mFinalAnswerBy = mArrived + most;
   mFirstByteBy = mFinalAnswerBy;
   if (mRoute->mKind == RouteKind::Stream) {
-    Millis patience =
+    Millis timeout =
       std::max(kFirstByteTimeout, mRoute->mTarget * kFirstByteTargets);
-    mFirstByteBy = std::min(mFinalAnswerBy, mArrived + patience);
+    mFirstByteBy = std::min(mFinalAnswerBy, mArrived + timeout);
   }
   std::weak_ptr<Exchange> weak = weak_from_this();
   mTimer = mState.mReactor.After(most, [weak] {
@@ -168,7 +171,8 @@
       if (exchange && !exchange->mFinished) {
         exchange->OnTokens(aAnswer);
       } else if (aAnswer.mGrant) {
-        limiter.GiveBack(*aAnswer.mGrant); // its caller left meanwhile
+        limiter.GiveBack(
+          *aAnswer.mGrant); // the caller has disconnected meanwhile
       }
     });
 }
@@ -183,7 +187,7 @@
   }
   auto facts = wire::ReadRequestFacts(mRequest.mHead);
   if (!facts || facts->mId.empty()) {
-    Refuse(ErrorKind::BadRequest, Millis(0), "unreadable field");
+    Refuse(ErrorKind::BadRequest, Millis(0), "invalid header field");
     return false;
   }
   mFacts = std::move(*facts);
@@ -215,7 +219,8 @@
 Exchange::OnTokens(const TokenAnswer& aAnswer)
 {
   mGrant = aAnswer.mGrant;
-  // Its tokens may have been given away while it waited for them.
+  // The instance may have handed its part of the rate limit to its zone peers
+  // while the request waited for tokens; the limit itself isn't the cause then.
   if (!mGrant && !Admits()) {
     RefuseShuttingDown();
     return;
@@ -227,7 +232,7 @@
   Dispatch();
 }
 
-// ---- Finding a server
+// ---- Choice of a server
 
 LoadRequest
 Exchange::ToLoadRequest() const
@@ -264,7 +269,8 @@
   return true;
 }
 
-// Once callers are no longer expected, tenants' tokens have been given away.
+// Once a leaving instance expects no more callers, its parts of the tenants'
+// rate limits have been handed to its zone peers.
 bool
 Exchange::Admits() const
 {
@@ -285,11 +291,12 @@
                                 mState.mRunTimes.UsualTime(mRoute->mName));
 }
 
-// Another instance can still serve it.
+// Another instance can still serve the request.
 void
 Exchange::RefuseShuttingDown()
 {
-  Refuse(ErrorKind::ShuttingDown, kRetryAfterElsewhere, "instance leaves");
+  Refuse(
+    ErrorKind::ShuttingDown, kRetryAfterElsewhere, "instance is shutting down");
 }
 
 bool
@@ -333,13 +340,14 @@
          static_cast<int>(mTriedServers.size()) >= mRoute->mMaxServers;
 }
 
-// Knowing that a request can't be served in time is told at once: its caller
-// can then come back when it can.
+// A request that can't be served in time is refused at once, with the time
+// after which a retry can succeed.
 bool
 Exchange::RefuseIfUnmeetable(const ServerChoice& aChoice)
 {
   if (TriedServersGone(aChoice)) {
-    Refuse(ErrorKind::NoEndpoint, kRetryAfterDefault, "its servers are gone");
+    Refuse(
+      ErrorKind::NoEndpoint, kRetryAfterDefault, "all servers tried are gone");
     return true;
   }
   Millis wait{ 0 };
@@ -347,8 +355,8 @@
     wait = mLoadRequester.Expected(ToLoadRequest()).value_or(Millis(0));
   }
   TimePoint begin = mState.Now() + wait;
-  // How long a place takes to come free isn't known: as long as a caller would
-  // be told to stay away.
+  // The time until a server slot comes free isn't known; the default
+  // retry-after time stands in for it.
   if (!MayStart(std::max(begin, mState.Now() + kRetryAfterDefault))) {
     RefuseShuttingDown();
     return true;
@@ -363,14 +371,17 @@
 void
 Exchange::RefuseUnmeetable(Millis aWait, bool aHeld)
 {
-  // Those who wait for the same thing come back spread over a fifth.
+  // Retries of callers that wait for the same load are spread over a fifth of
+  // the wait.
   std::uniform_int_distribution<int64_t> spread(0, aWait.count() / 5 + 100);
   Millis after =
     std::max(aWait, kRetryAfterDefault) + Millis(spread(mState.mRandom));
   if (aHeld) {
-    Refuse(ErrorKind::NoCapacity, after, "servers full");
+    Refuse(ErrorKind::NoCapacity, after, "all servers are at capacity");
   } else {
-    Refuse(ErrorKind::DeadlineUnmeetable, after, "model comes too late");
+    Refuse(ErrorKind::DeadlineUnmeetable,
+           after,
+           "model load would miss the deadline");
   }
 }
 
--- a/src/entry/Exchange.h
+++ b/src/entry/Exchange.h
@@ -1,4 +1,4 @@
-// Exchange.h: one request of a caller, from its reading to its answer.
+// Exchange.h: one request of a caller, from its receipt to the final answer.
 #ifndef caraway_entry_Exchange_h
 #define caraway_entry_Exchange_h
 
@@ -18,7 +18,7 @@
 
 class Exchange;
 
-// Where requests wait for a server; see RequestDispatcher.
+// Keeps the requests that wait for a server; implemented by RequestDispatcher.
 class ExchangeOwner
 {
 public:
@@ -38,10 +38,11 @@
            InboundRequest aRequest);
 
   void Begin();
-  // Looks for a server again. True when it no longer waits.
+  // Looks for a server again; returns true when the request no longer waits.
   bool TryDispatch();
   void OnCallerDisconnected();
-  // The process ends: a last answer, as true as one can be.
+  // The process exits: sends a final answer, or "outcome unknown" when the
+  // request may have run.
   void OnInstanceExit();
 
   const std::string& Id() const { return mFacts.mId; }
@@ -56,20 +57,21 @@
   void CountDemand();
   void AskForTokens(const TenantLimit& aTenant);
   void OnTokens(const TokenAnswer& aAnswer);
-  // Finding a server.
+  // Choice of a server.
   void Dispatch();
   bool FindServer();
-  // It may go to no other server, and none of those it went to is left.
+  // The request has been sent to as many servers as its route allows, and none
+  // of them is left.
   bool TriedServersGone(const ServerChoice& aChoice) const;
   bool RefuseIfUnmeetable(const ServerChoice& aChoice);
   void RefuseUnmeetable(Millis aWait, bool aHeld);
   bool Admits() const;
-  // This instance may send it to a server at aStart; false while it leaves and
-  // its end would cut the request.
+  // Whether the request may be sent to a server at aStart. False when the
+  // instance is leaving and would exit before the answer is due.
   bool MayStart(TimePoint aStart) const;
   void RefuseShuttingDown();
   LoadRequest ToLoadRequest() const;
-  // One send.
+  // One send to a server.
   void Send(Backend& aBackend);
   std::string ServerRequestHead(const Backend& aBackend) const;
   void OnHead(const HttpHead& aHead);
@@ -80,7 +82,7 @@
   void OnNotSent();
   void OnAnswerLost(CallOutcome aOutcome);
   void ReleaseCall();
-  // Repeats.
+  // Retries.
   bool MayRerun() const;
   bool SpendRetry();
   bool MayRetry();
@@ -103,35 +105,35 @@
   std::shared_ptr<InboundConnection> mCaller;
   InboundRequest mRequest;
   RequestFacts mFacts;
-  ServingConfigPtr mConfig; // the one that admitted it
+  ServingConfigPtr mConfig; // in force when the request was admitted
   const RouteSpec* mRoute = nullptr;
   std::string mService;
   std::string mTenant;
   int mPriority = 5;
   TimePoint mArrived;
-  TimePoint mFinalAnswerBy{}; // final answer by then
-  TimePoint mFirstByteBy{};   // the caller leaves without a first byte by then
+  TimePoint mFinalAnswerBy{};
+  TimePoint mFirstByteBy{}; // callers give up on a stream at this time
   Reactor::TimerId mTimer{};
 
-  std::set<std::string> mTriedServers; // servers that may have seen it
-  std::set<std::string> mBadServers;   // servers that it isn't sent to again
-  std::optional<TokenGrant> mGrant;    // while its tokens aren't used
+  std::set<std::string> mTriedServers; // may have received the request
+  std::set<std::string> mBadServers;   // not used again for this request
+  std::optional<TokenGrant> mGrant;    // until a server has run the request
   int mSends = 0;
-  int mPossibleRuns = 0;    // sends that ended without proof that it didn't run
-  bool mMayHaveRun = false; // a send ended without proof that it didn't
+  int mPossibleRuns = 0; // sends without proof that it did not run
+  bool mMayHaveRun = false;
   std::shared_ptr<OutboundCall> mCall;
   std::string mServer; // of mCall
   TimePoint mSentAt{};
-  TimePoint mFirstByteAt{}; // first byte of an answer to the caller
+  TimePoint mFirstByteAt{}; // of an answer to the caller
   HttpHead mAnswer;         // of mCall
   AnswerFacts mAnswerFacts;
   bool mHasAnswerHead = false;
-  std::string mBody;       // of an answer that is handed over whole
-  std::string mEvents;     // of a stream, not yet a whole event
-  std::string mLastEvent;  // id of the last event handed over
-  bool mStreaming = false; // the caller has the head of a stream
+  std::string mBody;       // of an answer that is not streamed
+  std::string mEvents;     // of a stream: bytes of incomplete events
+  std::string mLastEvent;  // id of the last event forwarded
+  bool mStreaming = false; // the head of a stream was sent to the caller
   bool mWaiting = false;
-  bool mColdStart = false;  // its model or adapter had to be brought
+  bool mColdStart = false;  // waited for a model or adapter to be loaded
   TimePoint mLastChunkAt{}; // of a stream
   bool mFinished = false;
 };
--- a/src/entry/ExchangeEnd.cpp
+++ b/src/entry/ExchangeEnd.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-// Sends of one request: repeats cost the servers work; beyond a few they
-// help nobody.
+// Sends of one request. Retries cost the servers work, and more than a few
+// seldom succeed.
 constexpr int kMaxSends = 6;
 
-// Between a server's proof that it did not run a request and the next send:
-// an adapter on its way takes about as long.
+// Delay between a server's proof that it did not run a request and the next
+// send, about the time that an adapter needs to finish loading.
 constexpr Millis kNotRunRetryDelay{ 15 };
 
 } // namespace
 
-// What may be sent once more, and the final answers.
+// ---- Retries
 
-// As often as the route names servers for: a read that fails wherever it runs
-// would otherwise spend the budget that others need.
+// A request runs at most on as many servers as its route allows: one that fails
+// wherever it runs would otherwise use up the retry budget of all requests.
 bool
 Exchange::MayRerun() const
 {
@@ -29,8 +29,8 @@
   return repeatable && mPossibleRuns < mRoute->mMaxServers;
 }
 
-// Takes from the budget of repeats. What is sent again goes to another
-// server if the route lets it.
+// Takes one retry from the service's budget. The retry goes to another server
+// if the route allows one.
 bool
 Exchange::SpendRetry()
 {
@@ -63,7 +63,7 @@
 {
   std::string server = mServer;
   mState.mServers.Heard(server, ServerOutcome::Broken, mState.Now());
-  mTriedServers.erase(server); // it never saw the request
+  mTriedServers.erase(server); // it has not received the request
   mBadServers.insert(server);
   ReleaseCall();
   mState.mLog.Line("request_again")
@@ -71,7 +71,9 @@
     .Text("why", "not connected")
     .Text("server", server);
   if (mSends >= kMaxSends) {
-    Refuse(ErrorKind::NoEndpoint, kRetryAfterDefault, "no server connects");
+    Refuse(ErrorKind::NoEndpoint,
+           kRetryAfterDefault,
+           "could not connect to a server");
     return;
   }
   Dispatch();
@@ -90,8 +92,7 @@
     .Count("status", status);
   const std::string& answered = mAnswerFacts.mServer;
   if (status == 421 && !answered.empty() && answered != server) {
-    constexpr int kLostHeartbeats =
-      3; // an entry goes after so many silent ones
+    constexpr int kLostHeartbeats = 3; // an entry lapses after this many
     mState.mServers.Elsewhere(server,
                               mState.mSettings.mServerHeartbeatInterval *
                                 kLostHeartbeats,
@@ -100,8 +101,7 @@
       .Text("server", server)
       .Text("answered", answered);
     mBadServers.insert(server);
-    mTriedServers.erase(
-      server); // what is there now isn't a server of its route
+    mTriedServers.erase(server); // the address now belongs to another server
   } else if (status == 421 && !mFacts.mModel.empty()) {
     mState.mServers.MarkMissing(
       server, mFacts.mModel, mFacts.mAdapter, mState.Now());
@@ -109,7 +109,7 @@
   if (!SpendRetry()) {
     if (mStreaming) {
       mCaller->Abort();
-      End(0, "stream refused midway");
+      End(0, "resumed stream was refused");
       return;
     }
     Refuse(ErrorKind::NoCapacity, kRetryAfterDefault, "server refused");
@@ -143,10 +143,11 @@
   }
   if (mStreaming) {
     mCaller->Abort();
-    End(0, "stream broken off");
+    End(0, "server ended the stream early");
     return;
   }
-  Refuse(ErrorKind::OutcomeUnknown, Millis(0), "server broke off");
+  Refuse(
+    ErrorKind::OutcomeUnknown, Millis(0), "no complete answer from the server");
 }
 
 // ---- Answers
@@ -162,8 +163,8 @@
     End(0, aWhy);
     return;
   }
-  // A refusal promises that the request has not run and never will; what may
-  // have run gets an answer that promises nothing.
+  // A refusal promises that the request has not run and never will. A request
+  // that may have run gets "outcome unknown" instead.
   if (mMayHaveRun) {
     aKind = ErrorKind::OutcomeUnknown;
     aAfter = Millis(0);
@@ -200,11 +201,13 @@
     return;
   }
   if (mServer.empty()) {
-    Refuse(ErrorKind::DeadlineUnmeetable, kRetryAfterDefault, "time is up");
+    Refuse(ErrorKind::DeadlineUnmeetable,
+           kRetryAfterDefault,
+           "deadline passed before a server was found");
     return;
   }
-  // The server stops by itself about now; its own final answer is better
-  // than this instance's.
+  // The server has the same deadline and answers about now; its own final
+  // answer says more than one made here.
   if (mState.Now() < mFinalAnswerBy + kLateAnswerMargin) {
     std::weak_ptr<Exchange> weak = weak_from_this();
     mTimer = mState.mReactor.After(kLateAnswerMargin, [weak] {
@@ -219,11 +222,11 @@
   mGrant.reset();
   if (mStreaming) {
     mCaller->Abort();
-    End(0, "stream over its time");
+    End(0, "stream did not end before the deadline");
     return;
   }
   mCaller->Answer(504, { wire::RequestIdField(mFacts.mId) }, "");
-  End(504, "time is up at the server");
+  End(504, "server did not answer before the deadline");
 }
 
 void
@@ -246,7 +249,7 @@
   if (mFinished) {
     return;
   }
-  constexpr const char* kWhy = "instance ends";
+  constexpr const char* kWhy = "instance exits";
   if (mCall) {
     mCall->Cancel();
     ReleaseCall();
--- a/src/entry/ExchangeSend.cpp
+++ b/src/entry/ExchangeSend.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-// A connection that has been idle for long may be closed by the server just
-// as the request leaves; what may not run twice can't be sent again then.
+// Idle connections are reused until this share of the server's keep-alive time.
+// A server may close an older one just as a request is sent on it, and a
+// non-repeatable request can't be sent again then; its share is smaller.
 constexpr double kIdleShareNonRepeatable = 0.4;
 
 constexpr double kIdleShareRepeatable = 0.7;
 
-// The id of the last event in aEvents that has one; "" when none has.
+// Returns the id of the last event in aEvents that has one, "" if none has.
 std::string
 LastEventId(std::string_view aEvents)
 {
@@ -33,7 +34,7 @@
   return std::string(id);
 }
 
-// Bytes up to the end of the last whole event.
+// Returns the number of bytes up to the end of the last complete event.
 size_t
 CompleteEventBytes(std::string_view aBytes)
 {
@@ -48,7 +49,7 @@
 
 } // namespace
 
-// One send to a server: its answer, relayed as it comes.
+// ---- One send to a server, and the forwarding of its answer
 
 std::string
 Exchange::ServerRequestHead(const Backend& aBackend) const
@@ -59,7 +60,7 @@
   send.mPriority = mPriority;
   send.mBodyBytes = mRequest.mBody.size();
   send.mLastEvent = mLastEvent;
-  // Rounded down: more than is left would be work that nobody waits for.
+  // Rounded down, so that the server doesn't work past the caller's deadline.
   auto left = std::chrono::duration_cast<Millis>(mFinalAnswerBy - mState.Now());
   send.mLeft = std::max(left, Millis(1));
   return wire::WriteServerRequest(mRequest.mHead, send);
@@ -131,12 +132,13 @@
   if (mAnswerFacts.mNotRun) {
     return;
   }
-  mGrant.reset(); // it runs: its tokens are used
-  // A success that a server didn't seal, or in a coding that nobody asked
-  // for, isn't what the server made.
-  bool spoilt = success && (!mAnswerFacts.mFromServer || mAnswerFacts.mEncoded);
-  // A stream that goes on must go on as a stream.
-  if (spoilt || (mStreaming && !success)) {
+  mGrant.reset(); // the request runs, so its tokens are spent
+  // A success without the mark of a server, or in a content coding that was not
+  // requested, was made or altered by something between here and the server.
+  bool altered =
+    success && (!mAnswerFacts.mFromServer || mAnswerFacts.mEncoded);
+  // A resumed stream must be answered by a stream.
+  if (altered || (mStreaming && !success)) {
     mCall->Cancel();
     OnCallDone(CallOutcome::Malformed);
     return;
@@ -173,7 +175,7 @@
   ForwardEvents();
 }
 
-// Between two pieces of a stream, as they come from its servers.
+// Observes the time between two chunks of a stream as they arrive from servers.
 void
 Exchange::RecordPause()
 {
@@ -185,21 +187,21 @@
   mLastChunkAt = now;
 }
 
-// Only whole events: a server may stop in the middle of one, and another
-// then goes on after the last that the caller has in full.
+// Forwards complete events only: when a server stops in the middle of one,
+// another server resumes after the last event that the caller has completely.
 void
 Exchange::ForwardEvents()
 {
-  size_t whole = CompleteEventBytes(mEvents);
-  if (whole == 0) {
+  size_t bytes = CompleteEventBytes(mEvents);
+  if (bytes == 0) {
     return;
   }
-  std::string id = LastEventId(std::string_view(mEvents).substr(0, whole));
+  std::string id = LastEventId(std::string_view(mEvents).substr(0, bytes));
   if (!id.empty()) {
     mLastEvent = id;
   }
-  mCaller->StreamChunk(std::string_view(mEvents).substr(0, whole));
-  mEvents.erase(0, whole);
+  mCaller->StreamChunk(std::string_view(mEvents).substr(0, bytes));
+  mEvents.erase(0, bytes);
 }
 
 void
@@ -209,7 +211,7 @@
     mState.mServers.Ended(mServer, FullName());
   }
   mServer.clear();
-  // It may be running one of its events.
+  // The call may be running one of its event callbacks: destroyed later.
   mState.mReactor.After(Millis(0), [call = std::move(mCall)] {});
   mCall.reset();
 }
--- a/src/entry/ExchangeTimes.h
+++ b/src/entry/ExchangeTimes.h
@@ -1,4 +1,4 @@
-// ExchangeTimes.h: times that more than one part of an exchange goes by.
+// ExchangeTimes.h: times shared by the source files of Exchange.
 #ifndef caraway_entry_ExchangeTimes_h
 #define caraway_entry_ExchangeTimes_h
 
@@ -6,17 +6,17 @@
 
 namespace caraway {
 
-// A server needs this long from the request to the first event when it is
-// free; what can't begin so long before the caller leaves is refused.
+// Time that an idle server needs from the request to the first event. A request
+// that can't be started this long before its caller gives up is refused.
 inline constexpr Millis kServiceTime{ 120 };
 
-// What isn't expected to be there sooner is worth trying again after this.
+// Retry-after time when there is no better estimate.
 inline constexpr Millis kRetryAfterDefault{ 500 };
 
-// Other instances can take it at once.
+// Retry-after time when another instance can take the request at once.
 inline constexpr Millis kRetryAfterElsewhere{ 20 };
 
-// An answer of the server's own may come so late after a request's time.
+// The server's own final answer is waited for this long past the deadline.
 inline constexpr Millis kLateAnswerMargin{ 40 };
 
 } // namespace caraway
--- a/src/entry/RequestDispatcher.cpp
+++ b/src/entry/RequestDispatcher.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Those who wait look again at least so often: places come free at servers
-// without this instance hearing of it.
+// Longest time between two attempts to dispatch the waiting requests: slots
+// come free at servers without a notification to this instance.
 constexpr Millis kRetryWaitingInterval{ 25 };
 
 } // namespace
@@ -51,7 +51,7 @@
                           ConnectionCloseReasonName(aClose.mReason) + "\"");
   if (aClose.mReason == ConnectionCloseReason::AnswerWithClose &&
       aClose.mUnread == 0) {
-    return; // the caller knew
+    return; // expected by the caller
   }
   auto found = mExchanges.find(&aConn);
   mState.mLog.Line("connection_ended")
@@ -110,14 +110,14 @@
     mExchanges.erase(found);
   }
   if (!mWaiting.empty()) {
-    OnServersChanged(); // a place came free
+    OnServersChanged(); // a server slot came free
   }
 }
 
 void
 RequestDispatcher::FinishAll()
 {
-  auto exchanges = mExchanges; // each of them leaves the map
+  auto exchanges = mExchanges; // each one removes itself from the map
   for (auto& entry : exchanges) {
     entry.second->OnInstanceExit();
   }
--- a/src/entry/RequestDispatcher.h
+++ b/src/entry/RequestDispatcher.h
@@ -1,4 +1,4 @@
-// RequestDispatcher.h: callers' requests, those under way and those that wait.
+// RequestDispatcher.h: callers' requests, in flight and waiting for a server.
 #ifndef caraway_entry_RequestDispatcher_h
 #define caraway_entry_RequestDispatcher_h
 
@@ -19,11 +19,11 @@
                     RateLimiter& aRateLimiter,
                     LoadRequester& aLoadRequester);
 
-  // What servers hold or have room for has changed: those who wait look
-  // again, the most urgent first, at the end of this turn.
+  // Called when servers hold other models or have free slots. Retries the
+  // waiting requests, the most urgent first, after the current event.
   void OnServersChanged();
 
-  // The process ends: whoever has no final answer gets one now.
+  // The process exits: sends a final answer to every request without one.
   void FinishAll();
 
   size_t RequestsInFlight() const { return mExchanges.size(); }
