--- a/src/store/StoreClient.cpp
+++ b/src/store/StoreClient.cpp
@@ -54,14 +54,14 @@
 void
 StoreClient::Call(const char* aWhat, const wire::StoreCall& aCall, Done aDone)
 {
-  Wait(aWhat, aCall, kCallTimeout - kLongPollMargin, std::move(aDone));
+  LongPoll(aWhat, aCall, kCallTimeout - kLongPollMargin, std::move(aDone));
 }
 
 void
-StoreClient::Wait(const char* aWhat,
-                  const wire::StoreCall& aCall,
-                  Millis aWait,
-                  Done aDone)
+StoreClient::LongPoll(const char* aWhat,
+                      const wire::StoreCall& aCall,
+                      Millis aWait,
+                      Done aDone)
 {
   mPool.Sweep();
   std::vector<HttpField> fields = { { "Host", mAddress } };
@@ -80,21 +80,22 @@
     mPool,
     std::move(request),
     aWait + kLongPollMargin,
-    [this, aWhat, asked = mReactor.Now(), done = std::move(aDone)](
+    [this, aWhat, startedAt = mReactor.Now(), done = std::move(aDone)](
       BufferedAnswer& aAnswer) {
       StoreOutcome outcome = aAnswer.mEnd == CallOutcome::NotSent
                                ? StoreOutcome::NotDone
                                : wire::ReadOutcome(aAnswer.mStatus);
-      mMetrics.Time("caraway_store_call_seconds",
-                    std::string("call=\"") + aWhat + "\"",
-                    std::chrono::duration_cast<Micros>(mReactor.Now() - asked));
-      Note(aWhat, outcome);
+      mMetrics.Time(
+        "caraway_store_call_seconds",
+        std::string("call=\"") + aWhat + "\"",
+        std::chrono::duration_cast<Micros>(mReactor.Now() - startedAt));
+      Record(aWhat, outcome);
       done(outcome, aAnswer.mBody);
     });
 }
 
 void
-StoreClient::Note(const char* aWhat, StoreOutcome aOutcome)
+StoreClient::Record(const char* aWhat, StoreOutcome aOutcome)
 {
   mMetrics.Count("caraway_store_calls_total",
                  std::string("call=\"") + aWhat + "\",outcome=\"" +
@@ -106,15 +107,15 @@
     if (mFailingSince == TimePoint()) {
       mFailingSince = now;
     }
-    if (mReached) {
+    if (mReachable) {
       mLog.Line("store_lost")
         .Text("call", aWhat)
         .Text("outcome", StoreOutcomeName(aOutcome));
     }
-    mReached = false;
+    mReachable = false;
     return;
   }
-  if (!mReached) {
+  if (!mReachable) {
     bool outage =
       mFailingSince != TimePoint() && now - mFailingSince >= kMinOutage;
     if (outage) {
@@ -128,7 +129,7 @@
             ? Millis(0)
             : std::chrono::duration_cast<Millis>(now - mFailingSince));
   }
-  mReached = true;
+  mReachable = true;
   mFailingSince = TimePoint();
   mLastSuccessAt = now;
 }
--- a/src/store/StoreClient.h
+++ b/src/store/StoreClient.h
@@ -25,20 +25,20 @@
   // aWhat names the call in logs and counters. Answers once, always.
   void Call(const char* aWhat, const wire::StoreCall& aCall, Done aDone);
   // The same, for a call that the store may keep waiting for aWait.
-  void Wait(const char* aWhat,
-            const wire::StoreCall& aCall,
-            Millis aWait,
-            Done aDone);
+  void LongPoll(const char* aWhat,
+                const wire::StoreCall& aCall,
+                Millis aWait,
+                Done aDone);
 
   // The last answer that proves that it serves this instance.
   TimePoint LastSuccessAt() const { return mLastSuccessAt; }
   // It serves this instance, as far as is known.
-  bool Reachable() const { return mReached; }
+  bool Reachable() const { return mReachable; }
   // When it was last reached again after an outage.
   TimePoint RecoveredAt() const { return mRecoveredAt; }
 
 private:
-  void Note(const char* aWhat, StoreOutcome aOutcome);
+  void Record(const char* aWhat, StoreOutcome aOutcome);
 
   Reactor& mReactor;
   EventLog& mLog;
@@ -48,7 +48,7 @@
   TimePoint mLastSuccessAt{};
   TimePoint mFailingSince{};
   TimePoint mRecoveredAt{};
-  bool mReached = false;
+  bool mReachable = false;
 };
 
 const char*
--- a/src/store/StoreFeed.cpp
+++ b/src/store/StoreFeed.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr Millis kRetry{ 150 };
+constexpr Millis kRetryDelay{ 150 };
 
 // Changes come in bursts (a load begins, ends, a server beats), and each call
 // is paid for. Gathered for so long, a change is known in under a second: a
 // leaving server may get requests for two. What models a server holds is told
 // sooner, by who orders it.
-constexpr Millis kMaxGathered{ 800 };
+constexpr Millis kBatchInterval{ 800 };
 
 } // namespace
 
@@ -34,7 +34,7 @@
 void
 StoreFeed::Start()
 {
-  ++mRound;
+  ++mGeneration;
   mListing = true;
   mPages.clear();
   List("");
@@ -43,7 +43,7 @@
 void
 StoreFeed::Stop()
 {
-  ++mRound;
+  ++mGeneration;
   mListing = false;
   mPages.clear();
 }
@@ -58,11 +58,11 @@
 }
 
 void
-StoreFeed::Later(bool aList)
+StoreFeed::RetryLater(bool aList)
 {
-  uint64_t round = mRound;
-  mReactor.After(kRetry, [this, round, aList] {
-    if (round != mRound) {
+  uint64_t generation = mGeneration;
+  mReactor.After(kRetryDelay, [this, generation, aList] {
+    if (generation != mGeneration) {
       return;
     }
     if (aList) {
@@ -76,84 +76,86 @@
 void
 StoreFeed::List(const std::string& aAfter)
 {
-  uint64_t round = mRound;
+  uint64_t generation = mGeneration;
   if (aAfter.empty()) {
     mListStartedAt = mReactor.Now();
   }
-  mStore.Call(
-    "list",
-    wire::ListCall(mKind, aAfter, false),
-    [this, round, aAfter](StoreOutcome aOutcome, const std::string& aBody) {
-      if (round != mRound) {
-        return;
-      }
-      auto page = aOutcome == StoreOutcome::Done ? wire::ReadListAnswer(aBody)
-                                                 : std::nullopt;
-      if (!page) {
-        Later(true);
-        return;
-      }
-      if (aAfter.empty()) {
-        mListAsOf = page->mAsOf;
-      }
-      std::string last =
-        page->mChanges.empty() ? "" : page->mChanges.back().mObject.mName;
-      std::move(page->mChanges.begin(),
-                page->mChanges.end(),
-                std::back_inserter(mPages));
-      if (page->mMore && !last.empty()) {
-        List(last);
-        return;
-      }
-      mListing = false;
-      mAsOf = mListAsOf;
-      mConfirmedAt = mListStartedAt;
-      std::vector<StoreChange> all = std::move(mPages);
-      mPages.clear();
-      mEvents.mWhole(all);
-      mEvents.mNews();
-      Watch(mWatchTime);
-    });
-}
-
-void
-StoreFeed::Watch(Millis aWait)
-{
-  uint64_t round = mRound;
-  mStore.Wait("watch",
-              wire::WatchCall(mKind, mAsOf, aWait),
-              aWait,
-              [this, round](StoreOutcome aOutcome, const std::string& aBody) {
-                if (round != mRound) {
-                  return;
-                }
-                if (aOutcome == StoreOutcome::Gone) {
-                  Refresh("history gone");
+  mStore.Call("list",
+              wire::ListCall(mKind, aAfter, false),
+              [this, generation, aAfter](StoreOutcome aOutcome,
+                                         const std::string& aBody) {
+                if (generation != mGeneration) {
                   return;
                 }
                 auto page = aOutcome == StoreOutcome::Done
-                              ? wire::ReadWatchAnswer(aBody)
+                              ? wire::ReadListAnswer(aBody)
                               : std::nullopt;
                 if (!page) {
-                  Later(false);
+                  RetryLater(true);
                   return;
                 }
-                mAsOf = std::max(mAsOf, page->mAsOf);
-                mConfirmedAt = mReactor.Now();
-                for (const StoreChange& change : page->mChanges) {
-                  mEvents.mChange(change);
+                if (aAfter.empty()) {
+                  mListAsOf = page->mAsOf;
                 }
-                mEvents.mNews();
-                if (page->mChanges.empty()) {
-                  Watch(mWatchTime);
+                std::string last = page->mChanges.empty()
+                                     ? ""
+                                     : page->mChanges.back().mObject.mName;
+                std::move(page->mChanges.begin(),
+                          page->mChanges.end(),
+                          std::back_inserter(mPages));
+                if (page->mMore && !last.empty()) {
+                  List(last);
                   return;
                 }
-                mReactor.After(kMaxGathered, [this, round] {
-                  if (round == mRound) {
-                    Watch(mWatchTime - kMaxGathered);
-                  }
-                });
+                mListing = false;
+                mAsOf = mListAsOf;
+                mConfirmedAt = mListStartedAt;
+                std::vector<StoreChange> all = std::move(mPages);
+                mPages.clear();
+                mEvents.mSnapshot(all);
+                mEvents.mAnswered();
+                Watch(mWatchTime);
               });
 }
 
+void
+StoreFeed::Watch(Millis aWait)
+{
+  uint64_t generation = mGeneration;
+  mStore.LongPoll(
+    "watch",
+    wire::WatchCall(mKind, mAsOf, aWait),
+    aWait,
+    [this, generation](StoreOutcome aOutcome, const std::string& aBody) {
+      if (generation != mGeneration) {
+        return;
+      }
+      if (aOutcome == StoreOutcome::Gone) {
+        Refresh("history gone");
+        return;
+      }
+      auto page = aOutcome == StoreOutcome::Done ? wire::ReadWatchAnswer(aBody)
+                                                 : std::nullopt;
+      if (!page) {
+        RetryLater(false);
+        return;
+      }
+      mAsOf = std::max(mAsOf, page->mAsOf);
+      mConfirmedAt = mReactor.Now();
+      for (const StoreChange& change : page->mChanges) {
+        mEvents.mChange(change);
+      }
+      mEvents.mAnswered();
+      if (page->mChanges.empty()) {
+        Watch(mWatchTime);
+        return;
+      }
+      mReactor.After(kBatchInterval, [this, generation] {
+        if (generation == mGeneration) {
+          Watch(mWatchTime - kBatchInterval);
+        }
+      });
+    });
+}
+
 } // namespace caraway
--- a/src/store/StoreFeed.h
+++ b/src/store/StoreFeed.h
@@ -16,9 +16,9 @@
   struct Events
   {
     // All there is; what isn't among it is gone.
-    std::function<void(const std::vector<StoreChange>&)> mWhole;
+    std::function<void(const std::vector<StoreChange>&)> mSnapshot;
     std::function<void(const StoreChange&)> mChange;
-    std::function<void()> mNews; // after each answer, whatever it brought
+    std::function<void()> mAnswered; // after each answer, whatever it brought
   };
 
   // aWatchTime: how long a watch waits for a change; longer than changes are
@@ -44,7 +44,7 @@
 private:
   void List(const std::string& aAfter);
   void Watch(Millis aWait);
-  void Later(bool aList);
+  void RetryLater(bool aList);
 
   Reactor& mReactor;
   EventLog& mLog;
@@ -54,8 +54,8 @@
   Events mEvents;
   std::vector<StoreChange> mPages;
   int64_t mAsOf = 0;
-  int64_t mListAsOf = 0; // of the first page: later pages may show more
-  uint64_t mRound = 0;   // answers of earlier rounds are dropped
+  int64_t mListAsOf = 0;    // of the first page: later pages may show more
+  uint64_t mGeneration = 0; // answers of earlier rounds are dropped
   bool mListing = false;
   TimePoint mListStartedAt{};
   TimePoint mConfirmedAt{};
