--- a/src/store/StoreClient.cpp
+++ b/src/store/StoreClient.cpp
@@ -4,17 +4,17 @@
 
 namespace {
 
-// A call that takes longer than this is better asked again on a new
-// connection: an answer takes milliseconds, and some hundred when the store
-// is slow.
+// The store answers within milliseconds, or some hundred milliseconds when it
+// is slow. A call that takes longer than this is better retried on a new
+// connection.
 constexpr Millis kCallTimeout{ 1000 };
 
-// The store's own lateness in answering a wait that brought nothing.
+// The store's delay in answering a long poll that ends without a change.
 constexpr Millis kLongPollMargin{ 500 };
 
 constexpr Millis kConnectTimeout{ 500 };
 
-// Failures for less than this are calls that were lost, not an outage.
+// Failures over a shorter time than this are lost calls, not an outage.
 constexpr Millis kMinOutage{ 400 };
 
 } // namespace
--- a/src/store/StoreClient.h
+++ b/src/store/StoreClient.h
@@ -1,4 +1,4 @@
-// StoreClient.h: the one client of the platform's object store.
+// StoreClient.h: client of the platform's object store.
 #ifndef caraway_store_StoreClient_h
 #define caraway_store_StoreClient_h
 
@@ -22,19 +22,20 @@
               Metrics& aMetrics,
               std::string aAddress);
 
-  // aWhat names the call in logs and counters. Answers once, always.
+  // aWhat names the call in the log and in metrics. aDone is called exactly
+  // once.
   void Call(const char* aWhat, const wire::StoreCall& aCall, Done aDone);
-  // The same, for a call that the store may keep waiting for aWait.
+  // As Call(), for a call that the store may hold open for aWait.
   void LongPoll(const char* aWhat,
                 const wire::StoreCall& aCall,
                 Millis aWait,
                 Done aDone);
 
-  // The last answer that proves that it serves this instance.
+  // Time of the last answer that shows that the store serves this instance.
   TimePoint LastSuccessAt() const { return mLastSuccessAt; }
-  // It serves this instance, as far as is known.
+  // Whether the last call showed that the store serves this instance.
   bool Reachable() const { return mReachable; }
-  // When it was last reached again after an outage.
+  // When the store last recovered from an outage.
   TimePoint RecoveredAt() const { return mRecoveredAt; }
 
 private:
--- a/src/store/StoreFeed.cpp
+++ b/src/store/StoreFeed.cpp
@@ -8,10 +8,11 @@
 
 constexpr Millis kRetryDelay{ 150 };
 
-// Changes come in bursts (a load begins, ends, a server beats), and each call
-// is paid for. Gathered for so long, a change is known in under a second: a
-// leaving server may get requests for two. What models a server holds is told
-// sooner, by who orders it.
+// Time between two watches, in which changes are batched: they come in bursts
+// (a load begins or ends, a server sends its heartbeat), and each call is
+// billed. A change is still known within a second, while a leaving server may
+// get requests for two. What models a server holds is reported sooner, by the
+// instance that orders the loads.
 constexpr Millis kBatchInterval{ 800 };
 
 } // namespace
@@ -131,7 +132,7 @@
         return;
       }
       if (aOutcome == StoreOutcome::Gone) {
-        Refresh("history gone");
+        Refresh("revision no longer in the store's history");
         return;
       }
       auto page = aOutcome == StoreOutcome::Done ? wire::ReadWatchAnswer(aBody)
--- a/src/store/StoreFeed.h
+++ b/src/store/StoreFeed.h
@@ -1,5 +1,5 @@
-// StoreFeed.h: follows the objects of one kind, first as a list, then change
-// by change.
+// StoreFeed.h: follows the objects of one kind, by a list first and by watches
+// from then on.
 #ifndef caraway_store_StoreFeed_h
 #define caraway_store_StoreFeed_h
 
@@ -15,15 +15,16 @@
 public:
   struct Events
   {
-    // All there is; what isn't among it is gone.
+    // The complete list; an object that isn't in it doesn't exist.
     std::function<void(const std::vector<StoreChange>&)> mSnapshot;
     std::function<void(const StoreChange&)> mChange;
-    std::function<void()> mAnswered; // after each answer, whatever it brought
+    std::function<void()> mAnswered; // after each answer, even an empty one
   };
 
-  // aWatchTime: how long a watch waits for a change; longer than changes are
-  // gathered, which counts for the next one. One whose connection died
-  // in silence is found after this and the client's margin.
+  // aWatchTime is how long a watch waits for a change. It must be longer than
+  // the batch interval, which is deducted from the next watch. A watch whose
+  // connection died silently is detected after this time and the client's
+  // margin.
   StoreFeed(Reactor& aReactor,
             EventLog& aLog,
             StoreClient& aStore,
@@ -32,12 +33,12 @@
             Events aEvents);
 
   void Start();
-  // Makes no more calls until Start(); answers on their way are dropped.
+  // Makes no calls until Start(); pending answers are ignored.
   void Stop();
-  // Reads the whole list anew, unless that is under way.
+  // Reads the complete list again, unless it is being read.
   void Refresh(const char* aWhy);
 
-  int64_t AsOf() const { return mAsOf; } // 0 = nothing was read yet
+  int64_t AsOf() const { return mAsOf; } // 0 = nothing read yet
   // When the store was last known to have nothing newer.
   TimePoint ConfirmedAt() const { return mConfirmedAt; }
 
@@ -54,8 +55,8 @@
   Events mEvents;
   std::vector<StoreChange> mPages;
   int64_t mAsOf = 0;
-  int64_t mListAsOf = 0;    // of the first page: later pages may show more
-  uint64_t mGeneration = 0; // answers of earlier rounds are dropped
+  int64_t mListAsOf = 0;    // of the first page; later pages may be newer
+  uint64_t mGeneration = 0; // answers to calls of earlier ones are ignored
   bool mListing = false;
   TimePoint mListStartedAt{};
   TimePoint mConfirmedAt{};
--- a/src/store/StoreObject.h
+++ b/src/store/StoreObject.h
@@ -1,4 +1,4 @@
-// StoreObject.h: what the store keeps, and its answers.
+// StoreObject.h: objects of the store, and its answers.
 #ifndef caraway_store_StoreObject_h
 #define caraway_store_StoreObject_h
 
@@ -22,22 +22,22 @@
   bool mRemoved = false;
 };
 
-// A page of a list, or what a watch brought.
+// A page of a list, or the changes that a watch returned.
 struct StorePage
 {
   std::vector<StoreChange> mChanges;
-  int64_t mAsOf = 0; // the store's revision that it shows
+  int64_t mAsOf = 0; // store revision of this view
   bool mMore = false;
 };
 
 enum class StoreOutcome
 {
   Done,
-  Conflict, // the object is at another revision, or exists already
+  Conflict, // the object is at another revision or exists already
   Missing,
-  Gone,    // the history asked for is no longer kept
+  Gone,    // the store no longer keeps the requested history
   NotDone, // refused; nothing was changed
-  Unknown, // no answer; it may have been done, or may be done later
+  Unknown, // no answer; the call may have been or may yet be carried out
 };
 
 } // namespace caraway
