--- a/src/entry/ExchangeSend.cpp
+++ b/src/entry/ExchangeSend.cpp
@@ -226,7 +226,7 @@
     OnNotSent();
   } else if (mHasAnswerHead && mAnswerFacts.mNotRun) {
     OnNotRun();
-  } else if (aOutcome != CallOutcome::Whole) {
+  } else if (aOutcome != CallOutcome::Complete) {
     OnAnswerLost(aOutcome);
   } else {
     OnCompleteAnswer();
--- a/src/net/BodyReader.cpp
+++ b/src/net/BodyReader.cpp
@@ -83,12 +83,12 @@
 BodyReader::TakeChunked(std::string& aIn, std::string& aBody)
 {
   size_t at = 0;
-  bool good = true;
+  bool valid = true;
   bool more = true;
-  while (good && more && !mDone) {
+  while (valid && more && !mDone) {
     std::string_view line;
     if (mPart == Part::Size) {
-      good = TakeSize(aIn, at, more);
+      valid = TakeSize(aIn, at, more);
     } else if (mPart == Part::Data) {
       size_t count = std::min(mLeft, aIn.size() - at);
       aBody.append(aIn, at, count);
@@ -98,20 +98,20 @@
       mPart = more ? Part::DataEnd : Part::Data;
     } else if (mPart == Part::DataEnd) {
       more = aIn.size() - at >= 2;
-      good = !more || aIn.compare(at, 2, "\r\n") == 0;
+      valid = !more || aIn.compare(at, 2, "\r\n") == 0;
       if (more) {
         at += 2;
         mPart = Part::Size;
       }
     } else if (!TakeLine(aIn, at, line)) {
       more = false;
-      good = aIn.size() - at <= kMaxLineBytes;
+      valid = aIn.size() - at <= kMaxLineBytes;
     } else {
       mDone = line.empty();
     }
   }
   aIn.erase(0, at);
-  return good;
+  return valid;
 }
 
 } // namespace caraway
--- a/src/net/Channel.cpp
+++ b/src/net/Channel.cpp
@@ -68,7 +68,9 @@
 }
 
 std::shared_ptr<Channel>
-Channel::Connect(Reactor& aReactor, const std::string& aAddress, Millis aMost)
+Channel::Connect(Reactor& aReactor,
+                 const std::string& aAddress,
+                 Millis aTimeout)
 {
   Poco::Net::StreamSocket socket;
   std::shared_ptr<Channel> channel(new Channel(aReactor, socket));
@@ -78,10 +80,10 @@
     channel->Start(true);
   } catch (const Poco::Exception&) {
     // Told by the timer below, so that the caller can listen first.
-    aMost = Millis(0);
+    aTimeout = Millis(0);
   }
   std::weak_ptr<Channel> weak = channel;
-  channel->mTimer = aReactor.After(aMost, [weak] {
+  channel->mTimer = aReactor.After(aTimeout, [weak] {
     auto alive = weak.lock();
     if (alive && alive->mOpen && alive->mConnecting) {
       alive->End(ChannelCloseReason::Failed);
@@ -134,12 +136,12 @@
     }
   }
   mOutput.erase(0, done);
-  bool want = !mOutput.empty();
-  if (want != mWatchingWrite) {
-    mWatchingWrite = want;
+  bool pending = !mOutput.empty();
+  if (pending != mWatchingWrite) {
+    mWatchingWrite = pending;
     UpdateInterest();
   }
-  if (!want && mFinishing) {
+  if (!pending && mFinishing) {
     ShutdownSend();
   }
 }
@@ -212,7 +214,7 @@
 }
 
 bool
-Channel::ReadSome(ChannelCloseReason& aEnd)
+Channel::ReadSome(ChannelCloseReason& aReason)
 {
   char bytes[kReadBufferBytes];
   try {
@@ -224,12 +226,12 @@
     if (count < 0) {
       return true; // nothing there yet
     }
-    aEnd = ChannelCloseReason::Closed;
+    aReason = ChannelCloseReason::Closed;
   } catch (const Poco::Exception& error) {
     if (WouldBlock(error)) {
       return true;
     }
-    aEnd = ChannelCloseReason::Failed;
+    aReason = ChannelCloseReason::Failed;
   }
   return false;
 }
@@ -244,7 +246,7 @@
       return;
     }
   }
-  if (mUnread) {
+  if (mReadingStopped) {
     Close();
     return;
   }
@@ -268,13 +270,13 @@
 }
 
 void
-Channel::End(ChannelCloseReason aEnd)
+Channel::End(ChannelCloseReason aReason)
 {
   auto self = shared_from_this();
-  auto told = std::move(mEvents.mEnd);
+  auto onEnd = std::move(mEvents.mEnd);
   Close();
-  if (told) {
-    told(aEnd);
+  if (onEnd) {
+    onEnd(aReason);
   }
 }
 
@@ -324,7 +326,7 @@
   }
   auto self = shared_from_this();
   mFinishing = true;
-  mUnread = true;
+  mReadingStopped = true;
   ShutdownSend();
   if (mOpen) {
     LingerFor(kLinger);
@@ -332,17 +334,17 @@
 }
 
 void
-Channel::LingerFor(Millis aMost)
+Channel::LingerFor(Millis aTimeout)
 {
   std::weak_ptr<Channel> weak = weak_from_this();
   mReactor.Cancel(mTimer);
-  mTimer = mReactor.After(aMost, [weak, aMost, left = mOutput.size()] {
+  mTimer = mReactor.After(aTimeout, [weak, aTimeout, left = mOutput.size()] {
     auto alive = weak.lock();
     if (!alive) {
       return;
     }
     if (alive->mOutput.size() < left) {
-      alive->LingerFor(alive->mOutput.empty() ? kLinger : aMost);
+      alive->LingerFor(alive->mOutput.empty() ? kLinger : aTimeout);
     } else {
       alive->FinishLinger();
     }
@@ -352,10 +354,10 @@
 void
 Channel::FinishLinger()
 {
-  auto told = std::move(mEvents.mDropped);
+  auto onDropped = std::move(mEvents.mDropped);
   Close();
-  if (told && mDropped > 0) {
-    told(mDropped);
+  if (onDropped && mDropped > 0) {
+    onDropped(mDropped);
   }
 }
 
--- a/src/net/Channel.h
+++ b/src/net/Channel.h
@@ -41,7 +41,7 @@
   // Begins to connect; mEnd(Failed) when that fails or takes over aMost.
   static std::shared_ptr<Channel> Connect(Reactor& aReactor,
                                           const std::string& aAddress,
-                                          Millis aMost);
+                                          Millis aTimeout);
   ~Channel() override;
 
   void Listen(Events aEvents) { mEvents = std::move(aEvents); }
@@ -75,12 +75,12 @@
   Channel(Reactor& aReactor, const Poco::Net::StreamSocket& aSocket);
   void Start(bool aConnecting);
   void Flush();
-  void End(ChannelCloseReason aEnd);
+  void End(ChannelCloseReason aReason);
   void FinishLinger();
   void ShutdownSend();
-  void LingerFor(Millis aMost);
+  void LingerFor(Millis aTimeout);
   void UpdateInterest();
-  bool ReadSome(ChannelCloseReason& aEnd);
+  bool ReadSome(ChannelCloseReason& aReason);
 
   Reactor& mReactor;
   Poco::Net::StreamSocket mSocket;
@@ -93,8 +93,8 @@
   bool mReading = true;
   bool mSent = false;
   bool mFinishing = false;
-  bool mUnread = false; // FinishWithoutReading() was called
-  size_t mDropped = 0;  // bytes, since Finish()
+  bool mReadingStopped = false; // FinishWithoutReading() was called
+  size_t mDropped = 0;          // bytes, since Finish()
   Reactor::TimerId mTimer;
 };
 
--- a/src/net/ChannelPool.cpp
+++ b/src/net/ChannelPool.cpp
@@ -12,7 +12,7 @@
 std::shared_ptr<Channel>
 ChannelPool::Take(const std::string& aAddress,
                   const std::string& aPeer,
-                  double aShare)
+                  double aMaxShare)
 {
   auto found = mIdle.find({ aAddress, aPeer });
   if (found == mIdle.end()) {
@@ -26,7 +26,8 @@
     auto age = std::chrono::duration_cast<Millis>(mReactor.Now() - last.mSince);
     // Its server may have ended it a moment ago.
     last.mChannel->ReadAvailable();
-    bool fresh = age.count() < aShare * static_cast<double>(last.mKept.count());
+    bool fresh =
+      age.count() < aMaxShare * static_cast<double>(last.mIdleTimeout.count());
     if (last.mChannel->Open() && last.mChannel->Input().empty() && fresh) {
       return last.mChannel;
     }
@@ -43,7 +44,7 @@
 ChannelPool::Keep(const std::string& aAddress,
                   const std::string& aPeer,
                   std::shared_ptr<Channel> aChannel,
-                  Millis aKept)
+                  Millis aIdleTimeout)
 {
   // Whatever arrives on an idle connection belongs to no request: a second or
   // late answer. Closed, so that it can't be taken for the next one's.
@@ -52,7 +53,7 @@
   events.mData = [raw] { raw->Close(); };
   aChannel->Listen(std::move(events));
   mIdle[{ aAddress, aPeer }].push_back(
-    { std::move(aChannel), mReactor.Now(), aKept });
+    { std::move(aChannel), mReactor.Now(), aIdleTimeout });
 }
 
 void
@@ -61,7 +62,7 @@
   for (auto at = mIdle.begin(); at != mIdle.end();) {
     auto& idle = at->second;
     auto dead = [this](const IdleChannel& aIdle) {
-      bool old = mReactor.Now() - aIdle.mSince > aIdle.mKept;
+      bool old = mReactor.Now() - aIdle.mSince > aIdle.mIdleTimeout;
       if (old) {
         aIdle.mChannel->Close();
       }
--- a/src/net/ChannelPool.h
+++ b/src/net/ChannelPool.h
@@ -20,12 +20,12 @@
   // server keeps it; null when there is none.
   std::shared_ptr<Channel> Take(const std::string& aAddress,
                                 const std::string& aPeer,
-                                double aShare);
+                                double aMaxShare);
   // aKept: how long the server said that it keeps idle connections.
   void Keep(const std::string& aAddress,
             const std::string& aPeer,
             std::shared_ptr<Channel> aChannel,
-            Millis aKept);
+            Millis aIdleTimeout);
   // Closes what is idle for longer than its server keeps it.
   void Sweep();
   // Closes all that is idle to aPeer.
@@ -36,7 +36,7 @@
   {
     std::shared_ptr<Channel> mChannel;
     TimePoint mSince;
-    Millis mKept;
+    Millis mIdleTimeout;
   };
   using Key = std::pair<std::string, std::string>;
 
--- a/src/net/HttpConnection.cpp
+++ b/src/net/HttpConnection.cpp
@@ -26,18 +26,18 @@
   return aRequest.stream().eof();
 }
 
-class Busy
+class RequestInFlight
 {
 public:
-  explicit Busy(HttpShutdown& aEnding)
-    : mEnding(aEnding)
+  explicit RequestInFlight(HttpShutdown& aShutdown)
+    : mShutdown(aShutdown)
   {
-    mEnding.Began();
+    mShutdown.BeginRequest();
   }
-  ~Busy() { mEnding.Done(); }
+  ~RequestInFlight() { mShutdown.EndRequest(); }
 
 private:
-  HttpShutdown& mEnding;
+  HttpShutdown& mShutdown;
 };
 
 } // namespace
@@ -50,78 +50,80 @@
 };
 
 HttpConnection::HttpConnection(const Poco::Net::StreamSocket& aSocket,
-                               HttpPortState& aParts)
+                               HttpPortState& aState)
   : TCPServerConnection(aSocket)
-  , mParts(aParts)
+  , mState(aState)
 {
 }
 
 HttpConnection::~HttpConnection()
 {
-  mParts.mEnding.Remove(socket());
+  mState.mShutdown.Remove(socket());
 }
 
 void
 HttpConnection::run()
 {
-  Session session(socket(), mParts.mParams);
-  After after = After::Keep;
-  for (bool first = true; after == After::Keep && Await(session, first);
+  Session session(socket(), mState.mParams);
+  Disposition disposition = Disposition::Keep;
+  for (bool first = true;
+       disposition == Disposition::Keep && AwaitRequest(session, first);
        first = false) {
-    after = Serve(session);
+    disposition = Serve(session);
   }
-  if (after == After::Close) {
+  if (disposition == Disposition::Close) {
     // Left to the session it would be closed with it.
-    mParts.mLinger.Take(session.detachSocket());
+    mState.mLinger.Take(session.detachSocket());
   }
 }
 
 bool
-HttpConnection::Await(const Session& aSession, bool aFirst)
+HttpConnection::AwaitRequest(const Session& aSession, bool aFirst)
 {
   if (aSession.Buffered()) {
     return true;
   }
-  HttpShutdown& ending = mParts.mEnding;
-  bool came = ending.WaitForInput(
-    socket(), aFirst ? mParts.mLimits.mTransfer : mParts.mLimits.mIdle);
-  if (!came && ending.Ended()) {
-    came = ending.WaitForInput(socket(), kFinalRequestWait);
+  HttpShutdown& shutdown = mState.mShutdown;
+  bool readable = shutdown.WaitForInput(
+    socket(), aFirst ? mState.mLimits.mTransfer : mState.mLimits.mIdle);
+  if (!readable && shutdown.Ended()) {
+    readable = shutdown.WaitForInput(socket(), kFinalRequestWait);
   }
-  return came;
+  return readable;
 }
 
-HttpConnection::After
+HttpConnection::Disposition
 HttpConnection::Serve(Session& aSession)
 {
   // The answer's last bytes go out when the response ends, before this does.
-  Busy busy(mParts.mEnding);
+  RequestInFlight inFlight(mState.mShutdown);
   Poco::Net::HTTPServerResponseImpl response(aSession);
   try {
     Poco::Net::HTTPServerRequestImpl request(
-      response, aSession, mParts.mParams.get());
+      response, aSession, mState.mParams.get());
     response.setDate(Poco::Timestamp());
     response.setVersion(request.getVersion());
-    response.setKeepAlive(request.getKeepAlive() && !mParts.mEnding.Leaving());
+    response.setKeepAlive(request.getKeepAlive() &&
+                          !mState.mShutdown.Leaving());
     if (request.getExpectContinue()) {
       response.sendContinue();
     }
     Handle(request, response);
     bool keep = response.getKeepAlive() && DiscardInput(request);
     aSession.setKeepAlive(keep);
-    return keep ? After::Keep : After::Close;
+    return keep ? Disposition::Keep : Disposition::Close;
   } catch (const Poco::Net::NoMessageException&) {
-    return After::Gone; // ended by its caller
+    return Disposition::Disconnected; // ended by its caller
   } catch (const Poco::Net::MessageException&) {
     response.setVersion(Poco::Net::HTTPMessage::HTTP_1_1);
     response.setStatusAndReason(Poco::Net::HTTPResponse::HTTP_BAD_REQUEST);
     response.setKeepAlive(false);
     response.setContentLength(0);
     response.send();
-    return After::Close;
+    return Disposition::Close;
   } catch (const Poco::Exception& error) {
     LogInfo("connection_lost", { { "reason", error.displayText() } });
-    return After::Gone;
+    return Disposition::Disconnected;
   }
 }
 
@@ -130,7 +132,7 @@
                        Poco::Net::HTTPServerResponse& aResponse)
 {
   try {
-    mParts.mHandler(aRequest, aResponse);
+    mState.mHandler(aRequest, aResponse);
   } catch (const Poco::Exception& error) {
     // The caller has gone, mostly. Its connection ends with this request.
     aResponse.setKeepAlive(false);
--- a/src/net/HttpConnection.h
+++ b/src/net/HttpConnection.h
@@ -18,7 +18,7 @@
   HttpPortLimits mLimits;
   HttpHandler mHandler;
   Poco::Net::HTTPServerParams::Ptr mParams;
-  HttpShutdown mEnding;
+  HttpShutdown mShutdown;
   LingeringCloser mLinger;
 };
 
@@ -27,7 +27,7 @@
 class HttpConnection : public Poco::Net::TCPServerConnection
 {
 public:
-  HttpConnection(const Poco::Net::StreamSocket& aSocket, HttpPortState& aParts);
+  HttpConnection(const Poco::Net::StreamSocket& aSocket, HttpPortState& aState);
   ~HttpConnection() override;
 
   void run() override;
@@ -35,19 +35,19 @@
 private:
   class Session;
 
-  enum class After
+  enum class Disposition
   {
     Keep,
-    Close, // with an answer, as that said
-    Gone,  // nobody is left to answer
+    Close,        // with an answer, as that said
+    Disconnected, // nobody is left to answer
   };
 
-  bool Await(const Session& aSession, bool aFirst);
-  After Serve(Session& aSession);
+  bool AwaitRequest(const Session& aSession, bool aFirst);
+  Disposition Serve(Session& aSession);
   void Handle(Poco::Net::HTTPServerRequest& aRequest,
               Poco::Net::HTTPServerResponse& aResponse);
 
-  HttpPortState& mParts;
+  HttpPortState& mState;
 };
 
 } // namespace caraway
--- a/src/net/HttpExchange.cpp
+++ b/src/net/HttpExchange.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr size_t kChunk = 16 * 1024;
+constexpr size_t kChunkBytes = 16 * 1024;
 
 Poco::Timespan
 Span(Millis aTime)
@@ -57,7 +57,7 @@
          std::chrono::steady_clock::time_point aDeadline,
          std::string& aOut)
 {
-  std::string chunk(kChunk, '\0');
+  std::string chunk(kChunkBytes, '\0');
   while (aIn.good()) {
     SetSocketTimeouts(aSession, aDeadline);
     aIn.read(&chunk[0], static_cast<std::streamsize>(chunk.size()));
@@ -72,14 +72,14 @@
 // A connection cut in the middle looks like the end of the stream to the
 // reader. Only a stated length proves that the answer is whole.
 bool
-LengthMatches(const Poco::Net::HTTPResponse& aResponse, size_t aGot)
+LengthMatches(const Poco::Net::HTTPResponse& aResponse, size_t aReceived)
 {
   bool empty = aResponse.getStatus() == 204 || aResponse.getStatus() == 304;
   if (empty) {
     return true;
   }
   return aResponse.hasContentLength() &&
-         aResponse.getContentLength64() == static_cast<Poco::Int64>(aGot);
+         aResponse.getContentLength64() == static_cast<Poco::Int64>(aReceived);
 }
 
 } // namespace
--- a/src/net/HttpHead.cpp
+++ b/src/net/HttpHead.cpp
@@ -182,8 +182,8 @@
   while (!rest.empty()) {
     size_t stop = rest.find("\r\n");
     std::string_view line = rest.substr(0, stop);
-    bool good = first ? aFirstLine(line, aHead) : ReadField(line, aHead);
-    if (!good || line.find('\n') != std::string_view::npos) {
+    bool valid = first ? aFirstLine(line, aHead) : ReadField(line, aHead);
+    if (!valid || line.find('\n') != std::string_view::npos) {
       return HeadState::Bad;
     }
     first = false;
--- a/src/net/HttpPool.cpp
+++ b/src/net/HttpPool.cpp
@@ -35,21 +35,21 @@
 HttpReply
 HttpPool::Call(const HttpCall& aCall)
 {
-  auto begun = std::chrono::steady_clock::now();
-  SessionPtr kept = aCall.mResend ? Take(aCall.mAddress) : nullptr;
-  if (!kept) {
+  auto startedAt = std::chrono::steady_clock::now();
+  SessionPtr session = aCall.mResend ? Take(aCall.mAddress) : nullptr;
+  if (!session) {
     return CallOnNewSession(aCall);
   }
-  HttpReply first = HttpExchange(*kept, aCall, true);
+  HttpReply first = HttpExchange(*session, aCall, true);
   if (first.mStage == HttpStage::Answered) {
-    Put(aCall.mAddress, std::move(kept));
+    Put(aCall.mAddress, std::move(session));
     return first;
   }
   // Most often the other side had closed it while it was idle. A silence has
   // used the time up, and a second one would last as long again.
   HttpCall second = aCall;
   second.mTimeout -= std::chrono::duration_cast<Millis>(
-    std::chrono::steady_clock::now() - begun);
+    std::chrono::steady_clock::now() - startedAt);
   if (first.mStatus != 0 || second.mTimeout <= Millis(0)) {
     return first;
   }
--- a/src/net/HttpPort.cpp
+++ b/src/net/HttpPort.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr size_t kChunk = 16 * 1024;
+constexpr size_t kChunkBytes = 16 * 1024;
 // Handlers are shallow; 350 nodes pay for each idle thread's stack.
 constexpr int kStackBytes = 512 * 1024;
 // A thread that is done with its connection is a moment later free for the
@@ -22,19 +22,19 @@
 class ConnectionFactory : public Poco::Net::TCPServerConnectionFactory
 {
 public:
-  explicit ConnectionFactory(HttpPortState& aParts)
-    : mParts(aParts)
+  explicit ConnectionFactory(HttpPortState& aState)
+    : mState(aState)
   {
   }
 
   Poco::Net::TCPServerConnection* createConnection(
     const Poco::Net::StreamSocket& aSocket) override
   {
-    return new HttpConnection(aSocket, mParts);
+    return new HttpConnection(aSocket, mState);
   }
 
 private:
-  HttpPortState& mParts;
+  HttpPortState& mState;
 };
 
 Poco::Net::HTTPServerParams::Ptr
@@ -58,7 +58,7 @@
 HttpPort::HttpPort(const std::string& aListen,
                    HttpPortLimits aLimits,
                    HttpHandler aHandler)
-  : mParts(std::make_unique<HttpPortState>())
+  : mState(std::make_unique<HttpPortState>())
   , mPool(2, aLimits.mThreads + kSpareThreads, 30, kStackBytes)
 {
   constexpr int kBacklog = 256;
@@ -71,11 +71,11 @@
   // One that has gone again between being seen and accepted isn't waited for.
   mSocket.setBlocking(false);
   mAddress = mSocket.address().toString();
-  mParts->mLimits = aLimits;
-  mParts->mHandler = std::move(aHandler);
-  mParts->mParams = ServerParams(aLimits);
+  mState->mLimits = aLimits;
+  mState->mHandler = std::move(aHandler);
+  mState->mParams = ServerParams(aLimits);
   mConnections = new Poco::Net::TCPServerDispatcher(
-    new ConnectionFactory(*mParts), mPool, mParts->mParams);
+    new ConnectionFactory(*mState), mPool, mState->mParams);
   mAcceptor = std::thread([this] { Accept(); });
 }
 
@@ -94,58 +94,58 @@
 int
 HttpPort::Busy() const
 {
-  return mParts->mEnding.Busy();
+  return mState->mShutdown.Busy();
 }
 
 void
 HttpPort::Leave()
 {
-  mParts->mEnding.Leave();
+  mState->mShutdown.Leave();
 }
 
 void
 HttpPort::LimitSendTime(Millis aTime)
 {
-  mParts->mEnding.LimitSendTime(aTime);
+  mState->mShutdown.LimitSendTime(aTime);
 }
 
 void
 HttpPort::End(Millis aWithin)
 {
-  constexpr Millis kStep{ 5 };
+  constexpr Millis kPollInterval{ 5 };
   if (!mAcceptor.joinable()) {
     return;
   }
-  auto until = std::chrono::steady_clock::now() + aWithin;
-  mParts->mEnding.End();
+  auto deadline = std::chrono::steady_clock::now() + aWithin;
+  mState->mShutdown.End();
   mAcceptor.join();
   auto open = [this] {
-    return mParts->mEnding.Open() > 0 || !mParts->mLinger.Empty();
+    return mState->mShutdown.Open() > 0 || !mState->mLinger.Empty();
   };
-  while (open() && std::chrono::steady_clock::now() < until) {
-    std::this_thread::sleep_for(kStep);
+  while (open() && std::chrono::steady_clock::now() < deadline) {
+    std::this_thread::sleep_for(kPollInterval);
   }
   LogInfo("port_ended",
           { { "port", mAddress },
-            { "cut", std::to_string(mParts->mEnding.Open()) } });
-  mParts->mEnding.Cut();
+            { "cut", std::to_string(mState->mShutdown.Open()) } });
+  mState->mShutdown.CutConnections();
   mConnections->stop();
 }
 
 void
 HttpPort::Accept()
 {
-  constexpr Millis kLook{ 10000 };
+  constexpr Millis kPollTimeout{ 10000 };
   constexpr Millis kAcceptRetryDelay{ 20 };
-  while (!mParts->mEnding.Ended()) {
-    if (mParts->mEnding.WaitForInput(mSocket, kLook) && !AcceptOne()) {
+  while (!mState->mShutdown.Ended()) {
+    if (mState->mShutdown.WaitForInput(mSocket, kPollTimeout) && !AcceptOne()) {
       std::this_thread::sleep_for(kAcceptRetryDelay);
     }
   }
   // Whoever is connected by now counts as accepted; the next is refused by the
   // system, and knows that nothing was sent.
   StopNewHandshakes(mSocket);
-  while (mParts->mEnding.WaitForInput(mSocket, Millis(0)) && AcceptOne()) {
+  while (mState->mShutdown.WaitForInput(mSocket, Millis(0)) && AcceptOne()) {
   }
   mSocket.close();
 }
@@ -171,16 +171,16 @@
 bool
 HttpPort::Enqueue(const Poco::Net::StreamSocket& aSocket)
 {
-  if (mConnections->queuedConnections() >= mParts->mLimits.mWaiting) {
+  if (mConnections->queuedConnections() >= mState->mLimits.mWaiting) {
     return false;
   }
   int refused = mConnections->refusedConnections();
-  mParts->mEnding.Add(aSocket);
+  mState->mShutdown.Add(aSocket);
   mConnections->enqueue(aSocket);
   if (mConnections->refusedConnections() == refused) {
     return true;
   }
-  mParts->mEnding.Remove(aSocket);
+  mState->mShutdown.Remove(aSocket);
   return false;
 }
 
@@ -188,7 +188,7 @@
 void
 HttpPort::RejectConnection(Poco::Net::StreamSocket aSocket)
 {
-  const std::string& body = mParts->mLimits.mOverloadBody;
+  const std::string& body = mState->mLimits.mOverloadBody;
   std::string answer = "HTTP/1.1 503 Service Unavailable\r\n"
                        "Connection: close\r\nRetry-After: 1\r\n"
                        "Content-Type: application/problem+json\r\n"
@@ -196,7 +196,7 @@
                        std::to_string(body.size()) + "\r\n\r\n" + body;
   LogInfo("connection_turned_away", { { "port", mAddress } });
   aSocket.sendBytes(answer.data(), static_cast<int>(answer.size()));
-  mParts->mLinger.Take(aSocket);
+  mState->mLinger.Take(aSocket);
 }
 
 namespace {
@@ -210,10 +210,10 @@
          std::chrono::steady_clock::time_point aDeadline)
 {
   constexpr size_t kMaxDiscardedBytes = 16 * 1024 * 1024;
-  std::string chunk(kChunk, '\0');
-  for (size_t gone = 0; aIn.good() && gone < kMaxDiscardedBytes &&
-                        std::chrono::steady_clock::now() < aDeadline;
-       gone += chunk.size()) {
+  std::string chunk(kChunkBytes, '\0');
+  for (size_t discarded = 0; aIn.good() && discarded < kMaxDiscardedBytes &&
+                             std::chrono::steady_clock::now() < aDeadline;
+       discarded += chunk.size()) {
     aIn.read(&chunk[0], static_cast<std::streamsize>(chunk.size()));
   }
   return Fail(ErrorKind::BodyTooLarge,
@@ -233,7 +233,7 @@
     return TooLarge(aRequest.stream(), aLimit, deadline);
   }
   std::string body;
-  std::string chunk(kChunk, '\0');
+  std::string chunk(kChunkBytes, '\0');
   std::istream& in = aRequest.stream();
   while (in.good()) {
     in.read(&chunk[0], static_cast<std::streamsize>(chunk.size()));
--- a/src/net/HttpPort.h
+++ b/src/net/HttpPort.h
@@ -63,7 +63,7 @@
 
   Poco::Net::ServerSocket mSocket;
   std::string mAddress;
-  std::unique_ptr<HttpPortState> mParts;
+  std::unique_ptr<HttpPortState> mState;
   Poco::ThreadPool mPool;
   Connections mConnections;
   std::thread mAcceptor;
--- a/src/net/HttpShutdown.cpp
+++ b/src/net/HttpShutdown.cpp
@@ -80,7 +80,7 @@
 }
 
 void
-HttpShutdown::Cut()
+HttpShutdown::CutConnections()
 {
   std::lock_guard<std::mutex> lock(mLock);
   for (Poco::Net::StreamSocket socket : mOpen) {
--- a/src/net/HttpShutdown.h
+++ b/src/net/HttpShutdown.h
@@ -31,8 +31,8 @@
   bool WaitForInput(const Poco::Net::Socket& aSocket, Millis aWithin) const;
 
   // From a request's first byte to its answer's last one.
-  void Began() { ++mBusy; }
-  void Done() { --mBusy; }
+  void BeginRequest() { ++mBusy; }
+  void EndRequest() { --mBusy; }
   int Busy() const { return mBusy; }
 
   // From accepted to handed to the linger or closed.
@@ -41,7 +41,7 @@
   size_t Open() const;
   void LimitSendTime(Millis aTime);
   // What was sent still arrives; nothing more is read or sent.
-  void Cut();
+  void CutConnections();
 
 private:
   int mWake; // readable from End on
--- a/src/net/LingeringCloser.cpp
+++ b/src/net/LingeringCloser.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr Millis kLinger{ 1000 };
-constexpr Millis kLook{ 100 };
-constexpr size_t kMost = 1024; // held open; more are closed at once
+constexpr Millis kPollInterval{ 100 };
+constexpr size_t kMaxOpen = 1024; // held open; more are closed at once
 
 using SteadyClock = std::chrono::steady_clock;
 
@@ -47,7 +47,7 @@
 {
   {
     std::lock_guard<std::mutex> lock(mLock);
-    mEnding = true;
+    mStopping = true;
   }
   eventfd_write(mWake, 1);
   mThread.join();
@@ -57,19 +57,19 @@
 void
 LingeringCloser::Take(const Poco::Net::StreamSocket& aSocket)
 {
-  Leaving leaving{ aSocket, SteadyClock::now() + kLinger };
+  ClosingSocket closing{ aSocket, SteadyClock::now() + kLinger };
   try {
-    leaving.mSocket.shutdownSend();
+    closing.mSocket.shutdownSend();
   } catch (const Poco::Exception&) {
     return; // its caller has gone
   }
   {
     std::lock_guard<std::mutex> lock(mLock);
-    if (mHeld >= kMost) {
+    if (mOpenCount >= kMaxOpen) {
       return;
     }
-    ++mHeld;
-    mTaken.push_back(leaving);
+    ++mOpenCount;
+    mTaken.push_back(closing);
   }
   eventfd_write(mWake, 1);
 }
@@ -78,44 +78,44 @@
 LingeringCloser::Empty() const
 {
   std::lock_guard<std::mutex> lock(mLock);
-  return mHeld == 0;
+  return mOpenCount == 0;
 }
 
 bool
-LingeringCloser::DiscardInput(std::vector<Leaving>& aLeaving) const
+LingeringCloser::DiscardInput(std::vector<ClosingSocket>& aClosing) const
 {
   std::vector<pollfd> ends;
   ends.push_back({ mWake, POLLIN, 0 });
-  for (const Leaving& leaving : aLeaving) {
-    ends.push_back({ leaving.mSocket.impl()->sockfd(), POLLIN, 0 });
+  for (const ClosingSocket& closing : aClosing) {
+    ends.push_back({ closing.mSocket.impl()->sockfd(), POLLIN, 0 });
   }
-  int wait = aLeaving.empty() ? -1 : static_cast<int>(kLook.count());
+  int wait = aClosing.empty() ? -1 : static_cast<int>(kPollInterval.count());
   poll(ends.data(), ends.size(), wait);
   auto now = SteadyClock::now();
   size_t at = 0;
-  auto over = [&](Leaving& aOne) {
+  auto over = [&](ClosingSocket& aOne) {
     bool readable = ends[++at].revents != 0;
     return now > aOne.mUntil || (readable && !Discard(aOne.mSocket));
   };
-  aLeaving.erase(std::remove_if(aLeaving.begin(), aLeaving.end(), over),
-                 aLeaving.end());
+  aClosing.erase(std::remove_if(aClosing.begin(), aClosing.end(), over),
+                 aClosing.end());
   return ends[0].revents != 0;
 }
 
 void
 LingeringCloser::Run()
 {
-  std::vector<Leaving> leaving;
+  std::vector<ClosingSocket> closing;
   for (;;) {
-    if (DiscardInput(leaving)) {
+    if (DiscardInput(closing)) {
       eventfd_t count = 0;
       eventfd_read(mWake, &count);
     }
     std::lock_guard<std::mutex> lock(mLock);
-    leaving.insert(leaving.end(), mTaken.begin(), mTaken.end());
+    closing.insert(closing.end(), mTaken.begin(), mTaken.end());
     mTaken.clear();
-    mHeld = leaving.size();
-    if (mEnding) {
+    mOpenCount = closing.size();
+    if (mStopping) {
       return;
     }
   }
--- a/src/net/LingeringCloser.h
+++ b/src/net/LingeringCloser.h
@@ -25,7 +25,7 @@
   bool Empty() const;
 
 private:
-  struct Leaving
+  struct ClosingSocket
   {
     Poco::Net::StreamSocket mSocket;
     std::chrono::steady_clock::time_point mUntil;
@@ -33,13 +33,13 @@
 
   void Run();
   // Whether it was woken.
-  bool DiscardInput(std::vector<Leaving>& aLeaving) const;
+  bool DiscardInput(std::vector<ClosingSocket>& aClosing) const;
 
   int mWake; // something was taken, or the end
   mutable std::mutex mLock;
-  std::vector<Leaving> mTaken;
-  size_t mHeld = 0; // taken and not yet closed
-  bool mEnding = false;
+  std::vector<ClosingSocket> mTaken;
+  size_t mOpenCount = 0; // taken and not yet closed
+  bool mStopping = false;
   std::thread mThread;
 };
 
--- a/src/net/OutboundCall.cpp
+++ b/src/net/OutboundCall.cpp
@@ -82,9 +82,9 @@
       call->OnData();
     }
   };
-  events.mEnd = [weak](ChannelCloseReason aEnd) {
+  events.mEnd = [weak](ChannelCloseReason aReason) {
     if (auto call = weak.lock()) {
-      call->OnEnd(aEnd);
+      call->OnEnd(aReason);
     }
   };
   mChannel->Listen(std::move(events));
@@ -94,7 +94,7 @@
 OutboundCall::OnData()
 {
   auto self = shared_from_this();
-  while (!mOver && (mAnswer || ReadHead())) {
+  while (!mFinished && (mAnswer || ReadHead())) {
     ReadBody();
     if (mAnswer) {
       return; // more of the body is due
@@ -121,36 +121,36 @@
   if (head.mStatus < 200) {
     return ReadHead();
   }
-  mOurs = !mEvents.mMatchesRequest || mEvents.mMatchesRequest(head);
-  if (!mOurs && (++mForeignAnswers > kMaxForeignAnswers ||
-                 head.mFraming == BodyFraming::UntilClose)) {
+  mMatches = !mEvents.mMatchesRequest || mEvents.mMatchesRequest(head);
+  if (!mMatches && (++mForeignAnswers > kMaxForeignAnswers ||
+                    head.mFraming == BodyFraming::UntilClose)) {
     Finish(CallOutcome::Malformed);
     return false;
   }
   mReader.emplace(head);
   mAnswer = std::move(head);
-  if (mOurs && mEvents.mHead) {
+  if (mMatches && mEvents.mHead) {
     mEvents.mHead(*mAnswer);
   }
-  return !mOver;
+  return !mFinished;
 }
 
 void
 OutboundCall::ReadBody()
 {
   bool good = mReader->Take(mChannel->Input(), mBody);
-  if (!mOurs) {
+  if (!mMatches) {
     mBody.clear();
   } else if (!mBody.empty() && mEvents.mBody) {
     mEvents.mBody(mBody);
   }
-  if (mOver) {
+  if (mFinished) {
     return;
   }
   if (!good) {
     Finish(CallOutcome::Malformed);
-  } else if (mReader->Done() && mOurs) {
-    Finish(CallOutcome::Whole);
+  } else if (mReader->Done() && mMatches) {
+    Finish(CallOutcome::Complete);
   } else if (mReader->Done()) {
     mAnswer.reset();
     mReader.reset();
@@ -158,18 +158,18 @@
 }
 
 void
-OutboundCall::OnEnd(ChannelCloseReason aEnd)
+OutboundCall::OnEnd(ChannelCloseReason aReason)
 {
   auto self = shared_from_this();
-  if (mOver) {
+  if (mFinished) {
     return;
   }
-  if (mAnswer && mOurs && aEnd == ChannelCloseReason::Closed &&
+  if (mAnswer && mMatches && aReason == ChannelCloseReason::Closed &&
       mReader->Close()) {
-    Finish(CallOutcome::Whole);
+    Finish(CallOutcome::Complete);
     return;
   }
-  Finish(mChannel->Sent() ? CallOutcome::Cut : CallOutcome::NotSent);
+  Finish(mChannel->Sent() ? CallOutcome::Interrupted : CallOutcome::NotSent);
 }
 
 bool
@@ -181,12 +181,12 @@
 }
 
 void
-OutboundCall::Finish(CallOutcome aEnd)
+OutboundCall::Finish(CallOutcome aOutcome)
 {
-  mOver = true;
+  mFinished = true;
   // Bytes beyond the answer belong to nobody; such a connection isn't used
   // again, nor one whose request wasn't read to its end.
-  if (aEnd == CallOutcome::Whole && MayKeep()) {
+  if (aOutcome == CallOutcome::Complete && MayKeep()) {
     mPool.Keep(
       mRequest.mAddress, mRequest.mPeer, mChannel, IdleTimeoutOf(*mAnswer));
   } else {
@@ -194,15 +194,15 @@
   }
   Events events = std::move(mEvents);
   if (events.mEnd) {
-    events.mEnd(aEnd);
+    events.mEnd(aOutcome);
   }
 }
 
 void
 OutboundCall::Cancel()
 {
-  if (!mOver) {
-    mOver = true;
+  if (!mFinished) {
+    mFinished = true;
     // Not destroyed here: this may run inside one of them.
     mReactor.After(Millis(0), [events = std::move(mEvents)] {});
     mEvents = Events();
@@ -222,55 +222,55 @@
 StartBufferedCall(Reactor& aReactor,
                   ChannelPool& aPool,
                   OutboundRequest aRequest,
-                  Millis aMost,
+                  Millis aTimeout,
                   std::function<void(BufferedAnswer&)> aDone)
 {
-  struct Waiting
+  struct PendingCall
   {
     BufferedAnswer mAnswer;
     std::shared_ptr<OutboundCall> mCall;
     std::function<void(BufferedAnswer&)> mDone;
-    bool mOver = false;
+    bool mFinished = false;
   };
-  auto waiting = std::make_shared<Waiting>();
-  waiting->mDone = std::move(aDone);
-  auto finish = [waiting, &aReactor](CallOutcome aEnd) {
-    if (waiting->mOver) {
+  auto pending = std::make_shared<PendingCall>();
+  pending->mDone = std::move(aDone);
+  auto finish = [pending, &aReactor](CallOutcome aOutcome) {
+    if (pending->mFinished) {
       return;
     }
-    waiting->mOver = true;
-    waiting->mAnswer.mEnd = aEnd;
-    if (aEnd != CallOutcome::Whole) {
-      waiting->mAnswer.mStatus = 0;
+    pending->mFinished = true;
+    pending->mAnswer.mEnd = aOutcome;
+    if (aOutcome != CallOutcome::Complete) {
+      pending->mAnswer.mStatus = 0;
     }
-    waiting->mDone(waiting->mAnswer);
+    pending->mDone(pending->mAnswer);
     // The call may be running its own event: let go of it a turn later.
-    aReactor.After(Millis(0), [call = std::move(waiting->mCall)] {});
+    aReactor.After(Millis(0), [call = std::move(pending->mCall)] {});
   };
   OutboundCall::Events events;
-  events.mHead = [waiting](const HttpHead& aHead) {
-    waiting->mAnswer.mStatus = aHead.mStatus;
-    waiting->mAnswer.mHead = aHead;
+  events.mHead = [pending](const HttpHead& aHead) {
+    pending->mAnswer.mStatus = aHead.mStatus;
+    pending->mAnswer.mHead = aHead;
   };
-  events.mBody = [waiting](std::string& aBytes) {
-    waiting->mAnswer.mBody += aBytes;
+  events.mBody = [pending](std::string& aBytes) {
+    pending->mAnswer.mBody += aBytes;
     aBytes.clear();
   };
   events.mEnd = finish;
-  waiting->mCall = OutboundCall::Start(
+  pending->mCall = OutboundCall::Start(
     aReactor, aPool, std::move(aRequest), std::move(events));
-  std::weak_ptr<Waiting> weak = waiting;
-  aReactor.After(aMost, [weak, finish] {
-    auto still = weak.lock();
-    if (still && !still->mOver) {
-      bool sent = still->mCall && still->mCall->Sent();
-      if (still->mCall) {
-        still->mCall->Cancel();
+  std::weak_ptr<PendingCall> weak = pending;
+  aReactor.After(aTimeout, [weak, finish] {
+    auto alive = weak.lock();
+    if (alive && !alive->mFinished) {
+      bool sent = alive->mCall && alive->mCall->Sent();
+      if (alive->mCall) {
+        alive->mCall->Cancel();
       }
-      finish(sent ? CallOutcome::Cut : CallOutcome::NotSent);
+      finish(sent ? CallOutcome::Interrupted : CallOutcome::NotSent);
     }
   });
-  return waiting->mCall;
+  return pending->mCall;
 }
 
 } // namespace caraway
--- a/src/net/OutboundCall.h
+++ b/src/net/OutboundCall.h
@@ -15,10 +15,10 @@
 
 enum class CallOutcome
 {
-  Whole,     // the whole answer was read
-  NotSent,   // no byte of the request left: it can't have run
-  Cut,       // ended before the answer did; it may have run
-  Malformed, // what came isn't an answer; it may have run
+  Complete,    // the whole answer was read
+  NotSent,     // no byte of the request left: it can't have run
+  Interrupted, // ended before the answer did; it may have run
+  Malformed,   // what came isn't an answer; it may have run
 };
 
 struct OutboundRequest
@@ -61,10 +61,10 @@
   void Open();
   void Attach();
   void OnData();
-  void OnEnd(ChannelCloseReason aEnd);
+  void OnEnd(ChannelCloseReason aReason);
   bool ReadHead();
   void ReadBody();
-  void Finish(CallOutcome aEnd);
+  void Finish(CallOutcome aOutcome);
   bool MayKeep() const;
 
   Reactor& mReactor;
@@ -75,10 +75,10 @@
   std::optional<HttpHead> mAnswer;
   std::optional<BodyReader> mReader;
   std::string mBody;
-  bool mOurs = true;
+  bool mMatches = true;
   int mForeignAnswers = 0;
   bool mReused = false;
-  bool mOver = false;
+  bool mFinished = false;
 };
 
 // A whole short answer, or none: status 0.
@@ -87,7 +87,7 @@
   int mStatus = 0;
   HttpHead mHead;
   std::string mBody;
-  CallOutcome mEnd = CallOutcome::Cut;
+  CallOutcome mEnd = CallOutcome::Interrupted;
 };
 
 // Runs aRequest to its end within aMost and hands over the whole answer.
@@ -96,7 +96,7 @@
 StartBufferedCall(Reactor& aReactor,
                   ChannelPool& aPool,
                   OutboundRequest aRequest,
-                  Millis aMost,
+                  Millis aTimeout,
                   std::function<void(BufferedAnswer&)> aDone);
 
 } // namespace caraway
--- a/src/net/Reactor.cpp
+++ b/src/net/Reactor.cpp
@@ -25,7 +25,7 @@
   auto timers = std::move(mTimers);
   mHandlers.clear();
   mTimers.clear();
-  mPolls.clear();
+  mPollSet.clear();
 }
 
 void
@@ -37,16 +37,17 @@
     return;
   }
   mHandlers[aSocket.impl()] = std::move(aHandler);
-  mPolls.add(aSocket, PollSet::POLL_READ | (aWrite ? PollSet::POLL_WRITE : 0));
+  mPollSet.add(aSocket,
+               PollSet::POLL_READ | (aWrite ? PollSet::POLL_WRITE : 0));
 }
 
 void
 Reactor::SetInterest(const Poco::Net::Socket& aSocket, bool aRead, bool aWrite)
 {
   if (mHandlers.count(aSocket.impl())) {
-    mPolls.update(aSocket,
-                  PollSet::POLL_ERROR | (aRead ? PollSet::POLL_READ : 0) |
-                    (aWrite ? PollSet::POLL_WRITE : 0));
+    mPollSet.update(aSocket,
+                    PollSet::POLL_ERROR | (aRead ? PollSet::POLL_READ : 0) |
+                      (aWrite ? PollSet::POLL_WRITE : 0));
   }
 }
 
@@ -54,7 +55,7 @@
 Reactor::Forget(const Poco::Net::Socket& aSocket)
 {
   if (mHandlers.erase(aSocket.impl())) {
-    mPolls.remove(aSocket);
+    mPollSet.remove(aSocket);
   }
 }
 
@@ -85,22 +86,22 @@
 }
 
 Millis
-Reactor::PollTimeout(Millis aMost) const
+Reactor::PollTimeout(Millis aMaxWait) const
 {
   if (mTimers.empty()) {
-    return aMost;
+    return aMaxWait;
   }
   auto left = mTimers.begin()->first.first - Now();
   // Rounded up: waking a fraction early would spin until the timer is due.
   Millis wait = std::chrono::duration_cast<Millis>(left + Micros(999));
-  return std::clamp(wait, Millis(0), aMost);
+  return std::clamp(wait, Millis(0), aMaxWait);
 }
 
 void
-Reactor::RunPass(Millis aMost)
+Reactor::RunPass(Millis aMaxWait)
 {
-  Poco::Timespan wait(Micros(PollTimeout(aMost)).count());
-  for (const auto& [socket, mode] : mPolls.poll(wait)) {
+  Poco::Timespan wait(Micros(PollTimeout(aMaxWait)).count());
+  for (const auto& [socket, mode] : mPollSet.poll(wait)) {
     // A handler may forget others, or itself: looked up anew each time.
     auto found = mHandlers.find(socket.impl());
     if (found == mHandlers.end()) {
--- a/src/net/Reactor.h
+++ b/src/net/Reactor.h
@@ -53,7 +53,7 @@
   void Cancel(const TimerId& aTimer);
 
   // One wait, at most aMost, and what it brought.
-  void RunPass(Millis aMost);
+  void RunPass(Millis aMaxWait);
 
   TimePoint Now() const { return mClock.Now(); }
   const Clock& SourceClock() const { return mClock; }
@@ -61,10 +61,10 @@
 
 private:
   void RunTimers();
-  Millis PollTimeout(Millis aMost) const;
+  Millis PollTimeout(Millis aMaxWait) const;
 
   const Clock& mClock;
-  Poco::Net::PollSet mPolls;
+  Poco::Net::PollSet mPollSet;
   std::unordered_map<void*, std::shared_ptr<SocketHandler>> mHandlers;
   std::map<TimerId, Task> mTimers;
   uint64_t mNextTimer = 0;
