--- a/src/net/BodyReader.cpp
+++ b/src/net/BodyReader.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// A size line or trailer longer than this is no chunk of a real sender.
+// Longer size lines, trailers and chunks are rejected; no real sender makes
+// any.
 constexpr size_t kMaxLineBytes = 256;
 constexpr size_t kMaxChunkBytes = 1u << 30;
 
--- a/src/net/BodyReader.h
+++ b/src/net/BodyReader.h
@@ -1,4 +1,4 @@
-// BodyReader.h: takes a message body out of a byte stream, by its framing.
+// BodyReader.h: extracts a message body from a byte stream, by its framing.
 #ifndef caraway_net_BodyReader_h
 #define caraway_net_BodyReader_h
 
@@ -14,10 +14,10 @@
 public:
   explicit BodyReader(const HttpHead& aHead);
 
-  // Moves body bytes from the front of aIn to the end of aBody; what follows
-  // the body stays in aIn. False when the bytes break the framing.
+  // Moves body bytes from the front of aIn to the end of aBody; bytes after the
+  // body stay in aIn. Returns false if the bytes violate the framing.
   bool Take(std::string& aIn, std::string& aBody);
-  // The sender closed. True when that ends the body properly.
+  // Called when the sender has closed. Returns true if the body is complete.
   bool Close();
   bool Done() const { return mDone; }
 
@@ -34,7 +34,7 @@
   bool TakeLine(std::string_view aIn, size_t& aAt, std::string_view& aLine);
 
   BodyFraming mFraming;
-  size_t mLeft = 0; // of the body, or of the chunk
+  size_t mLeft = 0; // bytes left of the body or of the chunk
   Part mPart = Part::Size;
   bool mDone = false;
 };
--- a/src/net/Channel.cpp
+++ b/src/net/Channel.cpp
@@ -10,23 +10,24 @@
 
 namespace {
 
-// A machine without power, or behind a cut, answers nothing at all. Without
-// these a connection to it hangs for minutes, and a request with it. Two
-// seconds: longer than a link's hiccup, shorter than most deadlines.
+// A host without power or behind a network partition sends no answer at all.
+// Without these options a connection to it, and the request on it, would hang
+// for minutes. Two seconds is longer than a short loss of the link and shorter
+// than most deadlines.
 constexpr int kUserTimeoutMs = 2000;
 constexpr int kProbeIdleSeconds = 1;
 constexpr int kProbeIntervalSeconds = 1;
 constexpr int kProbes = 2;
 
-// Unread input that stops the reading of a connection for this turn.
+// Bytes read from a connection per pass of the event loop.
 constexpr size_t kReadBufferBytes = 16384;
 
-// How long the other side's last bytes are read after the last answer.
+// How long input is read and discarded after the last answer.
 constexpr Millis kLinger{ 300 };
 
-// POCO reports a full or an empty buffer of a socket like a broken connection.
-// Taken for one, whatever didn't fit at once was lost: a slow caller's stream
-// went on after a gap of whole events.
+// POCO throws for a full or empty socket buffer as for a broken connection.
+// Treating it as broken would drop the output that didn't fit, and the stream
+// of a slow caller would lack whole events.
 bool
 WouldBlock(const Poco::Exception& aError)
 {
@@ -79,7 +80,7 @@
     SetOptions(channel->mSocket);
     channel->Start(true);
   } catch (const Poco::Exception&) {
-    // Told by the timer below, so that the caller can listen first.
+    // Reported by the timer below, after the caller has set its events.
     aTimeout = Millis(0);
   }
   std::weak_ptr<Channel> weak = channel;
@@ -128,8 +129,8 @@
       done += static_cast<size_t>(sent);
     }
   } catch (const Poco::Exception& error) {
-    // The read side tells the end: an answer may still lie there, sent before
-    // the other side stopped reading.
+    // The end is reported by the read side, which may still hold an answer that
+    // the other side sent before it stopped reading.
     if (!WouldBlock(error)) {
       done = mOutput.size();
       SetReading(true);
@@ -182,7 +183,7 @@
   try {
     mSocket.shutdownSend();
   } catch (const Poco::Exception&) {
-    Close(); // the other side has ended it already
+    Close(); // the other side has closed it already
   }
 }
 
@@ -224,7 +225,7 @@
       return true;
     }
     if (count < 0) {
-      return true; // nothing there yet
+      return true; // no data yet
     }
     aReason = ChannelCloseReason::Closed;
   } catch (const Poco::Exception& error) {
@@ -291,7 +292,7 @@
   mReactor.Forget(mSocket);
   mSocket.close();
   mOutput.clear();
-  // Not cleared here: this may run inside one of them.
+  // Destroyed later: this may run inside one of the callbacks.
   mReactor.After(Millis(0), [events = std::move(mEvents)] {});
   mEvents = Events();
 }
@@ -314,7 +315,7 @@
   if (!mConnecting) {
     Flush();
   }
-  // A reader that has stopped reading is given up as well.
+  // The time is limited also for a peer that has stopped reading.
   LingerFor(mOutput.empty() ? kLinger : kLinger * 10);
 }
 
--- a/src/net/Channel.h
+++ b/src/net/Channel.h
@@ -1,4 +1,4 @@
-// Channel.h: one TCP connection on a reactor, with bytes queued both ways.
+// Channel.h: one TCP connection on a reactor, with input and output buffers.
 #ifndef caraway_net_Channel_h
 #define caraway_net_Channel_h
 
@@ -12,11 +12,11 @@
 
 namespace caraway {
 
-// How a connection ended, as far as this side can tell.
+// How a connection ended, as far as this side knows.
 enum class ChannelCloseReason
 {
-  Closed, // the other side ended it properly
-  Failed, // reset, timed out, or never made
+  Closed, // closed by the other side
+  Failed, // reset, timed out or not established
 };
 
 class Channel
@@ -26,19 +26,20 @@
 public:
   struct Events
   {
-    std::function<void()> mData; // more in Input()
+    std::function<void()> mData; // more bytes in Input()
     std::function<void(ChannelCloseReason)>
-      mEnd;                           // once; the channel is closed then
-    std::function<void()> mConnected; // outgoing ones only
+      mEnd;                           // once, after the channel has closed
+    std::function<void()> mConnected; // outgoing connections only
     std::function<void()> mDrained;   // Queued() reached zero
-    // Once, after Finish(): so many bytes were received and dropped.
+    // Once, after Finish(): the number of bytes received and discarded, if any.
     std::function<void(size_t)> mDropped;
   };
 
-  // An accepted connection.
+  // Wraps an accepted connection.
   static std::shared_ptr<Channel> Accepted(Reactor& aReactor,
                                            const Poco::Net::StreamSocket& aIn);
-  // Begins to connect; mEnd(Failed) when that fails or takes over aMost.
+  // Starts to connect; mEnd(Failed) follows if that fails or takes longer than
+  // aTimeout.
   static std::shared_ptr<Channel> Connect(Reactor& aReactor,
                                           const std::string& aAddress,
                                           Millis aTimeout);
@@ -46,26 +47,30 @@
 
   void Listen(Events aEvents) { mEvents = std::move(aEvents); }
   void Write(std::string_view aBytes);
-  // Closes at once; no event follows.
+  // Closes at once. No event follows.
   void Close();
-  // Closes once everything queued is sent, reading on for a moment so that
-  // unread bytes don't turn the close into a reset that eats the answer.
+  // Closes once all output is sent. Input is read and discarded for a short
+  // time, because a close with unread input resets the connection, and the
+  // reset can overtake the answer.
   void Finish();
   // Closes a connection on which no answer is due. Nothing more is read, so
-  // that the other side knows that what it sends now was taken by nobody.
+  // that the reset shows the other side that later requests were not processed.
   void FinishWithoutReading();
-  // Takes in what has arrived already, as when the socket is readable.
+  // Reads what has arrived already, as when the socket is readable.
   void ReadAvailable() { OnReadable(); }
-  // False: what arrives waits with the sender; see CloseIfPeerClosed.
+  // While reading is off, TCP flow control holds the sender back; see
+  // CloseIfPeerClosed.
   void SetReading(bool aReading);
-  // While nothing is read, an end of the other side isn't noticed: told now.
+  // A close by the other side isn't noticed while reading is off. This checks
+  // for it and reports it.
   void CloseIfPeerClosed();
 
   std::string& Input() { return mInput; }
   size_t Queued() const { return mOutput.size(); }
   bool Open() const { return mOpen; }
   bool Ready() const { return mOpen && !mConnecting; }
-  // Bytes were handed to the network; before that nobody can have run them.
+  // Whether bytes were handed to the network. A request of which none were
+  // can't have run.
   bool Sent() const { return mSent; }
 
   void OnReadable() override;
@@ -93,8 +98,8 @@
   bool mReading = true;
   bool mSent = false;
   bool mFinishing = false;
-  bool mReadingStopped = false; // FinishWithoutReading() was called
-  size_t mDropped = 0;          // bytes, since Finish()
+  bool mReadingStopped = false; // by FinishWithoutReading()
+  size_t mDropped = 0;          // bytes discarded since Finish()
   Reactor::TimerId mTimer;
 };
 
--- a/src/net/ChannelPool.cpp
+++ b/src/net/ChannelPool.cpp
@@ -19,12 +19,12 @@
     return nullptr;
   }
   std::vector<IdleChannel>& idle = found->second;
-  // The newest first: the others may then grow old and be closed.
+  // The most recently used one first, so that the others can time out.
   while (!idle.empty()) {
     IdleChannel last = std::move(idle.back());
     idle.pop_back();
     auto age = std::chrono::duration_cast<Millis>(mReactor.Now() - last.mSince);
-    // Its server may have ended it a moment ago.
+    // The server may have closed it meanwhile.
     last.mChannel->ReadAvailable();
     bool fresh =
       age.count() < aMaxShare * static_cast<double>(last.mIdleTimeout.count());
@@ -46,8 +46,9 @@
                   std::shared_ptr<Channel> aChannel,
                   Millis aIdleTimeout)
 {
-  // Whatever arrives on an idle connection belongs to no request: a second or
-  // late answer. Closed, so that it can't be taken for the next one's.
+  // Input on an idle connection belongs to no request: it is a second or late
+  // answer. The connection is closed, so that the input can't be taken for the
+  // answer to the next request.
   Channel* raw = aChannel.get();
   Channel::Events events;
   events.mData = [raw] { raw->Close(); };
--- a/src/net/ChannelPool.h
+++ b/src/net/ChannelPool.h
@@ -1,4 +1,4 @@
-// ChannelPool.h: idle connections to servers, kept for the next request.
+// ChannelPool.h: idle connections to servers, kept for later requests.
 #ifndef caraway_net_ChannelPool_h
 #define caraway_net_ChannelPool_h
 
@@ -15,20 +15,22 @@
 public:
   explicit ChannelPool(Reactor& aReactor);
 
-  // A connection to aAddress that aPeer (the server's identity) answered on
-  // last, idle for less than aIdle and less than aShare of the time that the
-  // server keeps it; null when there is none.
+  // Returns a connection to aAddress whose last answer came from aPeer (the
+  // server's identity) and which has been idle for less than aMaxShare of the
+  // server's idle timeout; null if there is none.
   std::shared_ptr<Channel> Take(const std::string& aAddress,
                                 const std::string& aPeer,
                                 double aMaxShare);
-  // aKept: how long the server said that it keeps idle connections.
+  // aIdleTimeout: how long the server keeps idle connections, by its own
+  // answer.
   void Keep(const std::string& aAddress,
             const std::string& aPeer,
             std::shared_ptr<Channel> aChannel,
             Millis aIdleTimeout);
-  // Closes what is idle for longer than its server keeps it.
+  // Closes connections that have been idle for longer than their server's
+  // timeout.
   void Sweep();
-  // Closes all that is idle to aPeer.
+  // Closes all idle connections to aPeer.
   void Drop(const std::string& aAddress, const std::string& aPeer);
 
 private:
--- a/src/net/HttpCall.h
+++ b/src/net/HttpCall.h
@@ -1,4 +1,4 @@
-// HttpCall.h: one HTTP call, and how far it got.
+// HttpCall.h: one blocking HTTP call, and how far it got.
 #ifndef caraway_net_HttpCall_h
 #define caraway_net_HttpCall_h
 
@@ -19,19 +19,19 @@
   std::vector<std::pair<std::string, std::string>> mHeaders;
   std::string mBody;
   Millis mConnectTimeout{ 500 };
-  Millis mTimeout{ 2000 }; // whole call, connecting included
-  bool mResend = true;     // HttpPool: may it go out a second time?
-  size_t mReplyLimit = 8 * 1024 * 1024; // bytes of answer body
+  Millis mTimeout{ 2000 }; // of the whole call, including the connect
+  bool mResend = true;     // HttpPool may send it a second time
+  size_t mReplyLimit = 8 * 1024 * 1024; // bytes of the answer's body
 };
 
-// How far a call got. The line between NotSent and Lost decides whether a
-// refusal may say "not run": NotSent is claimed only while no byte of the
-// request has been offered to a socket.
+// How far a call got. A refusal may say "not run" after NotSent but not after
+// Lost: NotSent is returned only if no byte of the request was written to a
+// socket.
 enum class HttpStage
 {
-  NotSent,  // no connection came about
-  Lost,     // offered, and no whole answer came back
-  Answered, // whole answer, its length checked
+  NotSent,  // no connection was established
+  Lost,     // written, and no complete answer was received
+  Answered, // complete answer, by its stated length
 };
 
 struct HttpReply
@@ -40,7 +40,7 @@
   int mStatus = 0;
   std::map<std::string, std::string> mHeaders; // names in lower case
   std::string mBody;
-  std::string mError; // why not Answered
+  std::string mError; // the reason if not Answered
 
   std::string Header(const std::string& aName) const;
   bool Ok() const
@@ -49,9 +49,9 @@
   }
 };
 
-// A new connection for this one call, closed after it. For orders that must
-// not be repeated: a kept-alive connection that the other side has closed
-// would leave it unknown whether the order was read.
+// Uses a new connection for this one call. For orders that must not be
+// repeated: on a kept-alive connection that the other side has closed it would
+// be unknown whether the order was read.
 HttpReply
 HttpCallOnce(const HttpCall& aCall);
 
--- a/src/net/HttpConnection.cpp
+++ b/src/net/HttpConnection.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// Accepted while the port ends: its request is on its way.
+// For a connection accepted while the port ends: its request is in transit.
 constexpr Millis kFinalRequestWait{ 100 };
 
-// What a handler left of a body would be taken for the next request. False:
-// there is more of it than is worth reading.
+// Discards what the handler has not read of the body, which would be taken for
+// the next request. Returns false if more is left than is worth reading.
 bool
 DiscardInput(Poco::Net::HTTPServerRequest& aRequest)
 {
@@ -72,7 +72,7 @@
     disposition = Serve(session);
   }
   if (disposition == Disposition::Close) {
-    // Left to the session it would be closed with it.
+    // Detached, because the session would close the socket.
     mState.mLinger.Take(session.detachSocket());
   }
 }
@@ -95,7 +95,7 @@
 HttpConnection::Disposition
 HttpConnection::Serve(Session& aSession)
 {
-  // The answer's last bytes go out when the response ends, before this does.
+  // Outlives the response, whose destructor sends the last bytes of the answer.
   RequestInFlight inFlight(mState.mShutdown);
   Poco::Net::HTTPServerResponseImpl response(aSession);
   try {
@@ -113,7 +113,7 @@
     aSession.setKeepAlive(keep);
     return keep ? Disposition::Keep : Disposition::Close;
   } catch (const Poco::Net::NoMessageException&) {
-    return Disposition::Disconnected; // ended by its caller
+    return Disposition::Disconnected; // closed by the caller
   } catch (const Poco::Net::MessageException&) {
     response.setVersion(Poco::Net::HTTPMessage::HTTP_1_1);
     response.setStatusAndReason(Poco::Net::HTTPResponse::HTTP_BAD_REQUEST);
@@ -134,7 +134,8 @@
   try {
     mState.mHandler(aRequest, aResponse);
   } catch (const Poco::Exception& error) {
-    // The caller has gone, mostly. Its connection ends with this request.
+    // Usually the caller has disconnected. The connection ends with this
+    // request.
     aResponse.setKeepAlive(false);
     LogInfo("connection_lost", { { "reason", error.displayText() } });
   } catch (const std::exception& error) {
--- a/src/net/HttpConnection.h
+++ b/src/net/HttpConnection.h
@@ -1,4 +1,4 @@
-// HttpConnection.h: one caller's connection, from its first request to its end.
+// HttpConnection.h: serves the requests of one connection of an HttpPort.
 #ifndef caraway_net_HttpConnection_h
 #define caraway_net_HttpConnection_h
 
@@ -12,7 +12,7 @@
 
 namespace caraway {
 
-// What the connections of a port share.
+// State shared by the connections of a port.
 struct HttpPortState
 {
   HttpPortLimits mLimits;
@@ -22,8 +22,8 @@
   LingeringCloser mLinger;
 };
 
-// Decides alone when a connection ends: after an answer that said so, by its
-// caller, after its idle time, or at the port's end when no request has begun.
+// A connection ends only after an answer that said so, when its caller closes
+// it, after its idle time, or at the port's end if no request has begun.
 class HttpConnection : public Poco::Net::TCPServerConnection
 {
 public:
@@ -38,8 +38,8 @@
   enum class Disposition
   {
     Keep,
-    Close,        // with an answer, as that said
-    Disconnected, // nobody is left to answer
+    Close,        // the answer said that the connection ends
+    Disconnected, // the caller has closed the connection
   };
 
   bool AwaitRequest(const Session& aSession, bool aFirst);
--- a/src/net/HttpExchange.cpp
+++ b/src/net/HttpExchange.cpp
@@ -35,9 +35,9 @@
   out.flush();
 }
 
-// On the socket itself: what a session is told about timeouts counts only
-// when it connects, and ours are given a connected one. Without this a server
-// that never answers holds the caller for ever.
+// Sets the timeouts of the socket. A session applies its own timeouts only when
+// it connects, and these sessions get a connected socket; a server that never
+// answers would block the caller for ever.
 void
 SetSocketTimeouts(Poco::Net::HTTPClientSession& aSession,
                   std::chrono::steady_clock::time_point aDeadline)
@@ -49,7 +49,7 @@
   aSession.socket().setSendTimeout(span);
 }
 
-// False when aLimit would be passed or the time is up.
+// Returns false if the body exceeds aLimit or the deadline passes.
 bool
 ReadBody(Poco::Net::HTTPClientSession& aSession,
          std::istream& aIn,
@@ -69,8 +69,8 @@
   return true;
 }
 
-// A connection cut in the middle looks like the end of the stream to the
-// reader. Only a stated length proves that the answer is whole.
+// A connection that breaks in the middle of a body looks like the end of the
+// stream. Only a stated length proves that the answer is complete.
 bool
 LengthMatches(const Poco::Net::HTTPResponse& aResponse, size_t aReceived)
 {
@@ -118,9 +118,9 @@
       reply.mHeaders[Poco::toLower(header.first)] = header.second;
     }
     if (!ReadBody(aSession, in, aCall.mReplyLimit, deadline, reply.mBody)) {
-      reply.mError = "answer too large or too late";
+      reply.mError = "answer exceeds the size limit or the deadline";
     } else if (!LengthMatches(response, reply.mBody.size())) {
-      reply.mError = "answer cut short";
+      reply.mError = "answer incomplete, or without a Content-Length";
     } else {
       reply.mStage = HttpStage::Answered;
     }
--- a/src/net/HttpExchange.h
+++ b/src/net/HttpExchange.h
@@ -1,4 +1,4 @@
-// HttpExchange.h: request out, whole answer in, on a given session.
+// HttpExchange.h: sends a request and reads the complete answer on a session.
 #ifndef caraway_net_HttpExchange_h
 #define caraway_net_HttpExchange_h
 
@@ -9,11 +9,11 @@
 
 namespace caraway {
 
-// Connected socket, or a null one with aError set; nothing was offered then.
+// Returns a connected socket, or an unconnected one and aError set.
 Poco::Net::StreamSocket
 HttpConnect(const HttpCall& aCall, std::string& aError);
 
-// Never throws. The stage of the reply is Lost or Answered.
+// Never throws. The reply's stage is Lost or Answered.
 HttpReply
 HttpExchange(Poco::Net::HTTPClientSession& aSession,
              const HttpCall& aCall,
--- a/src/net/HttpHead.cpp
+++ b/src/net/HttpHead.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::string_view kEndOfHead = "\r\n\r\n";
-constexpr size_t kMaxFields = 128; // far above any real caller's
+constexpr size_t kMaxFields = 128; // far more than any real caller sends
 
 char
 Lower(char aChar)
@@ -91,7 +91,7 @@
   return length;
 }
 
-// False when the framing could be read in two ways.
+// Returns false if the framing is ambiguous.
 bool
 ReadFraming(HttpHead& aHead, BodyFraming aDefault)
 {
--- a/src/net/HttpHead.h
+++ b/src/net/HttpHead.h
@@ -1,9 +1,8 @@
-// HttpHead.h: one message head, read strictly from a buffer.
+// HttpHead.h: strict parser and writer for HTTP message heads.
 //
-// POCO's reader takes a blocking stream and accepts what proxies must not:
-// two lengths, a space before a colon, a bare line feed. A head that two
-// readers understand differently lets a caller hide a second request in the
-// first; what isn't plainly one message is refused here.
+// POCO's parser needs a blocking stream and accepts what a proxy must not: two
+// lengths, a space before a colon, a bare line feed. A head that two parsers
+// read differently allows request smuggling, so ambiguous heads are refused.
 #ifndef caraway_net_HttpHead_h
 #define caraway_net_HttpHead_h
 
@@ -49,21 +48,22 @@
   Bad,
 };
 
-// Names compare without case.
+// Compares ASCII text without case, as for header names.
 bool
 EqualsIgnoreCase(std::string_view aOne, std::string_view aOther);
 
-// Reads a head from the start of aBytes; aUsed = its bytes when Whole.
+// Reads a head from the start of aBytes. If the result is Whole, aUsed is the
+// number of bytes read.
 HeadState
 ReadRequestHead(std::string_view aBytes, HttpHead& aHead, size_t& aUsed);
 HeadState
 ReadAnswerHead(std::string_view aBytes, HttpHead& aHead, size_t& aUsed);
 
-// The fields and the blank line, after aFirstLine.
+// Returns aFirstLine, the fields and the blank line.
 std::string
 WriteHead(const std::string& aFirstLine, const std::vector<HttpField>& aFields);
 
-// Fields that concern one connection only, and framing.
+// Whether a field concerns one connection only, including the framing.
 bool
 IsHopByHopField(std::string_view aName);
 
--- a/src/net/HttpPool.cpp
+++ b/src/net/HttpPool.cpp
@@ -45,8 +45,8 @@
     Put(aCall.mAddress, std::move(session));
     return first;
   }
-  // Most often the other side had closed it while it was idle. A silence has
-  // used the time up, and a second one would last as long again.
+  // Usually the other side had closed the idle connection. If it was silent
+  // instead, the call's time is used up, and a retry would double it.
   HttpCall second = aCall;
   second.mTimeout -= std::chrono::duration_cast<Millis>(
     std::chrono::steady_clock::now() - startedAt);
@@ -55,7 +55,7 @@
   }
   HttpReply reply = CallOnNewSession(second);
   if (reply.mStage == HttpStage::NotSent) {
-    // It was offered, on the kept one; whether it was read can't be told.
+    // It was written to the pooled connection; whether it was read is unknown.
     reply.mStage = HttpStage::Lost;
   }
   return reply;
@@ -71,7 +71,8 @@
   }
   auto session = std::make_unique<Poco::Net::HTTPClientSession>(socket);
   session->setKeepAlive(true);
-  // POCO drops kept sessions itself after this; ours decides by trying.
+  // POCO reconnects by itself after this time. A pooled session is tried
+  // instead.
   session->setKeepAliveTimeout(Poco::Timespan(3600, 0));
   reply = HttpExchange(*session, aCall, true);
   if (reply.mStage == HttpStage::Answered) {
--- a/src/net/HttpPool.h
+++ b/src/net/HttpPool.h
@@ -1,4 +1,4 @@
-// HttpPool.h: kept-alive connections, for calls that may be repeated.
+// HttpPool.h: client connection pool for calls that may be repeated.
 #ifndef caraway_net_HttpPool_h
 #define caraway_net_HttpPool_h
 
@@ -12,17 +12,16 @@
 
 namespace caraway {
 
-// Idle connections by address. A connection whose answer was not read whole
-// is closed, never put back: the next call on it would be given the rest of
-// somebody else's answer.
+// Idle connections by address. A connection whose answer was not read
+// completely is closed: the next call on it would get the rest of that answer.
 class HttpPool
 {
 public:
   explicit HttpPool(size_t aIdlePerAddress = 8);
 
-  // One new try on a fresh connection when a kept one turns out closed before
-  // any byte of answer came: the call may arrive twice. A call with mResend
-  // off is given a fresh connection from the start.
+  // Retries once on a new connection if a pooled one breaks before any byte of
+  // an answer; the call may arrive twice. A call without mResend gets a new
+  // connection from the start.
   HttpReply Call(const HttpCall& aCall);
 
 private:
--- a/src/net/HttpPort.cpp
+++ b/src/net/HttpPort.cpp
@@ -13,10 +13,11 @@
 namespace {
 
 constexpr size_t kChunkBytes = 16 * 1024;
-// Handlers are shallow; 350 nodes pay for each idle thread's stack.
+// Handlers need little stack, and each of 350 nodes holds the stacks of its
+// idle threads.
 constexpr int kStackBytes = 512 * 1024;
-// A thread that is done with its connection is a moment later free for the
-// next; without others the dispatcher would drop that one.
+// A thread becomes free for the next connection only shortly after its last one
+// has ended. Without spare threads the dispatcher would drop that connection.
 constexpr int kSpareThreads = 16;
 
 class ConnectionFactory : public Poco::Net::TCPServerConnectionFactory
@@ -43,7 +44,7 @@
   Poco::Net::HTTPServerParams::Ptr params = new Poco::Net::HTTPServerParams;
   params->setMaxThreads(aLimits.mThreads);
   params->setMaxQueued(aLimits.mWaiting);
-  // A thread of the pool that waits for work holds up the port's end so long.
+  // An idle thread of the pool delays the port's end by up to this time.
   constexpr Millis kThreadIdle{ 500 };
   params->setThreadIdleTime(Poco::Timespan(Micros(kThreadIdle).count()));
   params->setKeepAlive(true);
@@ -62,13 +63,13 @@
   , mPool(2, aLimits.mThreads + kSpareThreads, 30, kStackBytes)
 {
   constexpr int kBacklog = 256;
-  // Never shared: that this process could bind the port is taken as proof
-  // that its former life is dead.
+  // Without SO_REUSEPORT: binding the port proves that the process's earlier
+  // incarnation is dead.
   constexpr bool kReuseAddress = true;
   constexpr bool kReusePort = false;
   mSocket.bind(Poco::Net::SocketAddress(aListen), kReuseAddress, kReusePort);
   mSocket.listen(kBacklog);
-  // One that has gone again between being seen and accepted isn't waited for.
+  // A connection may be closed between poll and accept; accept must not block.
   mSocket.setBlocking(false);
   mAddress = mSocket.address().toString();
   mState->mLimits = aLimits;
@@ -142,8 +143,8 @@
       std::this_thread::sleep_for(kAcceptRetryDelay);
     }
   }
-  // Whoever is connected by now counts as accepted; the next is refused by the
-  // system, and knows that nothing was sent.
+  // Connections established by now are still served. Later ones are refused by
+  // the system, so that their callers know that nothing was sent.
   StopNewHandshakes(mSocket);
   while (mState->mShutdown.WaitForInput(mSocket, Millis(0)) && AcceptOne()) {
   }
@@ -167,7 +168,7 @@
   }
 }
 
-// False when it would wait behind too many, or no thread can be started.
+// Returns false if the queue is full or no thread can be started.
 bool
 HttpPort::Enqueue(const Poco::Net::StreamSocket& aSocket)
 {
@@ -184,7 +185,7 @@
   return false;
 }
 
-// A new connection's buffer takes this whole: it never waits.
+// Never blocks: the answer fits into a new connection's send buffer.
 void
 HttpPort::RejectConnection(Poco::Net::StreamSocket aSocket)
 {
@@ -201,9 +202,9 @@
 
 namespace {
 
-// Reads on past the limit for a while and throws it away. Closed at once, the
-// connection would be reset under a caller that is still sending, and it would
-// never see why.
+// Reads and discards input past the limit for a while. If the connection were
+// closed at once, the reset would reach a caller that is still sending before
+// the refusal.
 leaf::error_id
 TooLarge(std::istream& aIn,
          size_t aLimit,
@@ -242,12 +243,14 @@
       return TooLarge(in, aLimit, deadline);
     }
     if (std::chrono::steady_clock::now() > deadline) {
-      return Fail(ErrorKind::BadRequest, "the body came too slowly");
+      return Fail(ErrorKind::BadRequest,
+                  "the request body did not arrive within the time limit");
     }
   }
   if (aRequest.hasContentLength() &&
       aRequest.getContentLength64() != static_cast<Poco::Int64>(body.size())) {
-    return Fail(ErrorKind::BadRequest, "the body ended early");
+    return Fail(ErrorKind::BadRequest,
+                "the request body is shorter than its Content-Length");
   }
   return body;
 }
--- a/src/net/HttpPort.h
+++ b/src/net/HttpPort.h
@@ -1,4 +1,4 @@
-// HttpPort.h: a listening port with one handler.
+// HttpPort.h: an HTTP server on one listening port, with one handler.
 #ifndef caraway_net_HttpPort_h
 #define caraway_net_HttpPort_h
 
@@ -22,11 +22,11 @@
 
 struct HttpPortLimits
 {
-  int mThreads = 64;         // connections served at a time
-  int mWaiting = 64;         // accepted and not yet served; more: refused
-  std::string mOverloadBody; // of that refusal: a problem document
-  Millis mIdle{ 15000 };     // kept-alive connection without a request
-  Millis mTransfer{ 10000 }; // silence in the middle of a request
+  int mThreads = 64; // connections served concurrently
+  int mWaiting = 64; // connections queued for a thread; more are refused
+  std::string mOverloadBody; // body of that refusal, a problem document
+  Millis mIdle{ 15000 };     // longest idle time of a connection
+  Millis mTransfer{ 10000 }; // longest silence within a request
 };
 
 struct HttpPortState;
@@ -34,23 +34,23 @@
 class HttpPort
 {
 public:
-  // aListen is ip:port; port 0 takes a free one. Throws Poco::Exception when
-  // the address can't be bound: the settings are wrong, and the start fails.
+  // aListen is ip:port; port 0 takes a free one. Throws Poco::Exception if the
+  // address can't be bound.
   HttpPort(const std::string& aListen,
            HttpPortLimits aLimits,
            HttpHandler aHandler);
-  ~HttpPort(); // ends, and cuts what is still under way a moment later
+  ~HttpPort(); // calls End() with a short time limit
 
   std::string Address() const; // ip:port as bound
-  // Requests between their first byte and their answer's last one.
+  // Requests in flight, from their first byte to their answer's last one.
   int Busy() const;
 
-  // Serves on; each answer ends its connection.
+  // Goes on serving, but every answer closes its connection.
   void Leave();
-  // No send takes longer; the rest of it is lost.
+  // Limits the time of a send; the rest of a longer one is lost.
   void LimitSendTime(Millis aTime);
-  // Nobody connects any more. Whoever is connected gets the answer to what was
-  // sent; what has none within aWithin is cut.
+  // Refuses new connections and answers the requests of the open ones.
+  // Connections without an answer after aWithin are shut down.
   void End(Millis aWithin);
 
 private:
@@ -69,8 +69,9 @@
   std::thread mAcceptor;
 };
 
-// The body, whole. BodyTooLarge over aLimit, BadRequest when it comes slower
-// than aWithin or ends before its stated length.
+// Reads the complete body. Fails with BodyTooLarge over aLimit bytes, and with
+// BadRequest if the body takes longer than aWithin or is shorter than its
+// stated length.
 Result<std::string>
 HttpReadBody(Poco::Net::HTTPServerRequest& aRequest,
              size_t aLimit,
--- a/src/net/HttpShutdown.cpp
+++ b/src/net/HttpShutdown.cpp
@@ -14,7 +14,7 @@
   : mWake(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK))
 {
   if (mWake < 0) {
-    throw std::runtime_error("no event descriptor");
+    throw std::runtime_error("eventfd failed");
   }
 }
 
@@ -74,7 +74,7 @@
     try {
       socket.setSendTimeout(Poco::Timespan(Micros(aTime).count()));
     } catch (const Poco::Exception&) {
-      // Its caller has gone.
+      // The caller has closed the connection.
     }
   }
 }
@@ -87,7 +87,7 @@
     try {
       socket.shutdown();
     } catch (const Poco::Exception&) {
-      // Its caller has gone.
+      // The caller has closed the connection.
     }
   }
 }
--- a/src/net/HttpShutdown.h
+++ b/src/net/HttpShutdown.h
@@ -1,4 +1,4 @@
-// HttpShutdown.h: how far a port is on its way out.
+// HttpShutdown.h: shutdown state of an HttpPort, and its open connections.
 #ifndef caraway_net_HttpShutdown_h
 #define caraway_net_HttpShutdown_h
 
@@ -11,7 +11,7 @@
 
 namespace caraway {
 
-// Shared by a port's connections, each on a thread of its own.
+// Shared by the port's connections, each of which has its own thread.
 class HttpShutdown
 {
 public:
@@ -20,31 +20,35 @@
   HttpShutdown(const HttpShutdown&) = delete;
   HttpShutdown& operator=(const HttpShutdown&) = delete;
 
-  // Every answer from now on says that its connection ends with it.
+  // From now on every answer carries "Connection: close".
   void Leave() { mLeaving = true; }
   bool Leaving() const { return mLeaving; }
-  // Connections without a request end, and those that come are answered once.
+  // From now on connections without a request end, and new connections get one
+  // answer.
   void End();
   bool Ended() const { return mEnded; }
 
-  // Waits for bytes, a caller, a caller's end, or End. False: nothing came.
+  // Waits until aSocket is readable (bytes, a new connection or a close), or
+  // for End(). Returns whether it is readable.
   bool WaitForInput(const Poco::Net::Socket& aSocket, Millis aWithin) const;
 
-  // From a request's first byte to its answer's last one.
+  // Called at a request's first byte and after its answer's last one.
   void BeginRequest() { ++mBusy; }
   void EndRequest() { --mBusy; }
   int Busy() const { return mBusy; }
 
-  // From accepted to handed to the linger or closed.
+  // Called when a socket is accepted, and when it is closed or handed to the
+  // LingeringCloser.
   void Add(const Poco::Net::StreamSocket& aSocket);
   void Remove(const Poco::Net::StreamSocket& aSocket);
   size_t Open() const;
   void LimitSendTime(Millis aTime);
-  // What was sent still arrives; nothing more is read or sent.
+  // Shuts down all open connections. What was sent still arrives; nothing more
+  // is read or sent.
   void CutConnections();
 
 private:
-  int mWake; // readable from End on
+  int mWake; // event descriptor, readable after End()
   std::atomic<bool> mLeaving{ false };
   std::atomic<bool> mEnded{ false };
   std::atomic<int> mBusy{ 0 };
--- a/src/net/LingeringCloser.cpp
+++ b/src/net/LingeringCloser.cpp
@@ -16,11 +16,11 @@
 
 constexpr Millis kLinger{ 1000 };
 constexpr Millis kPollInterval{ 100 };
-constexpr size_t kMaxOpen = 1024; // held open; more are closed at once
+constexpr size_t kMaxOpen = 1024; // sockets; more are closed at once
 
 using SteadyClock = std::chrono::steady_clock;
 
-// False: its caller has closed it.
+// Returns false if the caller has closed the connection.
 bool
 Discard(Poco::Net::StreamSocket& aSocket)
 {
@@ -38,7 +38,7 @@
   : mWake(eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK))
 {
   if (mWake < 0) {
-    throw std::runtime_error("no event descriptor");
+    throw std::runtime_error("eventfd failed");
   }
   mThread = std::thread([this] { Run(); });
 }
@@ -61,7 +61,7 @@
   try {
     closing.mSocket.shutdownSend();
   } catch (const Poco::Exception&) {
-    return; // its caller has gone
+    return; // the caller has closed the connection
   }
   {
     std::lock_guard<std::mutex> lock(mLock);
--- a/src/net/LingeringCloser.h
+++ b/src/net/LingeringCloser.h
@@ -1,4 +1,4 @@
-// LingeringCloser.h: closes connections whose last answer is on its way.
+// LingeringCloser.h: closes connections after their last answer.
 #ifndef caraway_net_LingeringCloser_h
 #define caraway_net_LingeringCloser_h
 
@@ -10,9 +10,9 @@
 
 namespace caraway {
 
-// Closed with bytes unread, a connection is reset, and the reset overtakes the
-// answer. Each is told that nothing more comes, and read until its caller has
-// closed it too or the time is over.
+// Closing a connection with unread input resets it, and the reset can overtake
+// the answer. The sending side is shut down instead, and input is discarded
+// until the caller has closed too or the linger time is over.
 class LingeringCloser
 {
 public:
@@ -32,13 +32,13 @@
   };
 
   void Run();
-  // Whether it was woken.
+  // Returns whether the wake descriptor was signalled.
   bool DiscardInput(std::vector<ClosingSocket>& aClosing) const;
 
-  int mWake; // something was taken, or the end
+  int mWake; // event descriptor: a socket was taken, or stop
   mutable std::mutex mLock;
   std::vector<ClosingSocket> mTaken;
-  size_t mOpenCount = 0; // taken and not yet closed
+  size_t mOpenCount = 0; // sockets taken and not yet closed
   bool mStopping = false;
   std::thread mThread;
 };
--- a/src/net/OutboundCall.cpp
+++ b/src/net/OutboundCall.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-// Kept when the server doesn't say how long it keeps idle connections.
+// Assumed when the server doesn't say how long it keeps idle connections.
 constexpr Millis kDefaultIdleTimeout{ 2000 };
 
-// An answer head longer than this is no answer.
+// Longer answer heads are rejected.
 constexpr size_t kMaxHeadBytes = 65536;
 
-// Late answers to others that may precede ours on one connection.
+// Late answers to other requests that may precede the expected answer on one
+// connection.
 constexpr int kMaxForeignAnswers = 2;
 
 Millis
@@ -184,8 +185,8 @@
 OutboundCall::Finish(CallOutcome aOutcome)
 {
   mFinished = true;
-  // Bytes beyond the answer belong to nobody; such a connection isn't used
-  // again, nor one whose request wasn't read to its end.
+  // A connection is not reused if bytes follow the answer, since they belong to
+  // no request, or if its request was not sent completely.
   if (aOutcome == CallOutcome::Complete && MayKeep()) {
     mPool.Keep(
       mRequest.mAddress, mRequest.mPeer, mChannel, IdleTimeoutOf(*mAnswer));
@@ -203,7 +204,7 @@
 {
   if (!mFinished) {
     mFinished = true;
-    // Not destroyed here: this may run inside one of them.
+    // Destroyed later: this may run inside one of the callbacks.
     mReactor.After(Millis(0), [events = std::move(mEvents)] {});
     mEvents = Events();
     if (mChannel) {
@@ -244,7 +245,7 @@
       pending->mAnswer.mStatus = 0;
     }
     pending->mDone(pending->mAnswer);
-    // The call may be running its own event: let go of it a turn later.
+    // The call may be running one of its own callbacks: released later.
     aReactor.After(Millis(0), [call = std::move(pending->mCall)] {});
   };
   OutboundCall::Events events;
--- a/src/net/OutboundCall.h
+++ b/src/net/OutboundCall.h
@@ -1,4 +1,4 @@
-// OutboundCall.h: one request to one server, answered piece by piece.
+// OutboundCall.h: one request to one server, with the answer as it arrives.
 #ifndef caraway_net_OutboundCall_h
 #define caraway_net_OutboundCall_h
 
@@ -15,21 +15,21 @@
 
 enum class CallOutcome
 {
-  Complete,    // the whole answer was read
-  NotSent,     // no byte of the request left: it can't have run
-  Interrupted, // ended before the answer did; it may have run
-  Malformed,   // what came isn't an answer; it may have run
+  Complete,    // the complete answer was read
+  NotSent,     // no byte of the request was sent: it can't have run
+  Interrupted, // the connection ended early; it may have run
+  Malformed,   // the input is no answer; it may have run
 };
 
 struct OutboundRequest
 {
   std::string mAddress;
   std::string mPeer; // the server's identity, for the pool; "" = any
-  std::string mHead; // first line to blank line
+  std::string mHead; // request line to blank line
   std::string mBody;
-  Millis mConnectLimit{ 700 }; // longest time to make a connection
-  double mIdleShare = 0.6;     // see ChannelPool::Take
-  bool mFresh = false;         // never on a kept connection
+  Millis mConnectLimit{ 700 }; // connect timeout
+  double mIdleShare = 0.6;     // aMaxShare of ChannelPool::Take
+  bool mFresh = false;         // never use a pooled connection
 };
 
 class OutboundCall : public std::enable_shared_from_this<OutboundCall>
@@ -37,12 +37,13 @@
 public:
   struct Events
   {
-    // False for an answer that belongs to another request: it is read and
-    // dropped, and the next one is waited for.
+    // Returns false for an answer to another request, which is read and
+    // discarded; the next answer is waited for.
     std::function<bool(const HttpHead&)> mMatchesRequest;
     std::function<void(const HttpHead&)> mHead;
-    std::function<void(std::string&)> mBody; // takes what it wants
-    std::function<void(CallOutcome)> mEnd;   // once
+    std::function<void(std::string&)>
+      mBody; // the handler removes what it has used
+    std::function<void(CallOutcome)> mEnd; // once
   };
 
   static std::shared_ptr<OutboundCall> Start(Reactor& aReactor,
@@ -50,8 +51,7 @@
                                              OutboundRequest aRequest,
                                              Events aEvents);
   ~OutboundCall();
-  // Gives up: the connection is closed, which tells the server to stop. No
-  // event follows.
+  // Closes the connection, which makes the server stop. No event follows.
   void Cancel();
   bool Sent() const;
   bool Reused() const { return mReused; }
@@ -81,7 +81,7 @@
   bool mFinished = false;
 };
 
-// A whole short answer, or none: status 0.
+// A complete answer; status 0 if there is none.
 struct BufferedAnswer
 {
   int mStatus = 0;
@@ -90,8 +90,8 @@
   CallOutcome mEnd = CallOutcome::Interrupted;
 };
 
-// Runs aRequest to its end within aMost and hands over the whole answer.
-// Once, always. The returned call may be cancelled.
+// Sends aRequest and calls aDone exactly once, with the complete answer or
+// after aTimeout at the latest. The returned call may be cancelled.
 std::shared_ptr<OutboundCall>
 StartBufferedCall(Reactor& aReactor,
                   ChannelPool& aPool,
--- a/src/net/Reactor.cpp
+++ b/src/net/Reactor.cpp
@@ -20,7 +20,7 @@
 Reactor::Drop()
 {
   mDropped = true;
-  // Destroying one may destroy or forget others.
+  // Destroying a handler or task may destroy or remove others.
   auto handlers = std::move(mHandlers);
   auto timers = std::move(mTimers);
   mHandlers.clear();
@@ -92,7 +92,8 @@
     return aMaxWait;
   }
   auto left = mTimers.begin()->first.first - Now();
-  // Rounded up: waking a fraction early would spin until the timer is due.
+  // Rounded up: waking a fraction of a millisecond early would spin until the
+  // timer is due.
   Millis wait = std::chrono::duration_cast<Millis>(left + Micros(999));
   return std::clamp(wait, Millis(0), aMaxWait);
 }
@@ -102,7 +103,7 @@
 {
   Poco::Timespan wait(Micros(PollTimeout(aMaxWait)).count());
   for (const auto& [socket, mode] : mPollSet.poll(wait)) {
-    // A handler may forget others, or itself: looked up anew each time.
+    // A handler may remove others or itself, so each one is looked up again.
     auto found = mHandlers.find(socket.impl());
     if (found == mHandlers.end()) {
       continue;
--- a/src/net/Reactor.h
+++ b/src/net/Reactor.h
@@ -1,8 +1,7 @@
-// Reactor.h: one thread that waits for sockets and timers.
-//
-// A shard of the entry instance: all its connections and state are touched by
-// this thread only, so that no lock is needed inside it. Nothing in a handler
-// may block, or every request of the shard is late.
+// Reactor.h: single-threaded event loop for sockets and timers.
+// All connections and state of an entry instance are used by this thread only,
+// so that no locks are needed. A handler must not block: it would delay every
+// request of the instance.
 #ifndef caraway_net_Reactor_h
 #define caraway_net_Reactor_h
 
@@ -17,7 +16,7 @@
 
 namespace caraway {
 
-// What the reactor tells the owner of a socket.
+// Receives the events of a socket.
 class SocketHandler
 {
 public:
@@ -35,24 +34,25 @@
   explicit Reactor(const Clock& aClock);
   ~Reactor();
 
-  // Lets go of all sockets and timers, for good. Handlers and tasks hold each
-  // other and what they work on; an owner calls this while that still lives.
+  // Releases all sockets and timers for good. Handlers and tasks refer to each
+  // other and to their owners, so an owner calls this while those still exist.
   void Drop();
 
-  // aHandler is kept alive while the socket is watched.
+  // Holds a reference to aHandler while the socket is watched.
   void Watch(const Poco::Net::Socket& aSocket,
              std::shared_ptr<SocketHandler> aHandler,
              bool aWrite = false);
-  // Errors are told in any case, as readable.
+  // Errors are always reported, as readable.
   void SetInterest(const Poco::Net::Socket& aSocket, bool aRead, bool aWrite);
   void Forget(const Poco::Net::Socket& aSocket);
 
   TimerId After(Millis aDelay, Task aTask);
-  // Again and again, aEvery after each run ended.
+  // Runs aTask repeatedly, aEvery after the end of each run.
   void Every(Millis aEvery, Task aTask);
   void Cancel(const TimerId& aTimer);
 
-  // One wait, at most aMost, and what it brought.
+  // One pass of the event loop: waits for at most aMaxWait and handles the
+  // events.
   void RunPass(Millis aMaxWait);
 
   TimePoint Now() const { return mClock.Now(); }
--- a/src/net/StopNewHandshakes.cpp
+++ b/src/net/StopNewHandshakes.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A handshake that has begun is over by then, across availability zones too.
+// A handshake in progress completes within this time, also between zones.
 constexpr Millis kHandshake{ 20 };
 
 } // namespace
@@ -18,7 +18,7 @@
 void
 StopNewHandshakes(const Poco::Net::ServerSocket& aSocket)
 {
-  constexpr uint32_t kFlags = 13; // where they are in a TCP header
+  constexpr uint32_t kFlags = 13; // offset in the TCP header
   constexpr uint32_t kSyn = 2;
   constexpr uint32_t kDrop = 0;
   constexpr uint32_t kPass = 0xffffffff;
@@ -29,7 +29,8 @@
     { BPF_RET | BPF_K, 0, 0, kPass },
   };
   sock_fprog program{ sizeof steps / sizeof steps[0], steps };
-  // Where the system hasn't this, only the one moment of closing isn't covered.
+  // If the system doesn't support the filter, connections established between
+  // the last accept and the close are reset.
   setsockopt(aSocket.impl()->sockfd(),
              SOL_SOCKET,
              SO_ATTACH_FILTER,
--- a/src/net/StopNewHandshakes.h
+++ b/src/net/StopNewHandshakes.h
@@ -1,4 +1,4 @@
-// StopNewHandshakes.h: closes a listening socket under nobody's connection.
+// StopNewHandshakes.h: prepares a listening socket for a close without resets.
 #ifndef caraway_net_StopNewHandshakes_h
 #define caraway_net_StopNewHandshakes_h
 
@@ -6,10 +6,10 @@
 
 namespace caraway {
 
-// Attempts to connect find nobody from now on, while those whose connection is
-// coming about still get it: accept until there are no more, and close. Closed
-// at once, the socket would reset connections that the system has accepted and
-// whose callers may have sent their request.
+// Drops new connection attempts and lets handshakes in progress complete. The
+// caller then accepts until no connections are left, and closes the socket.
+// Closing it at once would reset connections that the system has accepted and
+// whose callers may have sent a request already.
 void
 StopNewHandshakes(const Poco::Net::ServerSocket& aSocket);
 
