--- a/src/net/Channel.h
+++ b/src/net/Channel.h
@@ -27,8 +27,8 @@
   struct Events
   {
     std::function<void()> mData; // more bytes in Input()
-    std::function<void(ChannelCloseReason)>
-      mEnd;                           // once, after the channel has closed
+    // Once; the channel is closed then.
+    std::function<void(ChannelCloseReason)> mEnd;
     std::function<void()> mConnected; // outgoing connections only
     std::function<void()> mDrained;   // Queued() reached zero
     // Once, after Finish(): the number of bytes received and discarded, if any.
--- a/src/net/HttpPort.h
+++ b/src/net/HttpPort.h
@@ -35,7 +35,7 @@
 {
 public:
   // aListen is ip:port; port 0 takes a free one. Throws Poco::Exception if the
-  // address can't be bound.
+  // address can't be bound: the settings are wrong, and the start must fail.
   HttpPort(const std::string& aListen,
            HttpPortLimits aLimits,
            HttpHandler aHandler);
--- a/src/net/OutboundCall.h
+++ b/src/net/OutboundCall.h
@@ -41,8 +41,8 @@
     // discarded; the next answer is waited for.
     std::function<bool(const HttpHead&)> mMatchesRequest;
     std::function<void(const HttpHead&)> mHead;
-    std::function<void(std::string&)>
-      mBody; // the handler removes what it has used
+    // The handler removes the bytes that it has used.
+    std::function<void(std::string&)> mBody;
     std::function<void(CallOutcome)> mEnd; // once
   };
 
