--- a/tests/platform/AnswersTest.cpp
+++ b/tests/platform/AnswersTest.cpp
@@ -17,25 +17,25 @@
 }
 
 void
-SetManners(EntryTestFleet& aWorld, ServerBehaviour aManners)
+SetBehaviour(EntryTestFleet& aFleet, ServerBehaviour aBehaviour)
 {
-  for (auto& server : aWorld.mPlain) {
-    server->mBehaviour = aManners;
+  for (auto& server : aFleet.mPlain) {
+    server->mBehaviour = aBehaviour;
   }
 }
 
 } // namespace
 
-TEST(Answers, ServersStatusBodyAndSealComeUnchanged)
+TEST(Answers, ServersAnswerIsForwardedUnchanged)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  TestCallPtr call = world.Call(0, "/order/x?y=1", "r1", {}, "pay");
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  TestCallPtr call = fleet.Call(0, "/order/x?y=1", "r1", {}, "pay");
   EXPECT_EQ(200, call->mStatus);
   EXPECT_EQ("answer to r1 of pay", call->mBody);
   EXPECT_NE("", call->Field(wire::kSeal));
-  SetManners(world, ServerBehaviour::Fails);
-  TestCallPtr failed = world.Call(0, "/order/x", "r2");
+  SetBehaviour(fleet, ServerBehaviour::Fails);
+  TestCallPtr failed = fleet.Call(0, "/order/x", "r2");
   EXPECT_EQ(500, failed->mStatus);
   EXPECT_EQ("failed", failed->mBody);
   EXPECT_NE("", failed->Field(wire::kSeal));
@@ -43,86 +43,86 @@
 
 // The server runs an order and its connection breaks before the answer. The
 // caller must not hear that it didn't run, and no second server may get it.
-TEST(Answers, OrderWhoseAnswerIsLostRunsOnceAndIsNotDenied)
+TEST(Answers, OrderWithLostAnswerRunsOnceAndIsNotReportedAsNotRun)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  SetManners(world, ServerBehaviour::RunsThenCloses);
-  TestCallPtr call = world.Call(0, "/order/x", "r1");
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  SetBehaviour(fleet, ServerBehaviour::RunsThenCloses);
+  TestCallPtr call = fleet.Call(0, "/order/x", "r1");
   EXPECT_NE(0, call->mStatus);
   EXPECT_FALSE(StatusMeansNotRun(call->mStatus));
-  EXPECT_EQ(1, world.RunsOf("r1"));
+  EXPECT_EQ(1, fleet.RunsOf("r1"));
 }
 
 // A read may run twice: it goes to the other server.
-TEST(Answers, ReadWhoseAnswerIsLostIsAskedOfAnother)
+TEST(Answers, ReadWithLostAnswerIsRetriedOnAnotherServer)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  world.mPlain[0]->mBehaviour = ServerBehaviour::RunsThenCloses;
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  fleet.mPlain[0]->mBehaviour = ServerBehaviour::RunsThenCloses;
   // Servers are drawn: until that one was asked, too.
-  for (int i = 0; i < 8 || (i < 64 && world.mPlain[0]->mRuns.empty()); ++i) {
-    TestCallPtr call = world.Call(0, "/safe/x", "r" + std::to_string(i));
+  for (int i = 0; i < 8 || (i < 64 && fleet.mPlain[0]->mRuns.empty()); ++i) {
+    TestCallPtr call = fleet.Call(0, "/safe/x", "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
   }
-  EXPECT_GT(world.mPlain[0]->mRuns.size(), 0u);
+  EXPECT_GT(fleet.mPlain[0]->mRuns.size(), 0u);
 }
 
-TEST(Answers, ReadThatFailedIsAskedOfAnother)
+TEST(Answers, FailedReadIsRetriedOnAnotherServer)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  world.mPlain[0]->mBehaviour = ServerBehaviour::Fails;
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  fleet.mPlain[0]->mBehaviour = ServerBehaviour::Fails;
   for (int i = 0; i < 8; ++i) {
-    TestCallPtr call = world.Call(0, "/safe/x", "r" + std::to_string(i));
+    TestCallPtr call = fleet.Call(0, "/safe/x", "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
   }
 }
 
 // Servers prove that they did not run the order. The refusal is true, and
 // says when to come back.
-TEST(Answers, RefusalIsTrueAndSaysWhenToComeBack)
+TEST(Answers, RefusedOrderHasNotRunAndHasRetryAfter)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  SetManners(world, ServerBehaviour::Refuses);
-  TestCallPtr call = world.Call(0, "/order/x", "r1");
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  SetBehaviour(fleet, ServerBehaviour::Refuses);
+  TestCallPtr call = fleet.Call(0, "/order/x", "r1");
   EXPECT_EQ(503, call->mStatus);
   EXPECT_NE("", call->Field(wire::kRetryAfter));
-  world.For(Millis(300));
-  EXPECT_EQ(0, world.RunsOf("r1"));
+  fleet.For(Millis(300));
+  EXPECT_EQ(0, fleet.RunsOf("r1"));
 }
 
 // An answer that ends early, comes unmarked, in another coding or as noise
 // isn't the server's: the caller never gets it as a success.
-TEST(Answers, SpoiltAnswersNeverLookWhole)
+TEST(Answers, AlteredAnswersAreNeverForwardedAsSuccess)
 {
-  for (ServerBehaviour manners : { ServerBehaviour::Truncates,
-                                   ServerBehaviour::Unsealed,
-                                   ServerBehaviour::Encoded,
-                                   ServerBehaviour::Garbage }) {
-    EntryTestFleet world;
-    world.AwaitReady();
-    SetManners(world, manners);
-    TestCallPtr call = world.Call(0, "/order/x", "r1");
+  for (ServerBehaviour behaviour : { ServerBehaviour::Truncates,
+                                     ServerBehaviour::Unsealed,
+                                     ServerBehaviour::Encoded,
+                                     ServerBehaviour::Garbage }) {
+    EntryTestFleet fleet;
+    fleet.AwaitReady();
+    SetBehaviour(fleet, behaviour);
+    TestCallPtr call = fleet.Call(0, "/order/x", "r1");
     EXPECT_GE(call->mStatus, 500);
     EXPECT_FALSE(StatusMeansNotRun(call->mStatus));
-    EXPECT_EQ(1, world.RunsOf("r1"));
+    EXPECT_EQ(1, fleet.RunsOf("r1"));
   }
 }
 
 // A late answer to somebody else comes before the right one, or a second one
 // behind it. Each caller gets its own, also the next on that connection.
-TEST(Answers, ForeignAnswersReachNobody)
+TEST(Answers, AnswersToOtherRequestsAreDiscarded)
 {
-  for (ServerBehaviour manners :
+  for (ServerBehaviour behaviour :
        { ServerBehaviour::LateAnswer, ServerBehaviour::ExtraAnswer }) {
-    EntryTestFleet world;
-    world.AwaitReady();
-    SetManners(world, manners);
+    EntryTestFleet fleet;
+    fleet.AwaitReady();
+    SetBehaviour(fleet, behaviour);
     for (int i = 0; i < 6; ++i) {
       std::string id = "r" + std::to_string(i);
-      TestCallPtr call = world.Call(0, "/order/x", id, {}, "b");
+      TestCallPtr call = fleet.Call(0, "/order/x", id, {}, "b");
       EXPECT_EQ(200, call->mStatus);
       EXPECT_EQ("answer to " + id + " of b", call->mBody);
       EXPECT_EQ("", call->mOver);
@@ -134,26 +134,26 @@
 // for, not on and on: the budget of repeats is everybody's.
 TEST(Answers, ReadThatFailsEverywhereRunsTwice)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  SetManners(world, ServerBehaviour::Fails);
-  EXPECT_EQ(500, world.Call(0, "/safe/x", "r1")->mStatus);
-  EXPECT_EQ(2, world.RunsOf("r1"));
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  SetBehaviour(fleet, ServerBehaviour::Fails);
+  EXPECT_EQ(500, fleet.Call(0, "/safe/x", "r1")->mStatus);
+  EXPECT_EQ(2, fleet.RunsOf("r1"));
 }
 
 // Guards against "not run" for a read that one server ran and failed, and all
 // others refused.
-TEST(Answers, ReadThatRanAndFailedIsntRefusedAsNotRun)
+TEST(Answers, ReadThatRanAndFailedIsNotReportedAsNotRun)
 {
   for (int first : { 0, 1 }) {
-    EntryTestFleet world;
-    world.AwaitReady();
-    world.mPlain[first]->mBehaviour = ServerBehaviour::Fails;
-    world.mPlain[1 - first]->mBehaviour = ServerBehaviour::Refuses;
+    EntryTestFleet fleet;
+    fleet.AwaitReady();
+    fleet.mPlain[first]->mBehaviour = ServerBehaviour::Fails;
+    fleet.mPlain[1 - first]->mBehaviour = ServerBehaviour::Refuses;
     for (int i = 0; i < 6; ++i) {
       std::string id = "r" + std::to_string(i);
-      int status = world.Call(0, "/safe/x", id)->mStatus;
-      EXPECT_TRUE(status != 503 || world.RunsOf(id) == 0) << id;
+      int status = fleet.Call(0, "/safe/x", id)->mStatus;
+      EXPECT_TRUE(status != 503 || fleet.RunsOf(id) == 0) << id;
     }
   }
 }
@@ -161,32 +161,32 @@
 // A server is gone and its address is another's, while its entry is still
 // listed. The other one refuses what isn't meant for it; it is asked once, not
 // by each request again and again.
-TEST(Answers, AddressOfAnotherServerIsLeftAlone)
+TEST(Answers, ReusedServerAddressIsAvoided)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  world.mPlain[0]->mExpectedId = "somebody-else";
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  fleet.mPlain[0]->mExpectedId = "somebody-else";
   for (int i = 0; i < 20; ++i) {
-    EXPECT_EQ(200, world.Call(0, "/order/x", "r" + std::to_string(i))->mStatus);
+    EXPECT_EQ(200, fleet.Call(0, "/order/x", "r" + std::to_string(i))->mStatus);
   }
-  EXPECT_LE(world.mPlain[0]->mArrivals, 1);
+  EXPECT_LE(fleet.mPlain[0]->mArrivals, 1);
 }
 
 // A server never answers: the final answer comes when the route's time is up,
 // and the server is told to stop.
-TEST(Answers, RoutesTimeEndsARequest)
+TEST(Answers, RequestEndsAtTheRoutesTimeout)
 {
-  EntryTestFleet world;
-  world.mConfig["routes"][1]["timeoutMs"] = 300;
-  world.Configure();
-  world.AwaitReady();
-  world.For(Seconds(2));
-  SetManners(world, ServerBehaviour::Hangs);
-  TestCallPtr call = world.Call(0, "/order/x", "r1");
+  EntryTestFleet fleet;
+  fleet.mConfig["routes"][1]["timeoutMs"] = 300;
+  fleet.Configure();
+  fleet.AwaitReady();
+  fleet.For(Seconds(2));
+  SetBehaviour(fleet, ServerBehaviour::Hangs);
+  TestCallPtr call = fleet.Call(0, "/order/x", "r1");
   EXPECT_EQ(504, call->mStatus);
   EXPECT_LT(call->mHeadAt - call->mAsked, Millis(600));
-  EXPECT_TRUE(world.Until(
-    [&] { return world.mPlain[0]->mLeft + world.mPlain[1]->mLeft == 1; },
+  EXPECT_TRUE(fleet.Until(
+    [&] { return fleet.mPlain[0]->mLeft + fleet.mPlain[1]->mLeft == 1; },
     Millis(500)));
 }
 
--- a/tests/platform/FreshnessTest.cpp
+++ b/tests/platform/FreshnessTest.cpp
@@ -11,65 +11,65 @@
 namespace {
 
 // Stated for all of these, from the store's answer on.
-constexpr Millis kBound{ 2000 };
+constexpr Millis kMaxDelay{ 2000 };
 
 EntryFleetOptions
 TwoInstances()
 {
-  EntryFleetOptions plan;
-  plan.mInstances = 2;
-  return plan;
+  EntryFleetOptions options;
+  options.mInstances = 2;
+  return options;
 }
 
 void
-RevokeKeys(EntryTestFleet& aWorld)
+RevokeKeys(EntryTestFleet& aFleet)
 {
-  aWorld.mConfig["tenants"][0]["apiKeys"] = Json::Value(Json::arrayValue);
-  aWorld.Configure();
+  aFleet.mConfig["tenants"][0]["apiKeys"] = Json::Value(Json::arrayValue);
+  aFleet.Configure();
 }
 
 bool
-Follows(EntryTestFleet& aWorld, size_t aInstance)
+Follows(EntryTestFleet& aFleet, size_t aInstance)
 {
-  return aWorld.LogLines(aInstance, "list_followed") >
-         aWorld.LogLines(aInstance, "list_read_again");
+  return aFleet.LogLines(aInstance, "list_followed") >
+         aFleet.LogLines(aInstance, "list_read_again");
 }
 
 int64_t
-VersionAt(EntryTestFleet& aWorld, size_t aInstance)
+VersionAt(EntryTestFleet& aFleet, size_t aInstance)
 {
-  const auto& config = aWorld.mInstances[aInstance]->State().mConfig;
+  const auto& config = aFleet.mInstances[aInstance]->State().mConfig;
   return config ? config->mVersion : 0;
 }
 
 } // namespace
 
-TEST(Freshness, WithdrawnKeyStopsWorking)
+TEST(Freshness, RevokedKeyIsRefused)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  EXPECT_EQ(200, world.Call(0, "/order/x", "r1")->mStatus);
-  RevokeKeys(world);
-  world.For(kBound);
-  EXPECT_EQ(401, world.Call(0, "/order/x", "r2")->mStatus);
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  EXPECT_EQ(200, fleet.Call(0, "/order/x", "r1")->mStatus);
+  RevokeKeys(fleet);
+  fleet.For(kMaxDelay);
+  EXPECT_EQ(401, fleet.Call(0, "/order/x", "r2")->mStatus);
 }
 
 // The store turns one instance away and serves the other. What the operator
 // changes meanwhile comes from the other instance.
-TEST(Freshness, InstanceThatTheStoreTurnsAwayLearnsFromAnother)
+TEST(Freshness, InstanceWithoutStoreGetsChangesFromAPeer)
 {
-  for (auto mood :
+  for (auto mode :
        { StandInStore::FaultMode::Silent, StandInStore::FaultMode::Busy }) {
-    EntryTestFleet world(TwoInstances());
-    world.AwaitReady();
-    world.mStore->SetFaultMode(0, mood);
-    world.For(Millis(500));
-    RevokeKeys(world);
-    world.List(*world.mPlain[0], "plain", "a", "draining");
-    world.For(kBound);
-    EXPECT_EQ(401, world.Call(0, "/order/x", "r1")->mStatus);
+    EntryTestFleet fleet(TwoInstances());
+    fleet.AwaitReady();
+    fleet.mStore->SetFaultMode(0, mode);
+    fleet.For(Millis(500));
+    RevokeKeys(fleet);
+    fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
+    fleet.For(kMaxDelay);
+    EXPECT_EQ(401, fleet.Call(0, "/order/x", "r1")->mStatus);
     const Backend* leaving =
-      world.mInstances[0]->State().mServers.Find(world.mPlain[0]->Id());
+      fleet.mInstances[0]->State().mServers.Find(fleet.mPlain[0]->Id());
     ASSERT_TRUE(leaving);
     EXPECT_TRUE(leaving->mEntry.mDraining);
   }
@@ -77,56 +77,56 @@
 
 // The same with a configuration of hundreds of routes, which takes longer to
 // hand over than other calls between instances.
-TEST(Freshness, LargeConfigurationComesFromAnother)
+TEST(Freshness, LargeConfigurationIsFetchedFromAPeer)
 {
-  EntryTestFleet world(TwoInstances());
-  world.AwaitReady();
-  Json::Value route = world.mConfig["routes"][0];
+  EntryTestFleet fleet(TwoInstances());
+  fleet.AwaitReady();
+  Json::Value route = fleet.mConfig["routes"][0];
   for (int i = 0; i < 3000; ++i) {
     route["name"] = "r-" + std::to_string(i);
     route["pathPrefix"] = "/more-" + std::to_string(i) + "/";
-    world.mConfig["routes"].append(route);
+    fleet.mConfig["routes"].append(route);
   }
-  world.mStore->SetFaultMode(1, StandInStore::FaultMode::Silent);
-  world.Configure();
-  int64_t version = world.mConfig["version"].asInt64();
+  fleet.mStore->SetFaultMode(1, StandInStore::FaultMode::Silent);
+  fleet.Configure();
+  int64_t version = fleet.mConfig["version"].asInt64();
   EXPECT_TRUE(
-    world.Until([&] { return VersionAt(world, 1) == version; }, kBound));
+    fleet.Until([&] { return VersionAt(fleet, 1) == version; }, kMaxDelay));
 }
 
 // All watches hear nothing while changes are made, then the history is gone.
-TEST(Freshness, ForgottenHistoryIsReadAnew)
+TEST(Freshness, ListIsReadAgainWhenTheHistoryIsGone)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  world.mStore->MuteWatches(true);
-  RevokeKeys(world);
-  world.List(*world.mPlain[0], "plain", "a", "draining");
-  world.For(Millis(500));
-  world.mStore->ForgetHistory();
-  world.mStore->MuteWatches(false);
-  world.For(kBound - Millis(500));
-  EXPECT_EQ(401, world.Call(0, "/order/x", "r1")->mStatus);
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  fleet.mStore->MuteWatches(true);
+  RevokeKeys(fleet);
+  fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
+  fleet.For(Millis(500));
+  fleet.mStore->ForgetHistory();
+  fleet.mStore->MuteWatches(false);
+  fleet.For(kMaxDelay - Millis(500));
+  EXPECT_EQ(401, fleet.Call(0, "/order/x", "r1")->mStatus);
   for (int i = 0; i < 6; ++i) {
-    world.Call(0,
+    fleet.Call(0,
                "/order/x",
                "l" + std::to_string(i),
                { { wire::kAuthorization, "Bearer key-globex" } });
   }
-  EXPECT_EQ(0u, world.mPlain[0]->mRuns.size());
+  EXPECT_EQ(0u, fleet.mPlain[0]->mRuns.size());
 }
 
 // An instance that starts while the store is away has no configuration. It
 // says so, not that keys or routes are unknown, and isn't ready.
-TEST(Freshness, UnknownConfigurationIsNoDenial)
+TEST(Freshness, InstanceWithoutConfigurationIsNotReady)
 {
-  EntryTestFleet world;
-  world.mInstances[0].reset();
-  world.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Silent);
-  world.mInstances[0] = world.MakeInstance(0);
-  world.For(Millis(300));
-  EXPECT_FALSE(world.mInstances[0]->Ready());
-  TestCallPtr call = world.Call(0, "/order/x", "r1");
+  EntryTestFleet fleet;
+  fleet.mInstances[0].reset();
+  fleet.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Silent);
+  fleet.mInstances[0] = fleet.MakeInstance(0);
+  fleet.For(Millis(300));
+  EXPECT_FALSE(fleet.mInstances[0]->Ready());
+  TestCallPtr call = fleet.Call(0, "/order/x", "r1");
   EXPECT_EQ(503, call->mStatus);
   EXPECT_NE("", call->Field(wire::kRetryAfter));
 }
@@ -134,133 +134,133 @@
 // An older version comes after a newer one: the newer stays in force.
 TEST(Freshness, ConfigurationNeverGoesBack)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  world.Configure();
-  world.For(Millis(1500));
-  int64_t newest = VersionAt(world, 0);
-  Json::Value old = world.mConfig;
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  fleet.Configure();
+  fleet.For(Millis(1500));
+  int64_t newest = VersionAt(fleet, 0);
+  Json::Value old = fleet.mConfig;
   old["version"] = 1;
-  world.mStore->Put(wire::kConfigKind, wire::kConfigName, old);
-  world.For(Millis(1500));
-  EXPECT_EQ(newest, VersionAt(world, 0));
+  fleet.mStore->Put(wire::kConfigKind, wire::kConfigName, old);
+  fleet.For(Millis(1500));
+  EXPECT_EQ(newest, VersionAt(fleet, 0));
 }
 
 // Entries that can't be read name no server, and leave the others in force.
-TEST(Freshness, UnreadableEntriesStopNothing)
+TEST(Freshness, UnreadableEntriesAreIgnored)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
   Json::Value bad;
   bad["service"] = 7;
-  world.mStore->Put(wire::kServersKind, "bad-1", bad);
-  bad = world.mPlain[0]->Entry("plain", "a");
+  fleet.mStore->Put(wire::kServersKind, "bad-1", bad);
+  bad = fleet.mPlain[0]->Entry("plain", "a");
   bad["state"] = "sleeping";
-  world.mStore->Put(wire::kServersKind, "bad-2", bad);
-  world.mStore->Put(wire::kConfigKind, wire::kConfigName, Json::Value("noise"));
-  world.For(Millis(1500));
-  EXPECT_EQ(nullptr, world.mInstances[0]->State().mServers.Find("bad-1"));
-  EXPECT_EQ(nullptr, world.mInstances[0]->State().mServers.Find("bad-2"));
-  EXPECT_EQ(200, world.Call(0, "/order/x", "r1")->mStatus);
+  fleet.mStore->Put(wire::kServersKind, "bad-2", bad);
+  fleet.mStore->Put(wire::kConfigKind, wire::kConfigName, Json::Value("noise"));
+  fleet.For(Millis(1500));
+  EXPECT_EQ(nullptr, fleet.mInstances[0]->State().mServers.Find("bad-1"));
+  EXPECT_EQ(nullptr, fleet.mInstances[0]->State().mServers.Find("bad-2"));
+  EXPECT_EQ(200, fleet.Call(0, "/order/x", "r1")->mStatus);
 }
 
 // Entries lapse while the store is away. Servers that answer are used for the
 // two seconds in which entries come back; what is still missing then is gone.
 TEST(Freshness, LapsedEntriesAreKeptForTwoSeconds)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  world.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Silent);
-  world.For(Seconds(3));
-  for (auto& server : world.mPlain) {
-    world.mStore->Remove(wire::kServersKind, server->Id());
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  fleet.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Silent);
+  fleet.For(Seconds(3));
+  for (auto& server : fleet.mPlain) {
+    fleet.mStore->Remove(wire::kServersKind, server->Id());
   }
-  world.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Serves);
-  world.For(Seconds(1));
-  EXPECT_EQ(200, world.Call(0, "/order/x", "r1")->mStatus);
-  world.For(Seconds(4));
-  EXPECT_NE(200, world.Call(0, "/order/x", "r2")->mStatus);
-  EXPECT_EQ(0, world.RunsOf("r2"));
+  fleet.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Serves);
+  fleet.For(Seconds(1));
+  EXPECT_EQ(200, fleet.Call(0, "/order/x", "r1")->mStatus);
+  fleet.For(Seconds(4));
+  EXPECT_NE(200, fleet.Call(0, "/order/x", "r2")->mStatus);
+  EXPECT_EQ(0, fleet.RunsOf("r2"));
 }
 
 // Of a zone's instances one reads the store; the others are told. What the
 // store is asked doesn't grow with them, and what changes is in force at all.
-TEST(Freshness, OneOfAZoneReadsForAll)
+TEST(Freshness, OneInstancePerZoneReadsTheStore)
 {
-  EntryFleetOptions plan;
-  plan.mInstances = 4;
-  EntryTestFleet world(plan);
-  world.AwaitReady();
-  world.For(Millis(2500));
-  int before = world.mStore->Calls();
-  world.For(Seconds(4));
+  EntryFleetOptions options;
+  options.mInstances = 4;
+  EntryTestFleet fleet(options);
+  fleet.AwaitReady();
+  fleet.For(Millis(2500));
+  int before = fleet.mStore->Calls();
+  fleet.For(Seconds(4));
   // Two watches, the lease, and now and then the list of instances; four that
   // read for themselves make over twenty.
-  EXPECT_LE(world.mStore->Calls() - before, 16);
-  RevokeKeys(world);
-  world.List(*world.mPlain[0], "plain", "a", "draining");
-  world.mStore->Remove(wire::kServersKind, world.mPlain[1]->Id());
-  world.For(kBound);
+  EXPECT_LE(fleet.mStore->Calls() - before, 16);
+  RevokeKeys(fleet);
+  fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
+  fleet.mStore->Remove(wire::kServersKind, fleet.mPlain[1]->Id());
+  fleet.For(kMaxDelay);
   for (size_t i = 0; i < 4; ++i) {
-    ServerView& servers = world.mInstances[i]->State().mServers;
-    EXPECT_EQ(401, world.Call(i, "/order/x", "r" + std::to_string(i))->mStatus);
-    ASSERT_TRUE(servers.Find(world.mPlain[0]->Id()));
-    EXPECT_TRUE(servers.Find(world.mPlain[0]->Id())->mEntry.mDraining);
-    EXPECT_FALSE(servers.Find(world.mPlain[1]->Id()));
+    ServerView& servers = fleet.mInstances[i]->State().mServers;
+    EXPECT_EQ(401, fleet.Call(i, "/order/x", "r" + std::to_string(i))->mStatus);
+    ASSERT_TRUE(servers.Find(fleet.mPlain[0]->Id()));
+    EXPECT_TRUE(servers.Find(fleet.mPlain[0]->Id())->mEntry.mDraining);
+    EXPECT_FALSE(servers.Find(fleet.mPlain[1]->Id()));
   }
 }
 
 // The one that reads is killed, or the store turns it away in silence, right
 // before a change: those who were told by it notice, read by themselves, and
 // have the change within the bound.
-TEST(Freshness, ReaderThatIsLostIsReplaced)
+TEST(Freshness, LostReaderIsReplaced)
 {
   for (bool killed : { true, false }) {
-    EntryFleetOptions plan;
-    plan.mInstances = 3;
-    EntryTestFleet world(plan);
-    world.AwaitReady();
-    world.For(Millis(2500));
+    EntryFleetOptions options;
+    options.mInstances = 3;
+    EntryTestFleet fleet(options);
+    fleet.AwaitReady();
+    fleet.For(Millis(2500));
     size_t reader = 0;
-    while (Follows(world, reader) && reader < 2) {
+    while (Follows(fleet, reader) && reader < 2) {
       ++reader;
     }
     if (killed) {
-      world.mInstances[reader].reset();
+      fleet.mInstances[reader].reset();
     } else {
-      world.mStore->SetFaultMode(reader, StandInStore::FaultMode::Silent);
+      fleet.mStore->SetFaultMode(reader, StandInStore::FaultMode::Silent);
     }
-    RevokeKeys(world);
-    world.List(*world.mPlain[0], "plain", "a", "draining");
-    world.For(kBound);
+    RevokeKeys(fleet);
+    fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
+    fleet.For(kMaxDelay);
     for (size_t i = 0; i < 3; ++i) {
       if (i == reader) {
         continue;
       }
-      ServerView& servers = world.mInstances[i]->State().mServers;
+      ServerView& servers = fleet.mInstances[i]->State().mServers;
       EXPECT_EQ(401,
-                world.Call(i, "/order/x", "r" + std::to_string(i))->mStatus);
-      EXPECT_TRUE(servers.Find(world.mPlain[0]->Id())->mEntry.mDraining);
+                fleet.Call(i, "/order/x", "r" + std::to_string(i))->mStatus);
+      EXPECT_TRUE(servers.Find(fleet.mPlain[0]->Id())->mEntry.mDraining);
     }
   }
 }
 
 // Guards against a removal that falls between two lives of the zone's reader:
 // no entry is left to tell of it, and who follows would send there for ever.
-TEST(Freshness, RemovalBetweenTwoLivesOfTheReaderIsSeen)
+TEST(Freshness, RemovalDuringAReaderRestartIsSeen)
 {
-  EntryTestFleet world(TwoInstances());
-  world.AwaitReady();
-  world.For(Millis(1500));
-  size_t reader = Follows(world, 0) ? 1 : 0;
+  EntryTestFleet fleet(TwoInstances());
+  fleet.AwaitReady();
+  fleet.For(Millis(1500));
+  size_t reader = Follows(fleet, 0) ? 1 : 0;
   size_t follower = 1 - reader;
-  std::string gone = world.mPlain[0]->Id();
-  ASSERT_TRUE(world.mInstances[follower]->State().mServers.Find(gone));
-  world.mInstances[reader].reset();
-  world.mStore->Remove(wire::kServersKind, gone);
-  world.mInstances[reader] = world.MakeInstance(reader);
-  world.For(kBound);
-  EXPECT_FALSE(world.mInstances[follower]->State().mServers.Find(gone));
+  std::string gone = fleet.mPlain[0]->Id();
+  ASSERT_TRUE(fleet.mInstances[follower]->State().mServers.Find(gone));
+  fleet.mInstances[reader].reset();
+  fleet.mStore->Remove(wire::kServersKind, gone);
+  fleet.mInstances[reader] = fleet.MakeInstance(reader);
+  fleet.For(kMaxDelay);
+  EXPECT_FALSE(fleet.mInstances[follower]->State().mServers.Find(gone));
 }
 
 } // namespace caraway
--- a/tests/platform/LeavingEntryTest.cpp
+++ b/tests/platform/LeavingEntryTest.cpp
@@ -22,38 +22,38 @@
 EntryFleetOptions
 TwoInstances()
 {
-  EntryFleetOptions plan;
-  plan.mInstances = 2;
-  return plan;
+  EntryFleetOptions options;
+  options.mInstances = 2;
+  return options;
 }
 
 // Routes wait as long as their callers do.
 void
-LetRequestsLast(EntryTestFleet& aWorld)
+SetLongRouteTimeouts(EntryTestFleet& aFleet)
 {
-  for (Json::Value& route : aWorld.mConfig["routes"]) {
+  for (Json::Value& route : aFleet.mConfig["routes"]) {
     route["timeoutMs"] = 25000;
   }
-  aWorld.Configure();
+  aFleet.Configure();
 }
 
 // A stream of four seconds is under way at the first instance, which leaves.
 TestCallPtr
-LeaveDuringStream(EntryTestFleet& aWorld, const std::string& aBehind = "")
+LeaveDuringStream(EntryTestFleet& aFleet, const std::string& aBehind = "")
 {
-  LetRequestsLast(aWorld);
-  aWorld.mEngines[0]->mEventGap = Millis(800);
-  aWorld.AwaitReady();
-  TestCallPtr call = aWorld.SendRaw(
-    0, aWorld.RequestText("/stream/stream", "r1", kLong) + aBehind);
-  EXPECT_TRUE(aWorld.Until([&] { return call->mStatus == 200; }, Seconds(2)));
-  aWorld.mInstances[0]->Leave();
+  SetLongRouteTimeouts(aFleet);
+  aFleet.mEngines[0]->mEventGap = Millis(800);
+  aFleet.AwaitReady();
+  TestCallPtr call = aFleet.SendRaw(
+    0, aFleet.RequestText("/stream/stream", "r1", kLong) + aBehind);
+  EXPECT_TRUE(aFleet.Until([&] { return call->mStatus == 200; }, Seconds(2)));
+  aFleet.mInstances[0]->Leave();
   return call;
 }
 
 // The answer to the second request on aCall's connection: 0 = none.
 int
-SecondStatus(const TestCall& aCall)
+SecondAnswerStatus(const TestCall& aCall)
 {
   HttpHead head;
   size_t used = 0;
@@ -65,329 +65,329 @@
 
 // The instances don't run, everything else does.
 void
-PauseInstances(EntryTestFleet& aWorld, Millis aTime)
+PauseInstances(EntryTestFleet& aFleet, Millis aTime)
 {
-  TimePoint until = aWorld.mClock.Now() + aTime;
-  while (aWorld.mClock.Now() < until) {
-    aWorld.mReactor.RunPass(Millis(10));
+  TimePoint until = aFleet.mClock.Now() + aTime;
+  while (aFleet.mClock.Now() < until) {
+    aFleet.mReactor.RunPass(Millis(10));
   }
 }
 
 bool
-AwaitExit(EntryTestFleet& aWorld)
+AwaitExit(EntryTestFleet& aFleet)
 {
-  return aWorld.Until([&] { return aWorld.mInstances[0]->Gone(); }, Seconds(9));
+  return aFleet.Until([&] { return aFleet.mInstances[0]->Gone(); }, Seconds(9));
 }
 
 } // namespace
 
-TEST(LeavingEntry, StreamUnderWayEndsWhole)
+TEST(LeavingEntry, StreamInFlightIsCompleted)
 {
-  EntryTestFleet world;
-  world.mEngines[0]->mEventGap = Millis(500);
-  world.AwaitReady();
-  TestCallPtr call = world.Send(0, "/stream/stream", "r1", kModel);
-  ASSERT_TRUE(world.Until([&] { return call->mStatus == 200; }, Seconds(1)));
-  world.mInstances[0]->Leave();
-  EXPECT_FALSE(world.mInstances[0]->Ready());
-  EXPECT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(5)));
+  EntryTestFleet fleet;
+  fleet.mEngines[0]->mEventGap = Millis(500);
+  fleet.AwaitReady();
+  TestCallPtr call = fleet.Send(0, "/stream/stream", "r1", kModel);
+  ASSERT_TRUE(fleet.Until([&] { return call->mStatus == 200; }, Seconds(1)));
+  fleet.mInstances[0]->Leave();
+  EXPECT_FALSE(fleet.mInstances[0]->Ready());
+  EXPECT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(5)));
   EXPECT_TRUE(
-    world.Until([&] { return world.mInstances[0]->Gone(); }, Seconds(5)));
+    fleet.Until([&] { return fleet.mInstances[0]->Gone(); }, Seconds(5)));
 }
 
 // The balancer sends callers on for a while after the instance is unready.
-TEST(LeavingEntry, CallersThatStillComeAreServed)
+TEST(LeavingEntry, NewCallersAreServedForAWhile)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  world.mInstances[0]->Leave();
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  fleet.mInstances[0]->Leave();
   for (int i = 0; i < 4; ++i) {
-    TestCallPtr call = world.Call(0, "/order/x", "r" + std::to_string(i));
+    TestCallPtr call = fleet.Call(0, "/order/x", "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
     EXPECT_EQ("close", call->Field("Connection"));
-    world.For(Millis(400));
+    fleet.For(Millis(400));
   }
 }
 
 // A request waits for a model that doesn't come while its instance is told to
 // stop. Held to the end it would be cut; another instance can still serve it.
-TEST(LeavingEntry, WaitingRequestIsSentAway)
+TEST(LeavingEntry, WaitingRequestThatCannotFinishIsRefused)
 {
-  EntryTestFleet world;
-  world.mEngines[0]->mLoadTime = Seconds(60);
-  world.mConfig["routes"][3]["timeoutMs"] = 25000;
-  world.mConfig["routes"][3]["targetLatencyMs"] = 3000;
-  world.Configure();
-  world.AwaitReady();
-  world.For(Seconds(1));
-  TestCallPtr call = world.Send(0,
+  EntryTestFleet fleet;
+  fleet.mEngines[0]->mLoadTime = Seconds(60);
+  fleet.mConfig["routes"][3]["timeoutMs"] = 25000;
+  fleet.mConfig["routes"][3]["targetLatencyMs"] = 3000;
+  fleet.Configure();
+  fleet.AwaitReady();
+  fleet.For(Seconds(1));
+  TestCallPtr call = fleet.Send(0,
                                 "/resume/stream",
                                 "r1",
                                 { { wire::kModel, "m1" },
                                   { wire::kTokens, "1,1" },
                                   { wire::kDeadline, "25000" } });
-  world.For(Millis(300));
+  fleet.For(Millis(300));
   ASSERT_EQ(0, call->mStatus);
-  world.mInstances[0]->Leave();
-  EXPECT_TRUE(world.Until([&] { return call->mStatus != 0; }, Millis(2500)));
+  fleet.mInstances[0]->Leave();
+  EXPECT_TRUE(fleet.Until([&] { return call->mStatus != 0; }, Millis(2500)));
   EXPECT_EQ(503, call->mStatus);
   EXPECT_NE("", call->Field(wire::kRetryAfter));
-  EXPECT_EQ(0, world.RunsOf("r1"));
+  EXPECT_EQ(0, fleet.RunsOf("r1"));
 }
 
 // Guards against a request behind a stream that is begun late in the leave and
 // cut by its end.
-TEST(LeavingEntry, RequestBehindAStreamIsntBegunForTheEndToCut)
+TEST(LeavingEntry, PipelinedRequestIsNotStartedTooLate)
 {
-  EntryTestFleet world(TwoInstances());
-  for (auto& server : world.mPlain) {
+  EntryTestFleet fleet(TwoInstances());
+  for (auto& server : fleet.mPlain) {
     server->mWork = Seconds(5);
   }
-  std::string behind = world.RequestText("/order/x", "r2", kLongPlain);
-  TestCallPtr call = LeaveDuringStream(world, behind);
-  ASSERT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(6)));
-  EXPECT_TRUE(AwaitExit(world));
-  EXPECT_EQ(503, SecondStatus(*call));
-  EXPECT_EQ(0, world.RunsOf("r2"));
+  std::string behind = fleet.RequestText("/order/x", "r2", kLongPlain);
+  TestCallPtr call = LeaveDuringStream(fleet, behind);
+  ASSERT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(6)));
+  EXPECT_TRUE(AwaitExit(fleet));
+  EXPECT_EQ(503, SecondAnswerStatus(*call));
+  EXPECT_EQ(0, fleet.RunsOf("r2"));
 }
 
 // Guards against a request that was sent as the stream before it ended, and was
 // read and dropped.
-TEST(LeavingEntry, RequestSentAsAStreamEndsIsAnswered)
+TEST(LeavingEntry, RequestSentAtTheEndOfAStreamIsAnswered)
 {
-  EntryTestFleet world(TwoInstances());
-  TestCallPtr call = LeaveDuringStream(world);
-  ASSERT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(6)));
-  call->mChannel->Write(world.RequestText("/order/x", "r2", kLongPlain));
-  EXPECT_TRUE(AwaitExit(world));
-  EXPECT_EQ(503, SecondStatus(*call));
-  EXPECT_EQ(0, world.RunsOf("r2"));
+  EntryTestFleet fleet(TwoInstances());
+  TestCallPtr call = LeaveDuringStream(fleet);
+  ASSERT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(6)));
+  call->mChannel->Write(fleet.RequestText("/order/x", "r2", kLongPlain));
+  EXPECT_TRUE(AwaitExit(fleet));
+  EXPECT_EQ(503, SecondAnswerStatus(*call));
+  EXPECT_EQ(0, fleet.RunsOf("r2"));
 }
 
 // Guards against a refusal for the tenant's rate by an instance that has given
 // the tenant's tokens away itself.
-TEST(LeavingEntry, RefusalOfALastInstanceIsntAboutTheRate)
+TEST(LeavingEntry, LastInstanceDoesNotRefuseForTheRate)
 {
-  EntryTestFleet world;
-  std::string behind = world.RequestText("/order/x", "r2", kLongPlain);
-  TestCallPtr call = LeaveDuringStream(world, behind);
-  EXPECT_TRUE(AwaitExit(world));
-  EXPECT_EQ(503, SecondStatus(*call));
+  EntryTestFleet fleet;
+  std::string behind = fleet.RequestText("/order/x", "r2", kLongPlain);
+  TestCallPtr call = LeaveDuringStream(fleet, behind);
+  EXPECT_TRUE(AwaitExit(fleet));
+  EXPECT_EQ(503, SecondAnswerStatus(*call));
 }
 
 // Guards against a request whose body comes slowly, so that it is whole, and
 // begun, long after the instance should begin nothing.
-TEST(LeavingEntry, RequestThatIsWholeTooLateIsRefused)
+TEST(LeavingEntry, RequestReceivedTooLateIsRefused)
 {
-  EntryTestFleet world(TwoInstances());
-  for (auto& server : world.mPlain) {
+  EntryTestFleet fleet(TwoInstances());
+  for (auto& server : fleet.mPlain) {
     server->mWork = Seconds(6);
   }
-  LetRequestsLast(world);
-  world.AwaitReady();
-  std::string text = world.RequestText("/order/x", "r1", kLongPlain);
-  TestCallPtr call = world.SendRaw(0, text.substr(0, text.size() - 1));
-  world.For(Millis(200));
-  world.mInstances[0]->Leave();
-  world.For(Millis(4000));
+  SetLongRouteTimeouts(fleet);
+  fleet.AwaitReady();
+  std::string text = fleet.RequestText("/order/x", "r1", kLongPlain);
+  TestCallPtr call = fleet.SendRaw(0, text.substr(0, text.size() - 1));
+  fleet.For(Millis(200));
+  fleet.mInstances[0]->Leave();
+  fleet.For(Millis(4000));
   call->mChannel->Write(text.substr(text.size() - 1));
-  EXPECT_TRUE(AwaitExit(world));
+  EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(503, call->mStatus);
-  EXPECT_EQ(0, world.RunsOf("r1"));
+  EXPECT_EQ(0, fleet.RunsOf("r1"));
 }
 
 // Guards against a repeat that is sent so late that only the end can follow.
-TEST(LeavingEntry, RetryPastTheLimitIsNotSent)
+TEST(LeavingEntry, RetryPastTheExitIsNotSent)
 {
-  EntryTestFleet world(TwoInstances());
-  for (auto& server : world.mPlain) {
+  EntryTestFleet fleet(TwoInstances());
+  for (auto& server : fleet.mPlain) {
     server->mWork = Seconds(4);
     server->mBehaviour = ServerBehaviour::RunsThenCloses;
   }
-  LetRequestsLast(world);
-  world.AwaitReady();
-  TestCallPtr call = world.Send(0, "/safe/x", "r1", kLongPlain);
-  world.For(Millis(200));
-  world.mInstances[0]->Leave();
-  EXPECT_TRUE(AwaitExit(world));
+  SetLongRouteTimeouts(fleet);
+  fleet.AwaitReady();
+  TestCallPtr call = fleet.Send(0, "/safe/x", "r1", kLongPlain);
+  fleet.For(Millis(200));
+  fleet.mInstances[0]->Leave();
+  EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(502, call->mStatus);
   EXPECT_TRUE(call->mWhole);
-  EXPECT_EQ(1, world.RunsOf("r1"));
+  EXPECT_EQ(1, fleet.RunsOf("r1"));
 }
 
 // Guards against a caller whose request is still at a server when the instance
 // ends, and who gets a closed connection for an answer.
-TEST(LeavingEntry, WhatIsStillAtAServerAtTheEndIsAnswered)
+TEST(LeavingEntry, RequestAtAServerIsAnsweredAtTheExit)
 {
-  EntryTestFleet world;
-  for (auto& server : world.mPlain) {
+  EntryTestFleet fleet;
+  for (auto& server : fleet.mPlain) {
     server->mWork = Seconds(20);
   }
-  LetRequestsLast(world);
-  world.AwaitReady();
-  TestCallPtr call = world.Send(0, "/order/x", "r1", kLongPlain);
-  world.For(Millis(200));
-  world.mInstances[0]->Leave();
-  EXPECT_TRUE(AwaitExit(world));
-  world.Until([&] { return call->mWhole; }, Millis(300));
+  SetLongRouteTimeouts(fleet);
+  fleet.AwaitReady();
+  TestCallPtr call = fleet.Send(0, "/order/x", "r1", kLongPlain);
+  fleet.For(Millis(200));
+  fleet.mInstances[0]->Leave();
+  EXPECT_TRUE(AwaitExit(fleet));
+  fleet.Until([&] { return call->mWhole; }, Millis(300));
   EXPECT_EQ(502, call->mStatus);
   EXPECT_TRUE(call->mWhole);
 }
 
 // Guards against a connection that waits in the listening socket when that is
 // closed, and is reset with its request.
-TEST(LeavingEntry, LastOneToConnectIsAnswered)
+TEST(LeavingEntry, ConnectionInTheAcceptQueueIsAnswered)
 {
-  EntryTestFleet world(TwoInstances());
-  world.AwaitReady();
-  world.mInstances[0]->Leave();
-  world.For(Millis(2440));
+  EntryTestFleet fleet(TwoInstances());
+  fleet.AwaitReady();
+  fleet.mInstances[0]->Leave();
+  fleet.For(Millis(2440));
   // The caller connects and sends while the instance doesn't run.
-  TestCallPtr call = world.Send(0, "/order/x", "r1");
-  TimePoint until = world.mClock.Now() + Millis(200);
-  while (world.mClock.Now() < until) {
-    world.mReactor.RunPass(Millis(10));
+  TestCallPtr call = fleet.Send(0, "/order/x", "r1");
+  TimePoint until = fleet.mClock.Now() + Millis(200);
+  while (fleet.mClock.Now() < until) {
+    fleet.mReactor.RunPass(Millis(10));
   }
-  world.Until([&] { return call->mWhole || call->mClosed; }, Seconds(2));
+  fleet.Until([&] { return call->mWhole || call->mClosed; }, Seconds(2));
   EXPECT_TRUE(call->mWhole);
 }
 
 // Guards against an end that nobody can explain: it names the connection's
 // requests and the one under way.
-TEST(LeavingEntry, EndOfABusyConnectionIsLogged)
+TEST(LeavingEntry, CloseOfABusyConnectionIsLogged)
 {
-  EntryTestFleet world;
-  world.mEngines[0]->mEventGap = Seconds(3);
-  LetRequestsLast(world);
-  world.AwaitReady();
-  TestCallPtr call = world.Send(0, "/stream/stream", "r1", kLong);
-  ASSERT_TRUE(world.Until([&] { return call->mStatus == 200; }, Seconds(2)));
-  world.mInstances[0]->Leave();
-  EXPECT_TRUE(AwaitExit(world));
+  EntryTestFleet fleet;
+  fleet.mEngines[0]->mEventGap = Seconds(3);
+  SetLongRouteTimeouts(fleet);
+  fleet.AwaitReady();
+  TestCallPtr call = fleet.Send(0, "/stream/stream", "r1", kLong);
+  ASSERT_TRUE(fleet.Until([&] { return call->mStatus == 200; }, Seconds(2)));
+  fleet.mInstances[0]->Leave();
+  EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(1,
-            world.LogLines(0,
+            fleet.LogLines(0,
                            "\"event\":\"connection_ended\",\"why\":"
                            "\"instance_ends\",\"id\":\"r1\""));
 }
 
 // Guards against a process that ends with its goodbyes unsent when no caller
 // is connected: its mates leave its part of the tenants' tokens unused.
-TEST(LeavingEntry, GoodbyesAreSentThoughNobodyIsConnected)
+TEST(LeavingEntry, PeersAreNotifiedWithoutOpenConnections)
 {
-  EntryTestFleet world(TwoInstances());
-  world.mConfig["tenants"][0]["ratePerS"] = 20;
-  world.mConfig["tenants"][0]["burst"] = 40;
-  world.Configure();
-  world.AwaitReady();
-  world.mInstances[0]->Leave();
-  EXPECT_TRUE(AwaitExit(world));
-  world.For(Millis(200));
-  EXPECT_TRUE(world.mStore->Spec(kInstancesKind, "i0").isNull());
+  EntryTestFleet fleet(TwoInstances());
+  fleet.mConfig["tenants"][0]["ratePerS"] = 20;
+  fleet.mConfig["tenants"][0]["burst"] = 40;
+  fleet.Configure();
+  fleet.AwaitReady();
+  fleet.mInstances[0]->Leave();
+  EXPECT_TRUE(AwaitExit(fleet));
+  fleet.For(Millis(200));
+  EXPECT_TRUE(fleet.mStore->Spec(kInstancesKind, "i0").isNull());
   const std::string two = "\"members\":2";
-  int before = world.LogLines(1, two);
+  int before = fleet.LogLines(1, two);
   for (int i = 0; i < 20; ++i) {
-    world.Send(1, "/order/x", "r" + std::to_string(i));
+    fleet.Send(1, "/order/x", "r" + std::to_string(i));
   }
-  world.For(Millis(300));
-  EXPECT_LT(0, world.LogLines(1, "\"event\":\"tokens_refused\""));
-  EXPECT_EQ(before, world.LogLines(1, two));
+  fleet.For(Millis(300));
+  EXPECT_LT(0, fleet.LogLines(1, "\"event\":\"tokens_refused\""));
+  EXPECT_EQ(before, fleet.LogLines(1, two));
 }
 
 // Guards against a request that an instance reads late, because it stood still,
 // and begins as if it had come in time.
-TEST(LeavingEntry, RequestReadLateAfterAStandstillIsRefused)
+TEST(LeavingEntry, RequestReadLateAfterAPauseIsRefused)
 {
-  EntryTestFleet world(TwoInstances());
-  for (auto& server : world.mPlain) {
+  EntryTestFleet fleet(TwoInstances());
+  for (auto& server : fleet.mPlain) {
     server->mWork = Seconds(5);
   }
-  LetRequestsLast(world);
-  world.AwaitReady();
-  TestCallPtr kept = world.SendRaw(0, "");
-  world.For(Millis(100));
-  world.mInstances[0]->Leave();
-  world.For(Millis(2000));
-  kept->mChannel->Write(world.RequestText("/order/x", "r1", kLongPlain));
-  TestCallPtr late = world.Send(0, "/order/x", "r2", kLongPlain);
-  PauseInstances(world, Millis(2700));
-  EXPECT_TRUE(AwaitExit(world));
+  SetLongRouteTimeouts(fleet);
+  fleet.AwaitReady();
+  TestCallPtr kept = fleet.SendRaw(0, "");
+  fleet.For(Millis(100));
+  fleet.mInstances[0]->Leave();
+  fleet.For(Millis(2000));
+  kept->mChannel->Write(fleet.RequestText("/order/x", "r1", kLongPlain));
+  TestCallPtr late = fleet.Send(0, "/order/x", "r2", kLongPlain);
+  PauseInstances(fleet, Millis(2700));
+  EXPECT_TRUE(AwaitExit(fleet));
   for (const TestCallPtr& call : { kept, late }) {
     EXPECT_EQ(503, call->mStatus);
     EXPECT_TRUE(call->mWhole);
   }
-  EXPECT_EQ(0, world.RunsOf("r1") + world.RunsOf("r2"));
+  EXPECT_EQ(0, fleet.RunsOf("r1") + fleet.RunsOf("r2"));
 }
 
 // Guards against an instance that stood still over its end and leaves without
 // the last answers.
-TEST(LeavingEntry, StandstillOverTheEndStillGivesLastAnswers)
+TEST(LeavingEntry, FinalAnswersAreSentAfterAPauseAtTheExit)
 {
-  EntryTestFleet world;
-  for (auto& server : world.mPlain) {
+  EntryTestFleet fleet;
+  for (auto& server : fleet.mPlain) {
     server->mWork = Seconds(20);
   }
-  LetRequestsLast(world);
-  world.AwaitReady();
-  TestCallPtr call = world.Send(0, "/order/x", "r1", kLongPlain);
-  world.For(Millis(200));
-  world.mInstances[0]->Leave();
-  world.For(Millis(7300));
-  PauseInstances(world, Millis(450));
-  EXPECT_TRUE(AwaitExit(world));
-  world.Until([&] { return call->mWhole; }, Millis(300));
+  SetLongRouteTimeouts(fleet);
+  fleet.AwaitReady();
+  TestCallPtr call = fleet.Send(0, "/order/x", "r1", kLongPlain);
+  fleet.For(Millis(200));
+  fleet.mInstances[0]->Leave();
+  fleet.For(Millis(7300));
+  PauseInstances(fleet, Millis(450));
+  EXPECT_TRUE(AwaitExit(fleet));
+  fleet.Until([&] { return call->mWhole; }, Millis(300));
   EXPECT_EQ(502, call->mStatus);
   EXPECT_TRUE(call->mWhole);
 }
 
 // Guards against a SIGTERM during the start that leaves callers unanswered.
-TEST(LeavingEntry, ToldToStopAsItStartsItAnswersAndGoes)
+TEST(LeavingEntry, StopDuringStartupAnswersCallers)
 {
-  EntryTestFleet world;
-  world.mInstances[0]->Leave();
-  TestCallPtr call = world.Call(0, "/order/x", "r1");
+  EntryTestFleet fleet;
+  fleet.mInstances[0]->Leave();
+  TestCallPtr call = fleet.Call(0, "/order/x", "r1");
   EXPECT_TRUE(call->mWhole);
-  EXPECT_TRUE(AwaitExit(world));
+  EXPECT_TRUE(AwaitExit(fleet));
 }
 
 // Guards against a caller who is still sending when the instance ends, and gets
 // a closed connection for an answer: it can't tell that nothing ran.
-TEST(LeavingEntry, RequestThatIsntWholeAtTheEndIsRefused)
+TEST(LeavingEntry, PartialRequestIsRefusedAtTheExit)
 {
-  EntryTestFleet world(TwoInstances());
-  world.mConfig["limits"]["idleTimeoutMs"] = 20000;
-  world.Configure();
-  world.AwaitReady();
-  std::string text = world.RequestText("/order/x", "r1", kLongPlain);
-  TestCallPtr call = world.SendRaw(0, text.substr(0, text.size() - 1));
-  world.For(Millis(200));
-  world.mInstances[0]->Leave();
-  EXPECT_TRUE(AwaitExit(world));
-  world.Until([&] { return call->mWhole; }, Millis(300));
+  EntryTestFleet fleet(TwoInstances());
+  fleet.mConfig["limits"]["idleTimeoutMs"] = 20000;
+  fleet.Configure();
+  fleet.AwaitReady();
+  std::string text = fleet.RequestText("/order/x", "r1", kLongPlain);
+  TestCallPtr call = fleet.SendRaw(0, text.substr(0, text.size() - 1));
+  fleet.For(Millis(200));
+  fleet.mInstances[0]->Leave();
+  EXPECT_TRUE(AwaitExit(fleet));
+  fleet.Until([&] { return call->mWhole; }, Millis(300));
   EXPECT_EQ(503, call->mStatus);
   EXPECT_TRUE(call->mWhole);
 }
 
 // Guards against a request that waits for its tenant's tokens as the instance
 // gives them away, and is refused for the tenant's rate.
-TEST(LeavingEntry, WaitingForTokensThatAreGivenAwayIsntAboutTheRate)
+TEST(LeavingEntry, RequestWaitingForTokensIsNotRefusedForTheRate)
 {
-  EntryTestFleet world;
-  world.mConfig["tenants"][0]["ratePerS"] = 20;
-  world.mConfig["tenants"][0]["burst"] = 40;
-  for (Json::Value& route : world.mConfig["routes"]) {
+  EntryTestFleet fleet;
+  fleet.mConfig["tenants"][0]["ratePerS"] = 20;
+  fleet.mConfig["tenants"][0]["burst"] = 40;
+  for (Json::Value& route : fleet.mConfig["routes"]) {
     route["targetLatencyMs"] = 8000; // an eighth of it waits for tokens
   }
-  LetRequestsLast(world);
-  world.AwaitReady();
-  world.For(Seconds(3)); // the bucket fills
-  world.mInstances[0]->Leave();
-  world.For(Millis(2250));
+  SetLongRouteTimeouts(fleet);
+  fleet.AwaitReady();
+  fleet.For(Seconds(3)); // the bucket fills
+  fleet.mInstances[0]->Leave();
+  fleet.For(Millis(2250));
   std::vector<TestCallPtr> calls;
   for (int i = 0; i < 5; ++i) {
     calls.push_back(
-      world.Send(0, "/order/x", "r" + std::to_string(i), kLongPlain));
+      fleet.Send(0, "/order/x", "r" + std::to_string(i), kLongPlain));
   }
-  EXPECT_TRUE(AwaitExit(world));
+  EXPECT_TRUE(AwaitExit(fleet));
   int refused = 0;
   for (const TestCallPtr& call : calls) {
     EXPECT_TRUE(call->mStatus == 200 || call->mStatus == 503) << call->mStatus;
@@ -400,21 +400,21 @@
 // away though a place comes free in time.
 TEST(LeavingEntry, WaitingRequestThatFitsIsServed)
 {
-  EntryFleetOptions plan = TwoInstances();
-  plan.mPlain = 1;
-  EntryTestFleet world(plan);
-  world.mConfig["services"][0]["maxConns"] = 1;
-  world.mConfig["routes"][1]["timeoutMs"] = 5000;
-  world.Configure();
-  world.mPlain[0]->mWork = Millis(100);
-  world.AwaitReady();
-  world.mInstances[0]->Leave();
+  EntryFleetOptions options = TwoInstances();
+  options.mPlain = 1;
+  EntryTestFleet fleet(options);
+  fleet.mConfig["services"][0]["maxConns"] = 1;
+  fleet.mConfig["routes"][1]["timeoutMs"] = 5000;
+  fleet.Configure();
+  fleet.mPlain[0]->mWork = Millis(100);
+  fleet.AwaitReady();
+  fleet.mInstances[0]->Leave();
   std::vector<TestCallPtr> calls;
   for (int i = 0; i < 12; ++i) {
-    calls.push_back(world.Send(
+    calls.push_back(fleet.Send(
       0, "/order/x", "r" + std::to_string(i), { { wire::kDeadline, "5000" } }));
   }
-  EXPECT_TRUE(AwaitExit(world));
+  EXPECT_TRUE(AwaitExit(fleet));
   for (const TestCallPtr& call : calls) {
     EXPECT_EQ(200, call->mStatus);
   }
@@ -422,20 +422,20 @@
 
 // Guards against an instance that is killed with its last answers unsent,
 // because the granted time was shortened while it left.
-TEST(LeavingEntry, GraceThatIsShortenedHoldsForTheLeaveUnderWay)
+TEST(LeavingEntry, ShorterGraceAppliesToALeaveInProgress)
 {
-  EntryTestFleet world;
-  for (auto& server : world.mPlain) {
+  EntryTestFleet fleet;
+  for (auto& server : fleet.mPlain) {
     server->mWork = Seconds(20);
   }
-  LetRequestsLast(world);
-  world.AwaitReady();
-  TestCallPtr call = world.Send(0, "/order/x", "r1", kLongPlain);
-  world.For(Millis(200));
-  world.mInstances[0]->Leave();
-  world.For(Seconds(1));
-  world.mInstances[0]->State().mSettings.mGrace = Seconds(4);
-  EXPECT_TRUE(world.Until([&] { return call->mWhole; }, Millis(2900)));
+  SetLongRouteTimeouts(fleet);
+  fleet.AwaitReady();
+  TestCallPtr call = fleet.Send(0, "/order/x", "r1", kLongPlain);
+  fleet.For(Millis(200));
+  fleet.mInstances[0]->Leave();
+  fleet.For(Seconds(1));
+  fleet.mInstances[0]->State().mSettings.mGrace = Seconds(4);
+  EXPECT_TRUE(fleet.Until([&] { return call->mWhole; }, Millis(2900)));
   EXPECT_EQ(502, call->mStatus);
 }
 
--- a/tests/platform/OpenConnectionsTest.cpp
+++ b/tests/platform/OpenConnectionsTest.cpp
@@ -16,16 +16,16 @@
 
 // A stream of two and a half seconds is under way.
 TestCallPtr
-BeginStream(EntryTestFleet& aWorld)
+BeginStream(EntryTestFleet& aFleet)
 {
-  for (Json::Value& route : aWorld.mConfig["routes"]) {
+  for (Json::Value& route : aFleet.mConfig["routes"]) {
     route["timeoutMs"] = 25000;
   }
-  aWorld.Configure();
-  aWorld.mEngines[0]->mEventGap = Millis(500);
-  aWorld.AwaitReady();
-  TestCallPtr call = aWorld.Send(0, "/stream/stream", "r1", kLong);
-  EXPECT_TRUE(aWorld.Until([&] { return call->mStatus == 200; }, Seconds(2)));
+  aFleet.Configure();
+  aFleet.mEngines[0]->mEventGap = Millis(500);
+  aFleet.AwaitReady();
+  TestCallPtr call = aFleet.Send(0, "/stream/stream", "r1", kLong);
+  EXPECT_TRUE(aFleet.Until([&] { return call->mStatus == 200; }, Seconds(2)));
   return call;
 }
 
@@ -33,149 +33,149 @@
 
 // Guards against a connection that is closed under a caller who reuses it
 // within the limit that held when it was left idle.
-TEST(OpenConnections, IdleLimitThatFallsLeavesThePauseUnderWayAlone)
+TEST(OpenConnections, LowerIdleLimitSparesAnIdleConnection)
 {
-  EntryTestFleet world;
-  world.mConfig["limits"]["idleTimeoutMs"] = 10000;
-  world.Configure();
-  world.AwaitReady();
-  world.For(Seconds(1));
-  TestCallPtr call = world.Send(0, "/order/x", "r1");
-  ASSERT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(2)));
-  world.For(Seconds(2));
-  world.mConfig["limits"]["idleTimeoutMs"] = 1000;
-  world.Configure();
-  world.For(Seconds(2));
+  EntryTestFleet fleet;
+  fleet.mConfig["limits"]["idleTimeoutMs"] = 10000;
+  fleet.Configure();
+  fleet.AwaitReady();
+  fleet.For(Seconds(1));
+  TestCallPtr call = fleet.Send(0, "/order/x", "r1");
+  ASSERT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(2)));
+  fleet.For(Seconds(2));
+  fleet.mConfig["limits"]["idleTimeoutMs"] = 1000;
+  fleet.Configure();
+  fleet.For(Seconds(2));
   ASSERT_FALSE(call->mClosed);
-  call->mChannel->Write(world.RequestText("/order/x", "r2"));
-  world.Until([&] { return world.RunsOf("r2") > 0 && !call->mOver.empty(); },
+  call->mChannel->Write(fleet.RequestText("/order/x", "r2"));
+  fleet.Until([&] { return fleet.RunsOf("r2") > 0 && !call->mOver.empty(); },
               Seconds(2));
   EXPECT_EQ(0u, call->mOver.find("HTTP/1.1 200"));
   // The pause that begins now is judged by the limit of now.
-  EXPECT_TRUE(world.Until([&] { return call->mClosed; }, Seconds(3)));
+  EXPECT_TRUE(fleet.Until([&] { return call->mClosed; }, Seconds(3)));
 }
 
 // Guards against a stream that is cut, and a next request that gets neither
 // answer nor refusal, because a limit fell below what lies behind the stream.
-TEST(OpenConnections, SizeLimitThatFallsCutsNothing)
+TEST(OpenConnections, LowerSizeLimitSparesPipelinedRequests)
 {
-  EntryTestFleet world;
-  TestCallPtr call = BeginStream(world);
-  world.mConfig["limits"]["maxHeaderBytes"] = 1000;
-  world.mConfig["limits"]["maxBodyBytes"] = 2000;
-  world.Configure();
-  world.For(Seconds(1));
+  EntryTestFleet fleet;
+  TestCallPtr call = BeginStream(fleet);
+  fleet.mConfig["limits"]["maxHeaderBytes"] = 1000;
+  fleet.mConfig["limits"]["maxBodyBytes"] = 2000;
+  fleet.Configure();
+  fleet.For(Seconds(1));
   std::string big(60000, 'x');
-  call->mChannel->Write(world.RequestText("/order/x", "r2", {}, big));
+  call->mChannel->Write(fleet.RequestText("/order/x", "r2", {}, big));
   ASSERT_TRUE(
-    world.Until([&] { return call->mWhole || call->mClosed; }, Seconds(5)));
+    fleet.Until([&] { return call->mWhole || call->mClosed; }, Seconds(5)));
   EXPECT_TRUE(call->mWhole);
-  world.Until([&] { return !call->mOver.empty(); }, Seconds(2));
+  fleet.Until([&] { return !call->mOver.empty(); }, Seconds(2));
   EXPECT_EQ(0u, call->mOver.find("HTTP/1.1 200"));
 }
 
 // Guards against a body that is called too slow by a limit that fell while it
 // came.
-TEST(OpenConnections, TimeLimitThatFallsSparesTheBodyUnderWay)
+TEST(OpenConnections, LowerTimeLimitSparesABodyInTransit)
 {
-  EntryTestFleet world;
-  world.mConfig["limits"]["idleTimeoutMs"] = 10000;
-  world.Configure();
-  world.AwaitReady();
-  world.For(Seconds(1));
-  std::string text = world.RequestText("/order/x", "r1");
-  TestCallPtr call = world.SendRaw(0, text.substr(0, text.size() - 1));
-  world.For(Millis(500));
-  world.mConfig["limits"]["idleTimeoutMs"] = 1000;
-  world.Configure();
-  world.For(Millis(2500));
+  EntryTestFleet fleet;
+  fleet.mConfig["limits"]["idleTimeoutMs"] = 10000;
+  fleet.Configure();
+  fleet.AwaitReady();
+  fleet.For(Seconds(1));
+  std::string text = fleet.RequestText("/order/x", "r1");
+  TestCallPtr call = fleet.SendRaw(0, text.substr(0, text.size() - 1));
+  fleet.For(Millis(500));
+  fleet.mConfig["limits"]["idleTimeoutMs"] = 1000;
+  fleet.Configure();
+  fleet.For(Millis(2500));
   call->mChannel->Write(text.substr(text.size() - 1));
   ASSERT_TRUE(
-    world.Until([&] { return call->mWhole || call->mClosed; }, Seconds(3)));
+    fleet.Until([&] { return call->mWhole || call->mClosed; }, Seconds(3)));
   EXPECT_EQ(200, call->mStatus);
 }
 
 // Guards against a caller that sends more behind a stream than may wait, and
 // loses the stream for it.
-TEST(OpenConnections, CallerThatSendsAheadKeepsItsStream)
+TEST(OpenConnections, PipeliningCallerKeepsItsStream)
 {
-  EntryTestFleet world;
-  world.mConfig["limits"]["maxHeaderBytes"] = 2000;
-  world.mConfig["limits"]["maxBodyBytes"] = 2000;
-  TestCallPtr call = BeginStream(world);
+  EntryTestFleet fleet;
+  fleet.mConfig["limits"]["maxHeaderBytes"] = 2000;
+  fleet.mConfig["limits"]["maxBodyBytes"] = 2000;
+  TestCallPtr call = BeginStream(fleet);
   std::string body(1500, 'x');
   std::string ahead;
   for (int i = 0; i < 6; ++i) {
-    ahead += world.RequestText("/order/x", "a" + std::to_string(i), {}, body);
+    ahead += fleet.RequestText("/order/x", "a" + std::to_string(i), {}, body);
   }
   call->mChannel->Write(ahead);
   ASSERT_TRUE(
-    world.Until([&] { return call->mWhole || call->mClosed; }, Seconds(5)));
+    fleet.Until([&] { return call->mWhole || call->mClosed; }, Seconds(5)));
   EXPECT_TRUE(call->mWhole);
-  world.Until([&] { return world.RunsOf("a5") > 0; }, Seconds(3));
+  fleet.Until([&] { return fleet.RunsOf("a5") > 0; }, Seconds(3));
   for (int i = 0; i < 6; ++i) {
-    EXPECT_EQ(1, world.RunsOf("a" + std::to_string(i))) << i;
+    EXPECT_EQ(1, fleet.RunsOf("a" + std::to_string(i))) << i;
   }
 }
 
 // Guards against a caller that goes while input waits unread here, and isn't
 // noticed: its server would work on for nobody.
-TEST(OpenConnections, CallerThatSendsAheadAndGoesIsNoticed)
+TEST(OpenConnections, DisconnectWithUnreadInputIsNoticed)
 {
-  EntryTestFleet world;
-  world.mConfig["limits"]["maxHeaderBytes"] = 2000;
-  world.mConfig["limits"]["maxBodyBytes"] = 2000;
-  TestCallPtr call = BeginStream(world);
+  EntryTestFleet fleet;
+  fleet.mConfig["limits"]["maxHeaderBytes"] = 2000;
+  fleet.mConfig["limits"]["maxBodyBytes"] = 2000;
+  TestCallPtr call = BeginStream(fleet);
   call->mChannel->Write(std::string(100000, 'x'));
-  world.For(Millis(300));
+  fleet.For(Millis(300));
   call->mChannel->Close();
   EXPECT_TRUE(
-    world.Until([&] { return world.mEngines[0]->mLeft == 1; }, Seconds(1)));
+    fleet.Until([&] { return fleet.mEngines[0]->mLeft == 1; }, Seconds(1)));
 }
 
 // Guards against a caller that goes while input waits unread here and its
 // server says nothing: the server would work on for nobody.
-TEST(OpenConnections, CallerThatSendsAheadAndGoesIsNoticedInSilence)
+TEST(OpenConnections, DisconnectWithUnreadInputIsNoticedBeforeAnAnswer)
 {
-  EntryTestFleet world;
-  world.mConfig["limits"]["maxHeaderBytes"] = 2000;
-  world.mConfig["limits"]["maxBodyBytes"] = 2000;
-  for (Json::Value& route : world.mConfig["routes"]) {
+  EntryTestFleet fleet;
+  fleet.mConfig["limits"]["maxHeaderBytes"] = 2000;
+  fleet.mConfig["limits"]["maxBodyBytes"] = 2000;
+  for (Json::Value& route : fleet.mConfig["routes"]) {
     route["timeoutMs"] = 25000;
   }
-  world.Configure();
-  for (auto& server : world.mPlain) {
+  fleet.Configure();
+  for (auto& server : fleet.mPlain) {
     server->mWork = Seconds(5);
   }
-  world.AwaitReady();
+  fleet.AwaitReady();
   TestCallPtr call =
-    world.Send(0, "/order/x", "r1", { { wire::kDeadline, "25000" } });
-  ASSERT_TRUE(world.Until(
+    fleet.Send(0, "/order/x", "r1", { { wire::kDeadline, "25000" } });
+  ASSERT_TRUE(fleet.Until(
     [&] {
-      return world.mPlain[0]->mArrivals + world.mPlain[1]->mArrivals == 1;
+      return fleet.mPlain[0]->mArrivals + fleet.mPlain[1]->mArrivals == 1;
     },
     Seconds(2)));
   call->mChannel->Write(std::string(100000, 'x'));
-  world.For(Millis(300));
+  fleet.For(Millis(300));
   call->mChannel->Close();
-  EXPECT_TRUE(world.Until(
-    [&] { return world.mPlain[0]->mLeft + world.mPlain[1]->mLeft == 1; },
+  EXPECT_TRUE(fleet.Until(
+    [&] { return fleet.mPlain[0]->mLeft + fleet.mPlain[1]->mLeft == 1; },
     Millis(1500)));
 }
 
 // Guards against a caller that sends many requests at once on one connection
 // and loses some of them, or gets them answered out of order.
-TEST(OpenConnections, RequestsSentAtOnceAreAnsweredInOrder)
+TEST(OpenConnections, PipelinedRequestsAreAnsweredInOrder)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
   std::string text;
   for (int i = 0; i < 50; ++i) {
-    text += world.RequestText("/order/x", "r" + std::to_string(i));
+    text += fleet.RequestText("/order/x", "r" + std::to_string(i));
   }
-  TestCallPtr call = world.SendRaw(0, text);
-  world.Until([&] { return world.RunsOf("r49") > 0; }, Seconds(5));
-  world.For(Millis(200));
+  TestCallPtr call = fleet.SendRaw(0, text);
+  fleet.Until([&] { return fleet.RunsOf("r49") > 0; }, Seconds(5));
+  fleet.For(Millis(200));
   size_t at = 0;
   for (int i = 0; i < 50; ++i) {
     std::string field =
@@ -235,29 +235,29 @@
 
 // Guards against a request under way, one that waits and one behind a stream
 // that end without an answer as a configuration takes away what they go by.
-TEST_P(ConfigRemovalInFlight, AllAreAnswered)
+TEST_P(ConfigRemovalInFlight, AllRequestsAreAnswered)
 {
-  EntryTestFleet world;
-  world.mEngines[0]->mLoadTime = Seconds(1);
-  TestCallPtr stream = BeginStream(world);
+  EntryTestFleet fleet;
+  fleet.mEngines[0]->mLoadTime = Seconds(1);
+  TestCallPtr stream = BeginStream(fleet);
   std::vector<HttpField> cold = kLong;
   cold[0].mValue = "m5";
-  TestCallPtr waits = world.Send(0, "/resume/stream", "r2", cold);
-  stream->mChannel->Write(world.RequestText("/order/x", "r3"));
-  world.For(Millis(200));
-  GetParam().mChange(world.mConfig);
-  world.Configure();
-  world.For(Millis(100));
-  world.Configure();
-  world.Until(
+  TestCallPtr waiting = fleet.Send(0, "/resume/stream", "r2", cold);
+  stream->mChannel->Write(fleet.RequestText("/order/x", "r3"));
+  fleet.For(Millis(200));
+  GetParam().mChange(fleet.mConfig);
+  fleet.Configure();
+  fleet.For(Millis(100));
+  fleet.Configure();
+  fleet.Until(
     [&] {
       bool behind = stream->mOver.find("HTTP/1.1 ") == 0;
-      return (stream->mWhole && behind && waits->mWhole) || stream->mClosed;
+      return (stream->mWhole && behind && waiting->mWhole) || stream->mClosed;
     },
     Seconds(8));
   EXPECT_TRUE(stream->mWhole);
   EXPECT_EQ(0u, stream->mOver.find("HTTP/1.1 "));
-  EXPECT_TRUE(waits->mWhole);
+  EXPECT_TRUE(waiting->mWhole);
 }
 
 INSTANTIATE_TEST_SUITE_P(OpenConnections,
--- a/tests/platform/StreamsTest.cpp
+++ b/tests/platform/StreamsTest.cpp
@@ -27,23 +27,23 @@
 EntryFleetOptions
 TwoEngines()
 {
-  EntryFleetOptions plan;
-  plan.mEngines = 2;
-  return plan;
+  EntryFleetOptions options;
+  options.mEngines = 2;
+  return options;
 }
 
 } // namespace
 
-TEST(Streams, EventsComeAsTheyAreMade)
+TEST(Streams, EventsAreForwardedAsTheyArrive)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  world.mEngines[0]->mEventGap = Millis(150);
-  TestCallPtr call = world.Send(0, "/stream/stream", "r1", kModel);
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  fleet.mEngines[0]->mEventGap = Millis(150);
+  TestCallPtr call = fleet.Send(0, "/stream/stream", "r1", kModel);
   EXPECT_TRUE(
-    world.Until([&] { return call->mBody == Events(1, 1); }, Millis(300)));
+    fleet.Until([&] { return call->mBody == Events(1, 1); }, Millis(300)));
   EXPECT_FALSE(call->mWhole);
-  EXPECT_TRUE(world.Until([&] { return call->mWhole; }, Seconds(3)));
+  EXPECT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(3)));
   EXPECT_EQ(Events(1, 5), call->mBody);
 }
 
@@ -51,60 +51,60 @@
 // ends without its end, so that it can't look complete.
 TEST(Streams, BrokenStreamDoesNotLookComplete)
 {
-  EntryTestFleet world(TwoEngines());
-  world.AwaitReady();
-  for (auto& engine : world.mEngines) {
+  EntryTestFleet fleet(TwoEngines());
+  fleet.AwaitReady();
+  for (auto& engine : fleet.mEngines) {
     engine->mBehaviour = ServerBehaviour::StopsMidway;
   }
-  TestCallPtr call = world.Call(0, "/stream/stream", "r1", kModel);
+  TestCallPtr call = fleet.Call(0, "/stream/stream", "r1", kModel);
   EXPECT_TRUE(call->mClosed);
   EXPECT_FALSE(call->mWhole);
-  EXPECT_EQ(1, world.RunsOf("r1"));
+  EXPECT_EQ(1, fleet.RunsOf("r1"));
 }
 
 // The same for a stream that may be resumed: another server goes on after the
 // last event that the caller has in full.
-TEST(Streams, ResumedStreamIsJoinedWithoutASeam)
+TEST(Streams, ResumedStreamHasNoGapAndNoRepeat)
 {
   for (int i = 0; i < 4; ++i) {
-    EntryTestFleet world(TwoEngines());
-    world.AwaitReady();
-    world.mEngines[0]->mBehaviour = ServerBehaviour::StopsMidway;
+    EntryTestFleet fleet(TwoEngines());
+    fleet.AwaitReady();
+    fleet.mEngines[0]->mBehaviour = ServerBehaviour::StopsMidway;
     std::string id = "r" + std::to_string(i);
-    TestCallPtr call = world.Call(0, "/resume/stream", id, kModel);
+    TestCallPtr call = fleet.Call(0, "/resume/stream", id, kModel);
     EXPECT_TRUE(call->mWhole);
     EXPECT_EQ(Events(1, 5), call->mBody);
-    if (!world.mEngines[0]->mRuns.empty()) {
-      ASSERT_EQ(1u, world.mEngines[1]->mRuns.size());
-      EXPECT_EQ("2", world.mEngines[1]->mRuns[0].mLastEvent);
+    if (!fleet.mEngines[0]->mRuns.empty()) {
+      ASSERT_EQ(1u, fleet.mEngines[1]->mRuns.size());
+      EXPECT_EQ("2", fleet.mEngines[1]->mRuns[0].mLastEvent);
     }
   }
 }
 
 // The caller of a stream leaves: the server is told within half a second.
-TEST(Streams, LeavingCallerStopsTheServer)
+TEST(Streams, DisconnectStopsTheServer)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  world.mEngines[0]->mEvents = 1000;
-  TestCallPtr call = world.Send(0, "/stream/stream", "r1", kModel);
-  ASSERT_TRUE(world.Until([&] { return call->mStatus == 200; }, Seconds(1)));
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  fleet.mEngines[0]->mEvents = 1000;
+  TestCallPtr call = fleet.Send(0, "/stream/stream", "r1", kModel);
+  ASSERT_TRUE(fleet.Until([&] { return call->mStatus == 200; }, Seconds(1)));
   call->mChannel->Close();
   EXPECT_TRUE(
-    world.Until([&] { return world.mEngines[0]->mLeft == 1; }, Millis(500)));
+    fleet.Until([&] { return fleet.mEngines[0]->mLeft == 1; }, Millis(500)));
 }
 
-TEST(Streams, CallerThatLeavesBeforeTheFirstEventStopsTheServer)
+TEST(Streams, DisconnectBeforeTheFirstEventStopsTheServer)
 {
-  EntryTestFleet world;
-  world.AwaitReady();
-  world.mEngines[0]->mWork = Seconds(5);
-  TestCallPtr call = world.Send(0, "/stream/stream", "r1", kModel);
+  EntryTestFleet fleet;
+  fleet.AwaitReady();
+  fleet.mEngines[0]->mWork = Seconds(5);
+  TestCallPtr call = fleet.Send(0, "/stream/stream", "r1", kModel);
   ASSERT_TRUE(
-    world.Until([&] { return !world.mEngines[0]->mRuns.empty(); }, Seconds(1)));
+    fleet.Until([&] { return !fleet.mEngines[0]->mRuns.empty(); }, Seconds(1)));
   call->mChannel->Close();
   EXPECT_TRUE(
-    world.Until([&] { return world.mEngines[0]->mLeft == 1; }, Millis(500)));
+    fleet.Until([&] { return fleet.mEngines[0]->mLeft == 1; }, Millis(500)));
 }
 
 } // namespace caraway
--- a/tests/support/StandInStore.cpp
+++ b/tests/support/StandInStore.cpp
@@ -46,7 +46,7 @@
 StandInStore::StandInStore(Reactor& aReactor)
   : mReactor(aReactor)
 {
-  mReactor.Every(Millis(10), [this] { Wake(); });
+  mReactor.Every(Millis(10), [this] { AnswerWatches(); });
 }
 
 StandInStore::~StandInStore() = default;
@@ -59,16 +59,16 @@
 }
 
 void
-StandInStore::SetFaultMode(size_t aPort, FaultMode aMood)
+StandInStore::SetFaultMode(size_t aPort, FaultMode aMode)
 {
-  mPorts.at(aPort)->mFaultMode = aMood;
+  mPorts.at(aPort)->mFaultMode = aMode;
 }
 
 void
-StandInStore::SetFaultModeOfAll(FaultMode aMood)
+StandInStore::SetFaultModeOfAll(FaultMode aMode)
 {
   for (auto& port : mPorts) {
-    port->mFaultMode = aMood;
+    port->mFaultMode = aMode;
   }
 }
 
@@ -87,9 +87,9 @@
 }
 
 void
-StandInStore::Note(const std::string& aKind,
-                   const std::string& aName,
-                   bool aRemoved)
+StandInStore::RecordChange(const std::string& aKind,
+                           const std::string& aName,
+                           bool aRemoved)
 {
   Change change;
   change.mRevision = mRevision;
@@ -111,8 +111,8 @@
   if (object.mCreated == 0) {
     object.mCreated = mRevision;
   }
-  Note(aKind, aName, false);
-  Wake();
+  RecordChange(aKind, aName, false);
+  AnswerWatches();
   return mRevision;
 }
 
@@ -120,9 +120,9 @@
 StandInStore::Remove(const std::string& aKind, const std::string& aName)
 {
   ++mRevision;
-  Note(aKind, aName, true);
+  RecordChange(aKind, aName, true);
   mObjects[aKind].erase(aName);
-  Wake();
+  AnswerWatches();
 }
 
 Json::Value
@@ -138,7 +138,7 @@
 void
 StandInStore::ForgetHistory()
 {
-  mForgotten = ++mRevision;
+  mHistoryStart = ++mRevision;
   mChanges.clear();
 }
 
@@ -248,7 +248,7 @@
   if (mMuted || aWatch.mPort->mMutedKind == aWatch.mKind) {
     return false;
   }
-  if (aWatch.mFrom < mForgotten) {
+  if (aWatch.mFrom < mHistoryStart) {
     Answer(*aWatch.mPort, conn, 410, Json::Value(Json::objectValue));
     return true;
   }
@@ -271,7 +271,7 @@
 }
 
 void
-StandInStore::Wake()
+StandInStore::AnswerWatches()
 {
   std::vector<Watch> watches = std::move(mWatches);
   mWatches.clear();
--- a/tests/support/StandInStore.h
+++ b/tests/support/StandInStore.h
@@ -32,8 +32,8 @@
 
   // Address of a new port.
   std::string Open();
-  void SetFaultMode(size_t aPort, FaultMode aMood);
-  void SetFaultModeOfAll(FaultMode aMood);
+  void SetFaultMode(size_t aPort, FaultMode aMode);
+  void SetFaultModeOfAll(FaultMode aMode);
 
   // As the operator or a server.
   int64_t Put(const std::string& aKind,
@@ -90,8 +90,10 @@
               int aStatus,
               const Json::Value& aBody);
   Json::Value ObjectJson(const std::string& aName, const Object& aObject) const;
-  void Note(const std::string& aKind, const std::string& aName, bool aRemoved);
-  void Wake();
+  void RecordChange(const std::string& aKind,
+                    const std::string& aName,
+                    bool aRemoved);
+  void AnswerWatches();
   bool AnswerWatch(const Watch& aWatch, bool aDue);
 
   Reactor& mReactor;
@@ -100,7 +102,7 @@
   std::vector<Change> mChanges;
   std::vector<Watch> mWatches;
   int64_t mRevision = 1;
-  int64_t mForgotten = 0;
+  int64_t mHistoryStart = 0;
   bool mMuted = false;
   int mCalls = 0;
 };
--- a/tests/unit/ChannelPoolTest.cpp
+++ b/tests/unit/ChannelPoolTest.cpp
@@ -14,9 +14,9 @@
 
 constexpr char kPeer[] = "server";
 
-struct KeptConnection
+struct PooledConnection
 {
-  KeptConnection()
+  PooledConnection()
     : mReactor(mClock)
     , mPool(mReactor)
     , mListener(Poco::Net::SocketAddress("127.0.0.1", 0))
@@ -24,11 +24,11 @@
   {
     auto channel = Channel::Connect(mReactor, mAddress, Seconds(1));
     mServer = mListener.acceptConnection();
-    RunPass();
+    RunPasses();
     mPool.Keep(mAddress, kPeer, channel, Seconds(10));
   }
 
-  void RunPass()
+  void RunPasses()
   {
     for (int i = 0; i < 5; ++i) {
       mReactor.RunPass(Millis(5));
@@ -48,29 +48,29 @@
 } // namespace
 
 // Guards against a pool that keeps nothing.
-TEST(ChannelPool, KeptConnectionIsUsedAgain)
+TEST(ChannelPool, IdleConnectionIsReused)
 {
-  KeptConnection kept;
-  EXPECT_NE(nullptr, kept.Take());
-  EXPECT_EQ(nullptr, kept.Take());
+  PooledConnection pooled;
+  EXPECT_NE(nullptr, pooled.Take());
+  EXPECT_EQ(nullptr, pooled.Take());
 }
 
 // Guards against a request that goes out on a connection whose end has arrived
 // and wasn't looked at: it counts as one that may have run.
-TEST(ChannelPool, ConnectionThatItsServerEndedIsntUsed)
+TEST(ChannelPool, ConnectionClosedByItsServerIsNotReused)
 {
-  KeptConnection kept;
-  kept.mServer.close();
-  EXPECT_EQ(nullptr, kept.Take());
+  PooledConnection pooled;
+  pooled.mServer.close();
+  EXPECT_EQ(nullptr, pooled.Take());
 }
 
 // Guards against bytes that belong to no request and are taken for the answer
 // to the next one.
-TEST(ChannelPool, ConnectionWithBytesOnItIsntUsed)
+TEST(ChannelPool, ConnectionWithUnreadInputIsNotReused)
 {
-  KeptConnection kept;
-  kept.mServer.sendBytes("HTTP/1.1 200 OK\r\n\r\n", 19);
-  EXPECT_EQ(nullptr, kept.Take());
+  PooledConnection pooled;
+  pooled.mServer.sendBytes("HTTP/1.1 200 OK\r\n\r\n", 19);
+  EXPECT_EQ(nullptr, pooled.Take());
 }
 
 } // namespace caraway
--- a/tests/unit/ChannelTest.cpp
+++ b/tests/unit/ChannelTest.cpp
@@ -14,7 +14,7 @@
 // The reader is busy for a while, so that the socket's buffer fills and the
 // rest must wait for it. A stream that loses its end here would reach its
 // caller with pieces missing.
-TEST(Channel, WholeOutputReachesASlowReader)
+TEST(Channel, SlowReaderGetsAllOutput)
 {
   BootClock clock;
   Reactor reactor(clock);
@@ -38,7 +38,7 @@
 
 // Guards against a last answer that is cut though its reader, a slow one, still
 // reads it.
-TEST(Channel, LastOutputReachesASlowReader)
+TEST(Channel, SlowReaderGetsAllOutputAfterFinish)
 {
   BootClock clock;
   Reactor reactor(clock);
@@ -46,22 +46,22 @@
   Poco::Net::StreamSocket reader(listener.address());
   auto writer = Channel::Accepted(reactor, listener.acceptConnection());
   constexpr size_t kBytes = 32u << 20;
-  constexpr size_t kAtOnce = 2u << 20;
+  constexpr size_t kPartBytes = 2u << 20;
   writer->Write(std::string(kBytes, 'x'));
   writer->Finish();
   size_t got = 0;
-  std::string bytes(kAtOnce, ' ');
-  for (size_t from = 0; from < kBytes; from += kAtOnce) {
+  std::string bytes(kPartBytes, ' ');
+  for (size_t from = 0; from < kBytes; from += kPartBytes) {
     TimePoint until = clock.Now() + Millis(400);
     while (clock.Now() < until) {
       reactor.RunPass(Millis(20));
     }
     size_t part = 0;
     int count = 1;
-    while (part < kAtOnce && count > 0) {
+    while (part < kPartBytes && count > 0) {
       reactor.RunPass(Millis(0));
       count =
-        reader.receiveBytes(bytes.data(), static_cast<int>(kAtOnce - part));
+        reader.receiveBytes(bytes.data(), static_cast<int>(kPartBytes - part));
       part += count > 0 ? static_cast<size_t>(count) : 0;
     }
     got += part;
@@ -70,7 +70,7 @@
 }
 
 // Guards against a reader that has stopped and holds its connection for ever.
-TEST(Channel, LastOutputIsGivenUpOnceNobodyReads)
+TEST(Channel, FinishGivesUpOnAStoppedReader)
 {
   BootClock clock;
   Reactor reactor(clock);
--- a/tests/unit/HttpCallTest.cpp
+++ b/tests/unit/HttpCallTest.cpp
@@ -24,9 +24,9 @@
     mThread = std::thread([this] {
       while (mServer.poll(Poco::Timespan(0, 20000),
                           Poco::Net::Socket::SELECT_READ) ||
-             !mEnding) {
-        if (!mEnding && mServer.poll(Poco::Timespan(0, 0),
-                                     Poco::Net::Socket::SELECT_READ)) {
+             !mStopping) {
+        if (!mStopping && mServer.poll(Poco::Timespan(0, 0),
+                                       Poco::Net::Socket::SELECT_READ)) {
           Poco::Net::StreamSocket socket = mServer.acceptConnection();
           char buffer[4096];
           socket.receiveBytes(buffer, sizeof buffer);
@@ -36,14 +36,14 @@
               socket.shutdown();
             }
           }
-          mKept.push_back(socket);
+          mAccepted.push_back(socket);
         }
       }
     });
   }
   ~RawServer()
   {
-    mEnding = true;
+    mStopping = true;
     mThread.join();
   }
   HttpCall Call() const
@@ -54,14 +54,14 @@
     return call;
   }
 
-  size_t Connections() const { return mKept.size(); }
+  size_t Connections() const { return mAccepted.size(); }
 
 private:
   std::string mAnswer; // to the first call of a connection; none to others
   bool mCloses;        // the connection, after that
   Poco::Net::ServerSocket mServer;
-  std::vector<Poco::Net::StreamSocket> mKept;
-  std::atomic<bool> mEnding{ false };
+  std::vector<Poco::Net::StreamSocket> mAccepted;
+  std::atomic<bool> mStopping{ false };
   std::thread mThread;
 };
 
@@ -69,7 +69,7 @@
 
 // A server takes the call and never answers. The caller of the call waited
 // for ever, since POCO keeps a session's timeout for its own connecting.
-TEST(HttpCall, SilenceIsLostAfterTheTimeout)
+TEST(HttpCall, SilentServerIsLostAfterTheTimeout)
 {
   RawServer server("");
   EXPECT_EQ(HttpCallOnce(server.Call()).mStage, HttpStage::Lost);
@@ -79,7 +79,7 @@
 
 // The connection is cut in the middle of an answer. What came looks like a
 // shorter answer; only its stated length tells.
-TEST(HttpCall, ShortAnswersAreNotTakenForWhole)
+TEST(HttpCall, TruncatedAnswersAreLost)
 {
   RawServer cut("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
   EXPECT_EQ(HttpCallOnce(cut.Call()).mStage, HttpStage::Lost);
@@ -92,7 +92,7 @@
 // A kept connection is lost while a call is on it, and the server can't be
 // reached after that. The call may have been read: saying that it wasn't sent
 // would let a holder spend what it has just handed on.
-TEST(HttpCall, LostOnAKeptConnectionIsNotNotSent)
+TEST(HttpCall, CallLostOnAPooledConnectionIsNotReportedAsNotSent)
 {
   HttpPool pool;
   HttpCall call;
@@ -106,7 +106,7 @@
 
 // A server falls silent on a kept connection. The call was begun again on a
 // new one with all its time, so that it lasted twice as long as it may.
-TEST(HttpCall, SilenceOnAKeptConnectionUsesUpTheTime)
+TEST(HttpCall, SilenceOnAPooledConnectionIsNotRetried)
 {
   RawServer server("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhalf", false);
   HttpPool pool;
@@ -115,7 +115,7 @@
   EXPECT_EQ(server.Connections(), 1u);
 }
 
-TEST(HttpCall, NoConnectionMeansNotSent)
+TEST(HttpCall, FailedConnectIsNotSent)
 {
   Poco::Net::ServerSocket free;
   free.bind(Poco::Net::SocketAddress("127.0.0.1:0"), true, false);
--- a/tests/unit/HttpHeadTest.cpp
+++ b/tests/unit/HttpHeadTest.cpp
@@ -20,7 +20,9 @@
 
 // Fed byte by byte, as slow networks do.
 bool
-TakeSlowly(BodyReader& aReader, const std::string& aBytes, std::string& aBody)
+TakeByteByByte(BodyReader& aReader,
+               const std::string& aBytes,
+               std::string& aBody)
 {
   std::string input;
   for (char byte : aBytes) {
@@ -43,7 +45,7 @@
 
 } // namespace
 
-TEST(HttpHead, GoodAndPartialHeads)
+TEST(HttpHead, CompleteAndPartialHeads)
 {
   EXPECT_EQ(HeadState::Whole, StateOf("GET / HTTP/1.1\r\nHost: h\r\n\r\n"));
   EXPECT_EQ(HeadState::Partial, StateOf("GET / HTTP/1.1\r\nHost: h\r\n"));
@@ -55,7 +57,7 @@
   EXPECT_EQ(41u, used); // up to "rest"
 }
 
-TEST(HttpHead, AmbiguousHeadsAreBad)
+TEST(HttpHead, AmbiguousHeadsAreRejected)
 {
   for (const char* fields : { "A : b\r\n",
                               " A: b\r\n",
@@ -82,7 +84,7 @@
   }
 }
 
-TEST(HttpHead, AnswerWithoutLengthEndsWithItsConnection)
+TEST(HttpHead, AnswerWithoutLengthEndsAtTheClose)
 {
   HttpHead head;
   size_t used = 0;
@@ -96,12 +98,12 @@
   EXPECT_EQ(HeadState::Bad, ReadAnswerHead("HTTP/1.1 2x0\r\n\r\n", head, used));
 }
 
-TEST(BodyReader, ChunksComeWholeAndRestStays)
+TEST(BodyReader, ChunkedBodyIsReadAndLaterInputIsKept)
 {
   BodyReader reader(Framed(BodyFraming::Chunked));
   std::string body;
   EXPECT_TRUE(
-    TakeSlowly(reader, "3\r\nabc\r\nA;x=1\r\n0123456789\r\n0\r\n", body));
+    TakeByteByByte(reader, "3\r\nabc\r\nA;x=1\r\n0123456789\r\n0\r\n", body));
   EXPECT_FALSE(reader.Done());
   EXPECT_FALSE(reader.Close());
   std::string rest = "T: v\r\n\r\nnext";
@@ -111,16 +113,16 @@
   EXPECT_EQ("next", rest);
 }
 
-TEST(BodyReader, BrokenChunksAreBad)
+TEST(BodyReader, MalformedChunksAreRejected)
 {
   for (const char* bytes : { "x\r\n", "-1\r\n", "3\r\nabcd\r\n", "\r\n" }) {
     BodyReader reader(Framed(BodyFraming::Chunked));
     std::string body;
-    EXPECT_FALSE(TakeSlowly(reader, bytes, body)) << bytes;
+    EXPECT_FALSE(TakeByteByByte(reader, bytes, body)) << bytes;
   }
 }
 
-TEST(BodyReader, LengthIsKept)
+TEST(BodyReader, BodyEndsAtItsLength)
 {
   BodyReader reader(Framed(BodyFraming::Length, 3));
   std::string body;
--- a/tests/unit/HttpPortTest.cpp
+++ b/tests/unit/HttpPortTest.cpp
@@ -29,7 +29,7 @@
         mSocket.sendBytes(&aText[sent], static_cast<int>(aText.size() - sent)));
     }
   }
-  void Ask() { Send("GET / HTTP/1.1\r\nHost: x\r\n\r\n"); }
+  void SendRequest() { Send("GET / HTTP/1.1\r\nHost: x\r\n\r\n"); }
   // What one read brings; "" when the connection ended or was reset.
   std::string Read()
   {
@@ -42,9 +42,9 @@
     }
   }
   // Served once, and kept.
-  void Hold()
+  void SendAndKeepOpen()
   {
-    Ask();
+    SendRequest();
     ASSERT_NE(Read().find("200 OK"), std::string::npos);
   }
 
@@ -62,32 +62,32 @@
 }
 
 void
-SayOk(Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse& aOut)
+AnswerOk(Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse& aOut)
 {
   aOut.sendBuffer("ok", 2);
 }
 
-constexpr Millis kAccepted{ 150 }; // a connection is in the port's queue
+constexpr Millis kAcceptTime{ 150 }; // a connection is in the port's queue
 
 } // namespace
 
 // Guards against: a request that waits for a thread is dropped at the end.
-TEST(HttpPort, WhoeverWaitsAtTheEndIsAnswered)
+TEST(HttpPort, QueuedConnectionIsAnsweredAtTheEnd)
 {
-  auto port = std::make_unique<HttpPort>("127.0.0.1:0", Limits(8), SayOk);
+  auto port = std::make_unique<HttpPort>("127.0.0.1:0", Limits(8), AnswerOk);
   RawCaller first(*port);
   RawCaller second(*port);
-  first.Hold();
-  second.Hold();
+  first.SendAndKeepOpen();
+  second.SendAndKeepOpen();
   RawCaller waiting(*port);
-  waiting.Ask();
-  std::this_thread::sleep_for(kAccepted);
+  waiting.SendRequest();
+  std::this_thread::sleep_for(kAcceptTime);
   port.reset();
   EXPECT_NE(waiting.Read().find("200 OK"), std::string::npos);
 }
 
 // Guards against: a connection is accepted and closed in the end's one moment.
-TEST(HttpPort, EndUnderLoadLosesNothing)
+TEST(HttpPort, EndUnderLoadLosesNoRequest)
 {
   constexpr int kRounds = 10;
   constexpr int kCallers = 8;
@@ -95,7 +95,7 @@
   std::atomic<int> lost{ 0 };
   for (int i = 0; i < kRounds; ++i) {
     HttpPortLimits limits;
-    auto port = std::make_unique<HttpPort>("127.0.0.1:0", limits, SayOk);
+    auto port = std::make_unique<HttpPort>("127.0.0.1:0", limits, AnswerOk);
     HttpCall call;
     call.mAddress = port->Address();
     auto run = [&] {
@@ -122,24 +122,24 @@
 }
 
 // Guards against: a connection beyond the queue is closed with no answer.
-TEST(HttpPort, WhoeverFindsTheQueueFullIsRefused)
+TEST(HttpPort, ConnectionBeyondTheQueueIsRefused)
 {
-  HttpPort port("127.0.0.1:0", Limits(1), SayOk);
+  HttpPort port("127.0.0.1:0", Limits(1), AnswerOk);
   RawCaller first(port);
-  first.Hold();
+  first.SendAndKeepOpen();
   RawCaller second(port);
-  second.Hold();
+  second.SendAndKeepOpen();
   RawCaller waiting(port);
-  std::this_thread::sleep_for(kAccepted);
+  std::this_thread::sleep_for(kAcceptTime);
   RawCaller beyond(port);
-  beyond.Ask();
+  beyond.SendRequest();
   std::string answer = beyond.Read();
   EXPECT_NE(answer.find("503"), std::string::npos) << answer;
   EXPECT_NE(answer.find("Retry-After"), std::string::npos) << answer;
 }
 
 // Guards against: a refusal is lost in the reset of what its caller still sent.
-TEST(HttpPort, RefusalBeforeTheBodyIsReadArrives)
+TEST(HttpPort, RefusalArrivesBeforeTheBodyIsRead)
 {
   HttpPort port("127.0.0.1:0", Limits(8), [](auto&, auto& aOut) {
     aOut.setKeepAlive(false);
@@ -157,7 +157,7 @@
 }
 
 // Guards against: a body that nobody read is answered like the next request.
-TEST(HttpPort, UnreadBodyIsntTheNextRequest)
+TEST(HttpPort, UnreadBodyIsNotTakenForARequest)
 {
   std::atomic<int> requests{ 0 };
   HttpPort port("127.0.0.1:0", Limits(8), [&](auto&, auto& aOut) {
@@ -168,7 +168,7 @@
   for (int i = 0; i < 2; ++i) {
     caller.Send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 6\r\n\r\n"
                 "GET /\n");
-    std::this_thread::sleep_for(kAccepted);
+    std::this_thread::sleep_for(kAcceptTime);
     EXPECT_NE(caller.Read().find("200 OK"), std::string::npos);
   }
   EXPECT_EQ(requests, 2);
--- a/tests/unit/WireMessagesTest.cpp
+++ b/tests/unit/WireMessagesTest.cpp
@@ -65,38 +65,38 @@
 
 } // namespace
 
-TEST(WireSettings, ReadsWhatTheInstanceNeeds)
+TEST(WireSettings, ReadsAllSettings)
 {
-  SettingsResult reading = ReadSettings(kSettings);
-  EXPECT_TRUE(reading.mTroubles.empty());
-  EXPECT_EQ("front-1", reading.mSettings.mName);
-  EXPECT_EQ("10.1.0.25:7600", reading.mSettings.mPeers);
-  EXPECT_EQ("10.1.0.25:7601", reading.mSettings.mMetrics);
-  EXPECT_EQ(Millis(8000), reading.mSettings.mGrace);
-  EXPECT_EQ(Millis(10000), reading.mSettings.mRetryWindow);
-  EXPECT_EQ(2u, reading.mSettings.mZones.size());
+  SettingsResult result = ReadSettings(kSettings);
+  EXPECT_TRUE(result.mTroubles.empty());
+  EXPECT_EQ("front-1", result.mSettings.mName);
+  EXPECT_EQ("10.1.0.25:7600", result.mSettings.mPeers);
+  EXPECT_EQ("10.1.0.25:7601", result.mSettings.mMetrics);
+  EXPECT_EQ(Millis(8000), result.mSettings.mGrace);
+  EXPECT_EQ(Millis(10000), result.mSettings.mRetryWindow);
+  EXPECT_EQ(2u, result.mSettings.mZones.size());
 }
 
-TEST(WireSettings, TellsAllThatIsWrongAtOnceWithLines)
+TEST(WireSettings, ReportsAllErrorsWithLines)
 {
   std::string text = Without(kSettings, "nodeName");
   text = Without(text, "address");
   text = Replaced(text, "10.1.0.25:8221", "nowhere");
   text = Replaced(text, "graceS = 8", "graceS = true");
-  SettingsResult reading = ReadSettings(text);
+  SettingsResult result = ReadSettings(text);
   std::vector<std::string> fields;
-  for (const SettingsError& trouble : reading.mTroubles) {
-    fields.push_back(trouble.mField);
-    EXPECT_FALSE(trouble.mExpected.empty());
+  for (const SettingsError& error : result.mTroubles) {
+    fields.push_back(error.mField);
+    EXPECT_FALSE(error.mExpected.empty());
   }
   std::vector<std::string> expected = {
     "nodeName", "listen.front", "platform.address", "bounds.graceS"
   };
   EXPECT_EQ(expected, fields);
-  EXPECT_GT(reading.mTroubles.back().mLine, 0);
+  EXPECT_GT(result.mTroubles.back().mLine, 0);
 }
 
-TEST(WireSettings, BadTomlAndMissingFileAreTold)
+TEST(WireSettings, InvalidTomlAndMissingFileAreErrors)
 {
   EXPECT_EQ(1u, ReadSettings("a = [").mTroubles.size());
   EXPECT_EQ(1u, ReadSettingsFile("/nowhere/at/all").mTroubles.size());
@@ -165,7 +165,7 @@
   EXPECT_EQ(2u, entry->mOnDisk.size());
 }
 
-TEST(WireServer, BadEntriesNameNoServer)
+TEST(WireServer, InvalidEntriesAreRejected)
 {
   for (
     const char* text :
@@ -179,7 +179,7 @@
   }
 }
 
-TEST(WireStore, CallsAndAnswers)
+TEST(WireStore, WritesCallsAndReadsAnswers)
 {
   EXPECT_EQ("/objects/servers?after=i%2F1",
             ListCall("servers", "i/1", false).mTarget);
@@ -205,7 +205,7 @@
   EXPECT_EQ(StoreOutcome::Gone, ReadOutcome(410));
 }
 
-TEST(WireOrder, WrittenAndAnswered)
+TEST(WireOrder, WritesOrdersAndReadsAnswers)
 {
   ModelOrder order;
   order.mModel = "m";
@@ -224,7 +224,7 @@
   EXPECT_EQ(OrderAnswer::Fenced, ReadOrderAnswer(412));
 }
 
-TEST(WireOrder, ReportCountsAdaptersOnTheirWay)
+TEST(WireOrder, ReportIncludesAdaptersBeingLoaded)
 {
   auto report = ReadReport(R"({"models":[{"name":"m","adapters":["a1"]}],
     "busy":false,"sequence":2,"coming":["m/a2@3"]})");
@@ -234,7 +234,7 @@
   EXPECT_FALSE(ReadReport("noise"));
 }
 
-TEST(WireRequest, FactsOfARequest)
+TEST(WireRequest, ReadsRequestFacts)
 {
   auto facts = ReadRequestFacts(
     Head("POST /p/x?y=1 HTTP/1.1\r\nHost: h\r\nAttempt-Id: r1\r\n"
@@ -256,17 +256,17 @@
   }
 }
 
-TEST(WireRequest, ServerHeadHasOnlyWhatTheServerMayHave)
+TEST(WireRequest, ServerRequestHasOnlyPermittedFields)
 {
   HttpHead caller = Head("POST /p HTTP/1.1\r\nHost: h\r\nAttempt-Id: r1\r\n"
                          "Connection: close\r\nAuthorization: Bearer k\r\n"
                          "Tenant: evil\r\nHold: evil\r\nX-Own: kept\r\n"
                          "Deadline-Remaining: 9\r\n\r\n");
-  ServerRequestFields send;
-  send.mInstance = "i-1";
-  send.mTenant = "t";
-  send.mLeft = Millis(5);
-  std::string head = WriteServerRequest(caller, send);
+  ServerRequestFields extra;
+  extra.mInstance = "i-1";
+  extra.mTenant = "t";
+  extra.mLeft = Millis(5);
+  std::string head = WriteServerRequest(caller, extra);
   EXPECT_EQ(std::string::npos, head.find("evil"));
   EXPECT_EQ(std::string::npos, head.find("Bearer"));
   EXPECT_EQ(std::string::npos, head.find("Connection"));
