--- a/tests/platform/AnswersTest.cpp
+++ b/tests/platform/AnswersTest.cpp
@@ -1,5 +1,5 @@
-// A caller gets the whole answer to its own request, and what may not run
-// twice doesn't, whatever servers do with their connections.
+// A caller gets the complete answer to its own request, and a non-repeatable
+// request runs at most once, whatever servers do with their connections.
 
 #include <gtest/gtest.h>
 
@@ -41,8 +41,8 @@
   EXPECT_NE("", failed->Field(wire::kSeal));
 }
 
-// The server runs an order and its connection breaks before the answer. The
-// caller must not hear that it didn't run, and no second server may get it.
+// Guards against "not run" and against a second run when a server runs an order
+// and its connection breaks before the answer.
 TEST(Answers, OrderWithLostAnswerRunsOnceAndIsNotReportedAsNotRun)
 {
   EntryTestFleet fleet;
@@ -54,13 +54,14 @@
   EXPECT_EQ(1, fleet.RunsOf("r1"));
 }
 
-// A read may run twice: it goes to the other server.
+// The first server runs the read and closes; a repeatable request then goes to
+// the other one.
 TEST(Answers, ReadWithLostAnswerIsRetriedOnAnotherServer)
 {
   EntryTestFleet fleet;
   fleet.AwaitReady();
   fleet.mPlain[0]->mBehaviour = ServerBehaviour::RunsThenCloses;
-  // Servers are drawn: until that one was asked, too.
+  // Servers are chosen at random: repeat until the first one got a request.
   for (int i = 0; i < 8 || (i < 64 && fleet.mPlain[0]->mRuns.empty()); ++i) {
     TestCallPtr call = fleet.Call(0, "/safe/x", "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
@@ -79,8 +80,8 @@
   }
 }
 
-// Servers prove that they did not run the order. The refusal is true, and
-// says when to come back.
+// All servers prove that they did not run the order. The caller gets a refusal
+// with a retry-after time, and the order has not run.
 TEST(Answers, RefusedOrderHasNotRunAndHasRetryAfter)
 {
   EntryTestFleet fleet;
@@ -93,8 +94,8 @@
   EXPECT_EQ(0, fleet.RunsOf("r1"));
 }
 
-// An answer that ends early, comes unmarked, in another coding or as noise
-// isn't the server's: the caller never gets it as a success.
+// Guards against a success made of an answer that is truncated, not marked as a
+// server's, in an unrequested content coding, or malformed.
 TEST(Answers, AlteredAnswersAreNeverForwardedAsSuccess)
 {
   for (ServerBehaviour behaviour : { ServerBehaviour::Truncates,
@@ -111,8 +112,8 @@
   }
 }
 
-// A late answer to somebody else comes before the right one, or a second one
-// behind it. Each caller gets its own, also the next on that connection.
+// Guards against a mix-up of answers when a late answer to another request
+// precedes the expected one, or a second one follows it on a reused connection.
 TEST(Answers, AnswersToOtherRequestsAreDiscarded)
 {
   for (ServerBehaviour behaviour :
@@ -130,8 +131,8 @@
   }
 }
 
-// A read fails wherever it runs. It runs as often as its route names servers
-// for, not on and on: the budget of repeats is everybody's.
+// Guards against a read that fails on every server and uses up the retry budget
+// of all requests: it runs on as many servers as its route allows.
 TEST(Answers, ReadThatFailsEverywhereRunsTwice)
 {
   EntryTestFleet fleet;
@@ -141,7 +142,7 @@
   EXPECT_EQ(2, fleet.RunsOf("r1"));
 }
 
-// Guards against "not run" for a read that one server ran and failed, and all
+// Guards against "not run" for a read that one server ran and failed and all
 // others refused.
 TEST(Answers, ReadThatRanAndFailedIsNotReportedAsNotRun)
 {
@@ -158,9 +159,9 @@
   }
 }
 
-// A server is gone and its address is another's, while its entry is still
-// listed. The other one refuses what isn't meant for it; it is asked once, not
-// by each request again and again.
+// A server is gone and another one has its address, while its entry is still
+// listed. The other one refuses requests not meant for it. Guards against
+// sending every request there first.
 TEST(Answers, ReusedServerAddressIsAvoided)
 {
   EntryTestFleet fleet;
@@ -172,8 +173,8 @@
   EXPECT_LE(fleet.mPlain[0]->mArrivals, 1);
 }
 
-// A server never answers: the final answer comes when the route's time is up,
-// and the server is told to stop.
+// Guards against a server that never answers: the caller gets its final answer
+// at the route's timeout, and the server's connection is closed.
 TEST(Answers, RequestEndsAtTheRoutesTimeout)
 {
   EntryTestFleet fleet;
--- a/tests/platform/CallersTest.cpp
+++ b/tests/platform/CallersTest.cpp
@@ -1,4 +1,5 @@
-// What callers send: keys, system fields, bad heads, slow and chunked bodies.
+// Input from callers: keys, system fields, malformed heads, slow and chunked
+// bodies.
 
 #include <gtest/gtest.h>
 
@@ -39,8 +40,8 @@
   EXPECT_EQ(0, fleet.RunsOf("r1") + fleet.RunsOf("r2"));
 }
 
-// A second request hidden in the first by two lengths, a length beside
-// chunks, a blank before a colon or a bare line feed: refused, nothing runs.
+// Guards against request smuggling by two lengths, a length beside chunks, a
+// space before a colon or a bare line feed: refused, and nothing runs.
 TEST(Callers, SmuggledRequestsAreRefused)
 {
   std::string hidden = "POST /order/x HTTP/1.1\r\nHost: host\r\n"
@@ -80,8 +81,7 @@
   EXPECT_EQ("answer to r1 of abcde", call->mBody);
 }
 
-// Fields that only the system sets: what a caller sends under these names
-// goes nowhere.
+// Guards against callers who send fields that only the system may set.
 TEST(Callers, SystemFieldsOfACallerAreDropped)
 {
   EntryTestFleet fleet;
@@ -95,12 +95,13 @@
     fields.push_back({ name, "evil" });
   }
   TestCallPtr call = fleet.Call(0, "/order/x", "r1", fields);
-  EXPECT_EQ(200, call->mStatus); // the stand-in refuses a foreign instance
+  EXPECT_EQ(200,
+            call->mStatus); // a foreign id would be refused
   EXPECT_EQ(1, fleet.RunsOf("r1"));
 }
 
-// A request waits no longer than the caller will: the server is handed what
-// is left, not more.
+// Guards against a server that works on after its caller's deadline: it gets
+// the remaining time, not the original one.
 TEST(Callers, ServerGetsTheRemainingDeadline)
 {
   EntryTestFleet fleet;
@@ -116,8 +117,8 @@
   EXPECT_LE(left, 1200);
 }
 
-// Two requests on one connection, the second sent before the first answer:
-// both are answered, in order.
+// The second request is sent before the first answer; both are answered, in
+// order.
 TEST(Callers, RequestsOnOneConnectionAreAnsweredInOrder)
 {
   EntryTestFleet fleet;
@@ -152,8 +153,9 @@
   EXPECT_EQ(408, slow->mStatus);
 }
 
-// Two hundred scrapers connect, ask half a question or read nothing. Callers
-// are served meanwhile, and a proper scraper is once the others have gone.
+// Two hundred scrapers connect and send half a request or read nothing. Callers
+// are served meanwhile, and a well-behaved scraper is served once the others
+// have disconnected.
 TEST(Callers, SlowMetricsScrapersDoNotDelayRequests)
 {
   EntryTestFleet fleet;
@@ -169,7 +171,7 @@
     try {
       socket.sendBytes("GET /metrics HTTP/1.1\r\nHost: x\r\n", 34);
     } catch (const Poco::Exception&) {
-      // Turned away: too many at once.
+      // Rejected: too many connections.
     }
   }
   for (int i = 0; i < 5; ++i) {
@@ -191,7 +193,7 @@
         int count = scraper.receiveBytes(bytes, sizeof bytes);
         answer.append(bytes, static_cast<size_t>(std::max(count, 0)));
       } catch (const Poco::Exception&) {
-        // Nothing there yet.
+        // No data yet.
       }
       return answer.find("caraway_store_age_ms") != std::string::npos; // last
     },
--- a/tests/platform/FreshnessTest.cpp
+++ b/tests/platform/FreshnessTest.cpp
@@ -1,5 +1,5 @@
-// Configuration, keys and leaving servers are in force within seconds at each
-// instance, whatever becomes of its watch, and never go back.
+// Changes of the configuration, keys and servers are in force at each instance
+// within seconds, whatever happens to its watch, and never go back.
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Stated for all of these, from the store's answer on.
+// Specified for all of these changes, from the store's answer on.
 constexpr Millis kMaxDelay{ 2000 };
 
 EntryFleetOptions
@@ -54,8 +54,8 @@
   EXPECT_EQ(401, fleet.Call(0, "/order/x", "r2")->mStatus);
 }
 
-// The store turns one instance away and serves the other. What the operator
-// changes meanwhile comes from the other instance.
+// The store rejects one instance and serves the other. The first one gets the
+// operator's changes from the other instance.
 TEST(Freshness, InstanceWithoutStoreGetsChangesFromAPeer)
 {
   for (auto mode :
@@ -75,8 +75,8 @@
   }
 }
 
-// The same with a configuration of hundreds of routes, which takes longer to
-// hand over than other calls between instances.
+// As above, with a configuration of thousands of routes, whose transfer takes
+// longer than other calls between instances.
 TEST(Freshness, LargeConfigurationIsFetchedFromAPeer)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -94,7 +94,7 @@
     fleet.Until([&] { return VersionAt(fleet, 1) == version; }, kMaxDelay));
 }
 
-// All watches hear nothing while changes are made, then the history is gone.
+// Watches get no answer while changes are made, and the history is gone then.
 TEST(Freshness, ListIsReadAgainWhenTheHistoryIsGone)
 {
   EntryTestFleet fleet;
@@ -116,8 +116,8 @@
   EXPECT_EQ(0u, fleet.mPlain[0]->mRuns.size());
 }
 
-// An instance that starts while the store is away has no configuration. It
-// says so, not that keys or routes are unknown, and isn't ready.
+// An instance that starts during an outage of the store has no configuration.
+// Guards against refusals for unknown keys or routes; it isn't ready instead.
 TEST(Freshness, InstanceWithoutConfigurationIsNotReady)
 {
   EntryTestFleet fleet;
@@ -131,7 +131,7 @@
   EXPECT_NE("", call->Field(wire::kRetryAfter));
 }
 
-// An older version comes after a newer one: the newer stays in force.
+// An older version arrives after a newer one; the newer one stays in force.
 TEST(Freshness, ConfigurationNeverGoesBack)
 {
   EntryTestFleet fleet;
@@ -146,7 +146,8 @@
   EXPECT_EQ(newest, VersionAt(fleet, 0));
 }
 
-// Entries that can't be read name no server, and leave the others in force.
+// Guards against entries that can't be read and disturb the others: they name
+// no server and are ignored.
 TEST(Freshness, UnreadableEntriesAreIgnored)
 {
   EntryTestFleet fleet;
@@ -164,8 +165,8 @@
   EXPECT_EQ(200, fleet.Call(0, "/order/x", "r1")->mStatus);
 }
 
-// Entries lapse while the store is away. Servers that answer are used for the
-// two seconds in which entries come back; what is still missing then is gone.
+// Entries lapse during an outage of the store. Servers stay in use for the two
+// seconds in which they register again; entries still missing then are removed.
 TEST(Freshness, LapsedEntriesAreKeptForTwoSeconds)
 {
   EntryTestFleet fleet;
@@ -183,8 +184,8 @@
   EXPECT_EQ(0, fleet.RunsOf("r2"));
 }
 
-// Of a zone's instances one reads the store; the others are told. What the
-// store is asked doesn't grow with them, and what changes is in force at all.
+// One instance of a zone reads the store and sends updates to the others. The
+// calls to the store don't grow with the instances, and all apply each change.
 TEST(Freshness, OneInstancePerZoneReadsTheStore)
 {
   EntryFleetOptions options;
@@ -194,8 +195,8 @@
   fleet.For(Millis(2500));
   int before = fleet.mStore->Calls();
   fleet.For(Seconds(4));
-  // Two watches, the lease, and now and then the list of instances; four that
-  // read for themselves make over twenty.
+  // Two watches, the lease, and sometimes the list of instances. Four instances
+  // that each read the store make more than twenty calls.
   EXPECT_LE(fleet.mStore->Calls() - before, 16);
   RevokeKeys(fleet);
   fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
@@ -210,9 +211,8 @@
   }
 }
 
-// The one that reads is killed, or the store turns it away in silence, right
-// before a change: those who were told by it notice, read by themselves, and
-// have the change within the bound.
+// The reader is killed, or the store stops answering it, right before a change.
+// Its followers notice, read the store, and apply the change in time.
 TEST(Freshness, LostReaderIsReplaced)
 {
   for (bool killed : { true, false }) {
@@ -245,8 +245,8 @@
   }
 }
 
-// Guards against a removal that falls between two lives of the zone's reader:
-// no entry is left to tell of it, and who follows would send there for ever.
+// Guards against a removal while the zone's reader restarts: no entry is left
+// to show it, and a follower would use the removed server for ever.
 TEST(Freshness, RemovalDuringAReaderRestartIsSeen)
 {
   EntryTestFleet fleet(TwoInstances());
--- a/tests/platform/LeavingEntryTest.cpp
+++ b/tests/platform/LeavingEntryTest.cpp
@@ -1,5 +1,5 @@
-// An instance that is told to stop: unready at once, nothing cut, nothing
-// read and dropped, nothing begun that its end would cut.
+// Graceful shutdown: the instance is unready at once, interrupts no request,
+// drops none that it has read, and starts none that its exit would interrupt.
 
 #include <gtest/gtest.h>
 
@@ -27,7 +27,7 @@
   return options;
 }
 
-// Routes wait as long as their callers do.
+// Routes time out no earlier than their callers.
 void
 SetLongRouteTimeouts(EntryTestFleet& aFleet)
 {
@@ -37,7 +37,7 @@
   aFleet.Configure();
 }
 
-// A stream of four seconds is under way at the first instance, which leaves.
+// Starts a stream of four seconds at the first instance, then stops it.
 TestCallPtr
 LeaveDuringStream(EntryTestFleet& aFleet, const std::string& aBehind = "")
 {
@@ -51,7 +51,7 @@
   return call;
 }
 
-// The answer to the second request on aCall's connection: 0 = none.
+// Returns the status of the second answer on aCall's connection, 0 if none.
 int
 SecondAnswerStatus(const TestCall& aCall)
 {
@@ -63,7 +63,7 @@
 
 constexpr char kInstancesKind[] = "caraway-instances";
 
-// The instances don't run, everything else does.
+// Runs everything but the instances for aTime.
 void
 PauseInstances(EntryTestFleet& aFleet, Millis aTime)
 {
@@ -95,7 +95,7 @@
     fleet.Until([&] { return fleet.mInstances[0]->Gone(); }, Seconds(5)));
 }
 
-// The balancer sends callers on for a while after the instance is unready.
+// The load balancer sends callers for a while after the instance is unready.
 TEST(LeavingEntry, NewCallersAreServedForAWhile)
 {
   EntryTestFleet fleet;
@@ -109,8 +109,9 @@
   }
 }
 
-// A request waits for a model that doesn't come while its instance is told to
-// stop. Held to the end it would be cut; another instance can still serve it.
+// A request waits for a model that isn't loaded in time when its instance is
+// told to stop. Guards against holding it until the exit interrupts it, while
+// another instance could still serve it.
 TEST(LeavingEntry, WaitingRequestThatCannotFinishIsRefused)
 {
   EntryTestFleet fleet;
@@ -135,8 +136,8 @@
   EXPECT_EQ(0, fleet.RunsOf("r1"));
 }
 
-// Guards against a request behind a stream that is begun late in the leave and
-// cut by its end.
+// Guards against a pipelined request that is started late in the shutdown and
+// interrupted by the exit.
 TEST(LeavingEntry, PipelinedRequestIsNotStartedTooLate)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -151,8 +152,8 @@
   EXPECT_EQ(0, fleet.RunsOf("r2"));
 }
 
-// Guards against a request that was sent as the stream before it ended, and was
-// read and dropped.
+// Guards against a request that is sent as the stream before it ends, and that
+// is read and dropped.
 TEST(LeavingEntry, RequestSentAtTheEndOfAStreamIsAnswered)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -164,8 +165,8 @@
   EXPECT_EQ(0, fleet.RunsOf("r2"));
 }
 
-// Guards against a refusal for the tenant's rate by an instance that has given
-// the tenant's tokens away itself.
+// Guards against a refusal for the tenant's rate by an instance that has handed
+// over its part of the rate limit itself.
 TEST(LeavingEntry, LastInstanceDoesNotRefuseForTheRate)
 {
   EntryTestFleet fleet;
@@ -175,8 +176,8 @@
   EXPECT_EQ(503, SecondAnswerStatus(*call));
 }
 
-// Guards against a request whose body comes slowly, so that it is whole, and
-// begun, long after the instance should begin nothing.
+// Guards against a request whose body arrives slowly and which is therefore
+// started long after the last time for a start.
 TEST(LeavingEntry, RequestReceivedTooLateIsRefused)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -196,7 +197,7 @@
   EXPECT_EQ(0, fleet.RunsOf("r1"));
 }
 
-// Guards against a repeat that is sent so late that only the end can follow.
+// Guards against a retry that is sent so late that the exit interrupts it.
 TEST(LeavingEntry, RetryPastTheExitIsNotSent)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -216,7 +217,7 @@
 }
 
 // Guards against a caller whose request is still at a server when the instance
-// ends, and who gets a closed connection for an answer.
+// exits, and who gets a closed connection instead of an answer.
 TEST(LeavingEntry, RequestAtAServerIsAnsweredAtTheExit)
 {
   EntryTestFleet fleet;
@@ -234,15 +235,15 @@
   EXPECT_TRUE(call->mWhole);
 }
 
-// Guards against a connection that waits in the listening socket when that is
-// closed, and is reset with its request.
+// Guards against a connection in the accept queue that is reset, with its
+// request, when the listening socket is closed.
 TEST(LeavingEntry, ConnectionInTheAcceptQueueIsAnswered)
 {
   EntryTestFleet fleet(TwoInstances());
   fleet.AwaitReady();
   fleet.mInstances[0]->Leave();
   fleet.For(Millis(2440));
-  // The caller connects and sends while the instance doesn't run.
+  // The caller connects and sends while the instance is paused.
   TestCallPtr call = fleet.Send(0, "/order/x", "r1");
   TimePoint until = fleet.mClock.Now() + Millis(200);
   while (fleet.mClock.Now() < until) {
@@ -252,8 +253,8 @@
   EXPECT_TRUE(call->mWhole);
 }
 
-// Guards against an end that nobody can explain: it names the connection's
-// requests and the one under way.
+// Guards against a closed connection without a trace: the log line names the
+// request in flight.
 TEST(LeavingEntry, CloseOfABusyConnectionIsLogged)
 {
   EntryTestFleet fleet;
@@ -270,8 +271,8 @@
                            "\"instance_ends\",\"id\":\"r1\""));
 }
 
-// Guards against a process that ends with its goodbyes unsent when no caller
-// is connected: its mates leave its part of the tenants' tokens unused.
+// Guards against a process that exits without notifying its zone peers when no
+// caller is connected: its part of the tenants' rate limits would stay unused.
 TEST(LeavingEntry, PeersAreNotifiedWithoutOpenConnections)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -293,8 +294,8 @@
   EXPECT_EQ(before, fleet.LogLines(1, two));
 }
 
-// Guards against a request that an instance reads late, because it stood still,
-// and begins as if it had come in time.
+// Guards against a request that a paused instance reads late and starts as if
+// it had arrived in time.
 TEST(LeavingEntry, RequestReadLateAfterAPauseIsRefused)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -318,8 +319,8 @@
   EXPECT_EQ(0, fleet.RunsOf("r1") + fleet.RunsOf("r2"));
 }
 
-// Guards against an instance that stood still over its end and leaves without
-// the last answers.
+// Guards against an instance that is paused at its exit time and exits without
+// the final answers.
 TEST(LeavingEntry, FinalAnswersAreSentAfterAPauseAtTheExit)
 {
   EntryTestFleet fleet;
@@ -339,7 +340,8 @@
   EXPECT_TRUE(call->mWhole);
 }
 
-// Guards against a SIGTERM during the start that leaves callers unanswered.
+// Guards against a SIGTERM during startup that leaves callers without an
+// answer.
 TEST(LeavingEntry, StopDuringStartupAnswersCallers)
 {
   EntryTestFleet fleet;
@@ -349,8 +351,8 @@
   EXPECT_TRUE(AwaitExit(fleet));
 }
 
-// Guards against a caller who is still sending when the instance ends, and gets
-// a closed connection for an answer: it can't tell that nothing ran.
+// Guards against a caller who is still sending when the instance exits, and
+// gets a closed connection, which doesn't tell that nothing ran.
 TEST(LeavingEntry, PartialRequestIsRefusedAtTheExit)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -367,15 +369,15 @@
   EXPECT_TRUE(call->mWhole);
 }
 
-// Guards against a request that waits for its tenant's tokens as the instance
-// gives them away, and is refused for the tenant's rate.
+// Guards against a request that waits for its tenant's tokens while the
+// instance hands its part of the rate limit over, and is refused for the rate.
 TEST(LeavingEntry, RequestWaitingForTokensIsNotRefusedForTheRate)
 {
   EntryTestFleet fleet;
   fleet.mConfig["tenants"][0]["ratePerS"] = 20;
   fleet.mConfig["tenants"][0]["burst"] = 40;
   for (Json::Value& route : fleet.mConfig["routes"]) {
-    route["targetLatencyMs"] = 8000; // an eighth of it waits for tokens
+    route["targetLatencyMs"] = 8000; // an eighth of it is the wait for tokens
   }
   SetLongRouteTimeouts(fleet);
   fleet.AwaitReady();
@@ -396,8 +398,8 @@
   EXPECT_LT(0, refused);
 }
 
-// Guards against requests that wait for a busy server at a leave and are sent
-// away though a place comes free in time.
+// Guards against requests that wait for a busy server during the shutdown and
+// are refused though a slot comes free in time.
 TEST(LeavingEntry, WaitingRequestThatFitsIsServed)
 {
   EntryFleetOptions options = TwoInstances();
@@ -420,8 +422,8 @@
   }
 }
 
-// Guards against an instance that is killed with its last answers unsent,
-// because the granted time was shortened while it left.
+// Guards against an instance that is killed before its final answers, because
+// the grace time was shortened during the shutdown.
 TEST(LeavingEntry, ShorterGraceAppliesToALeaveInProgress)
 {
   EntryTestFleet fleet;
--- a/tests/platform/OpenConnectionsTest.cpp
+++ b/tests/platform/OpenConnectionsTest.cpp
@@ -1,5 +1,5 @@
-// A configuration that changes what callers may send, while their connections
-// are open under the one before.
+// Changes of the configuration while connections are open: limits that fall and
+// routes, keys or tenants that are removed.
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
                                        { wire::kTokens, "1,1" },
                                        { wire::kDeadline, "25000" } };
 
-// A stream of two and a half seconds is under way.
+// Starts a stream of two and a half seconds.
 TestCallPtr
 BeginStream(EntryTestFleet& aFleet)
 {
@@ -31,8 +31,8 @@
 
 } // namespace
 
-// Guards against a connection that is closed under a caller who reuses it
-// within the limit that held when it was left idle.
+// Guards against closing a connection that its caller reuses within the idle
+// limit in force when it became idle.
 TEST(OpenConnections, LowerIdleLimitSparesAnIdleConnection)
 {
   EntryTestFleet fleet;
@@ -51,12 +51,12 @@
   fleet.Until([&] { return fleet.RunsOf("r2") > 0 && !call->mOver.empty(); },
               Seconds(2));
   EXPECT_EQ(0u, call->mOver.find("HTTP/1.1 200"));
-  // The pause that begins now is judged by the limit of now.
+  // The new idle time is judged by the new limit.
   EXPECT_TRUE(fleet.Until([&] { return call->mClosed; }, Seconds(3)));
 }
 
-// Guards against a stream that is cut, and a next request that gets neither
-// answer nor refusal, because a limit fell below what lies behind the stream.
+// Guards against a broken stream, and a pipelined request without an answer,
+// when a size limit falls below the pipelined input.
 TEST(OpenConnections, LowerSizeLimitSparesPipelinedRequests)
 {
   EntryTestFleet fleet;
@@ -74,8 +74,8 @@
   EXPECT_EQ(0u, call->mOver.find("HTTP/1.1 200"));
 }
 
-// Guards against a body that is called too slow by a limit that fell while it
-// came.
+// Guards against refusing a body as too slow by a limit that fell while it was
+// received.
 TEST(OpenConnections, LowerTimeLimitSparesABodyInTransit)
 {
   EntryTestFleet fleet;
@@ -95,8 +95,8 @@
   EXPECT_EQ(200, call->mStatus);
 }
 
-// Guards against a caller that sends more behind a stream than may wait, and
-// loses the stream for it.
+// Guards against breaking the stream of a caller that pipelines more than the
+// input limit.
 TEST(OpenConnections, PipeliningCallerKeepsItsStream)
 {
   EntryTestFleet fleet;
@@ -118,8 +118,8 @@
   }
 }
 
-// Guards against a caller that goes while input waits unread here, and isn't
-// noticed: its server would work on for nobody.
+// Guards against missing the disconnect of a caller with unread input: its
+// server would go on working in vain.
 TEST(OpenConnections, DisconnectWithUnreadInputIsNoticed)
 {
   EntryTestFleet fleet;
@@ -133,8 +133,8 @@
     fleet.Until([&] { return fleet.mEngines[0]->mLeft == 1; }, Seconds(1)));
 }
 
-// Guards against a caller that goes while input waits unread here and its
-// server says nothing: the server would work on for nobody.
+// As above, while the server has not answered, so that no failing write shows
+// the disconnect.
 TEST(OpenConnections, DisconnectWithUnreadInputIsNoticedBeforeAnAnswer)
 {
   EntryTestFleet fleet;
@@ -163,8 +163,8 @@
     Millis(1500)));
 }
 
-// Guards against a caller that sends many requests at once on one connection
-// and loses some of them, or gets them answered out of order.
+// Guards against lost or reordered answers when a caller sends many requests at
+// once on one connection.
 TEST(OpenConnections, PipelinedRequestsAreAnsweredInOrder)
 {
   EntryTestFleet fleet;
@@ -187,7 +187,7 @@
 
 namespace {
 
-// A change of the configuration that takes away what requests under way were
+// A change of the configuration that removes what requests in flight were
 // admitted by.
 struct ConfigRemoval
 {
@@ -233,8 +233,8 @@
 
 } // namespace
 
-// Guards against a request under way, one that waits and one behind a stream
-// that end without an answer as a configuration takes away what they go by.
+// Guards against requests in flight, waiting or pipelined that end without an
+// answer when a configuration removes what admitted them.
 TEST_P(ConfigRemovalInFlight, AllRequestsAreAnswered)
 {
   EntryTestFleet fleet;
--- a/tests/platform/StreamsTest.cpp
+++ b/tests/platform/StreamsTest.cpp
@@ -1,5 +1,5 @@
-// Streams: events as they come, none missing, none twice, and no end that
-// isn't the server's.
+// Streams: events are forwarded as they arrive, each exactly once, and a stream
+// looks complete only if its server completed it.
 
 #include <gtest/gtest.h>
 
@@ -47,8 +47,8 @@
   EXPECT_EQ(Events(1, 5), call->mBody);
 }
 
-// The server stops in the middle of an event. A stream that may not run twice
-// ends without its end, so that it can't look complete.
+// Guards against a stream that looks complete though its server stopped in the
+// middle of an event, and against a second run of a non-repeatable one.
 TEST(Streams, BrokenStreamDoesNotLookComplete)
 {
   EntryTestFleet fleet(TwoEngines());
@@ -62,8 +62,8 @@
   EXPECT_EQ(1, fleet.RunsOf("r1"));
 }
 
-// The same for a stream that may be resumed: another server goes on after the
-// last event that the caller has in full.
+// As above for a resumable stream: another server resumes after the last event
+// that the caller has completely.
 TEST(Streams, ResumedStreamHasNoGapAndNoRepeat)
 {
   for (int i = 0; i < 4; ++i) {
@@ -81,7 +81,8 @@
   }
 }
 
-// The caller of a stream leaves: the server is told within half a second.
+// Guards against a server that works on after its caller has disconnected: its
+// connection is closed within half a second.
 TEST(Streams, DisconnectStopsTheServer)
 {
   EntryTestFleet fleet;
--- a/tests/support/StandInStore.h
+++ b/tests/support/StandInStore.h
@@ -1,4 +1,4 @@
-// StandInStore.h: the platform's object store in a test's own process, by its
+// StandInStore.h: in-process stand-in for the platform's object store, by its
 // published protocol.
 #ifndef caraway_tests_StandInStore_h
 #define caraway_tests_StandInStore_h
@@ -14,37 +14,37 @@
 
 namespace caraway {
 
-// One port a caller, all over the same objects, so that each can be turned
-// away alone.
+// Each client has its own port to the same objects, so that faults can be
+// injected for one client only.
 class StandInStore
 {
 public:
   enum class FaultMode
   {
     Serves,
-    Silent, // reads calls, answers none
-    Busy,   // 503 to all
-    Loses,  // carries out writes and doesn't answer
+    Silent, // reads calls and answers none
+    Busy,   // answers 503 to all calls
+    Loses,  // carries out writes without answering them
   };
 
   explicit StandInStore(Reactor& aReactor);
   ~StandInStore();
 
-  // Address of a new port.
+  // Opens a new port and returns its address.
   std::string Open();
   void SetFaultMode(size_t aPort, FaultMode aMode);
   void SetFaultModeOfAll(FaultMode aMode);
 
-  // As the operator or a server.
+  // Changes by the operator or a server.
   int64_t Put(const std::string& aKind,
               const std::string& aName,
               const Json::Value& aSpec);
   void Remove(const std::string& aKind, const std::string& aName);
   Json::Value Spec(const std::string& aKind, const std::string& aName) const;
   void ForgetHistory();
-  // Ends waiting watches without an answer, and new ones hear nothing.
+  // While muted, watches get no answer.
   void MuteWatches(bool aMute);
-  // Watches of aKind at aPort hear nothing, as if their connection had died.
+  // Watches of aKind at aPort get no answer, as if their connection had died.
   void MuteWatchesOf(size_t aPort, const std::string& aKind);
   int Calls() const { return mCalls; }
 
--- a/tests/unit/ChannelPoolTest.cpp
+++ b/tests/unit/ChannelPoolTest.cpp
@@ -1,4 +1,4 @@
-// Idle connections to servers: one that its server has ended isn't used.
+// Idle connections to servers are reused only if they are open and clean.
 
 #include <gtest/gtest.h>
 
@@ -55,8 +55,8 @@
   EXPECT_EQ(nullptr, pooled.Take());
 }
 
-// Guards against a request that goes out on a connection whose end has arrived
-// and wasn't looked at: it counts as one that may have run.
+// Guards against a request on a connection whose close has arrived but has not
+// been read: that request would count as one that may have run.
 TEST(ChannelPool, ConnectionClosedByItsServerIsNotReused)
 {
   PooledConnection pooled;
@@ -64,7 +64,7 @@
   EXPECT_EQ(nullptr, pooled.Take());
 }
 
-// Guards against bytes that belong to no request and are taken for the answer
+// Guards against input that belongs to no request and is taken for the answer
 // to the next one.
 TEST(ChannelPool, ConnectionWithUnreadInputIsNotReused)
 {
--- a/tests/unit/ChannelTest.cpp
+++ b/tests/unit/ChannelTest.cpp
@@ -1,5 +1,4 @@
-// Connections of the reactor: what is written arrives whole, however slowly the
-// other side reads.
+// Reactor connections: all output arrives, however slowly the other side reads.
 
 #include <gtest/gtest.h>
 
@@ -11,9 +10,8 @@
 
 namespace caraway {
 
-// The reader is busy for a while, so that the socket's buffer fills and the
-// rest must wait for it. A stream that loses its end here would reach its
-// caller with pieces missing.
+// Guards against a stream with missing chunks: the reader is slow, so that the
+// socket's buffer fills and the rest of the output must wait.
 TEST(Channel, SlowReaderGetsAllOutput)
 {
   BootClock clock;
@@ -22,7 +20,7 @@
   auto reader =
     Channel::Connect(reactor, listener.address().toString(), Seconds(1));
   auto writer = Channel::Accepted(reactor, listener.acceptConnection());
-  constexpr size_t kBytes = 32u << 20; // more than any socket buffers
+  constexpr size_t kBytes = 32u << 20; // more than any socket buffer holds
   writer->Write(std::string(kBytes, 'x'));
   EXPECT_LT(0u, writer->Queued());
   TimePoint until = clock.Now() + Seconds(10);
@@ -36,7 +34,7 @@
   EXPECT_EQ(0u, writer->Queued());
 }
 
-// Guards against a last answer that is cut though its reader, a slow one, still
+// Guards against a final answer that is truncated while its slow reader still
 // reads it.
 TEST(Channel, SlowReaderGetsAllOutputAfterFinish)
 {
@@ -69,7 +67,8 @@
   EXPECT_EQ(kBytes, got);
 }
 
-// Guards against a reader that has stopped and holds its connection for ever.
+// Guards against a reader that has stopped and keeps its connection open for
+// ever.
 TEST(Channel, FinishGivesUpOnAStoppedReader)
 {
   BootClock clock;
--- a/tests/unit/HttpCallTest.cpp
+++ b/tests/unit/HttpCallTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Takes connections and answers with the given text, or not at all.
+// Accepts connections and sends the given answer, or none if it is empty.
 class RawServer
 {
 public:
@@ -57,8 +57,8 @@
   size_t Connections() const { return mAccepted.size(); }
 
 private:
-  std::string mAnswer; // to the first call of a connection; none to others
-  bool mCloses;        // the connection, after that
+  std::string mAnswer; // to the first call on a connection only
+  bool mCloses;        // closes the connection after the answer
   Poco::Net::ServerSocket mServer;
   std::vector<Poco::Net::StreamSocket> mAccepted;
   std::atomic<bool> mStopping{ false };
@@ -67,8 +67,8 @@
 
 } // namespace
 
-// A server takes the call and never answers. The caller of the call waited
-// for ever, since POCO keeps a session's timeout for its own connecting.
+// Guards against a call that waits for ever for a server that never answers:
+// POCO applies a session's timeout only if the session itself connects.
 TEST(HttpCall, SilentServerIsLostAfterTheTimeout)
 {
   RawServer server("");
@@ -77,8 +77,8 @@
   EXPECT_EQ(pool.Call(server.Call()).mStage, HttpStage::Lost);
 }
 
-// The connection is cut in the middle of an answer. What came looks like a
-// shorter answer; only its stated length tells.
+// Guards against a truncated answer taken for a complete one: when the
+// connection breaks in the middle of a body, only its stated length shows that.
 TEST(HttpCall, TruncatedAnswersAreLost)
 {
   RawServer cut("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
@@ -89,9 +89,9 @@
   EXPECT_EQ(HttpCallOnce(whole.Call()).mStage, HttpStage::Answered);
 }
 
-// A kept connection is lost while a call is on it, and the server can't be
-// reached after that. The call may have been read: saying that it wasn't sent
-// would let a holder spend what it has just handed on.
+// A pooled connection breaks during a call, and the server can't be reached
+// after that. The call may have been read: reporting it as not sent would let a
+// holder of a rate limit's share spend what it has just handed over.
 TEST(HttpCall, CallLostOnAPooledConnectionIsNotReportedAsNotSent)
 {
   HttpPool pool;
@@ -104,8 +104,8 @@
   EXPECT_EQ(pool.Call(call).mStage, HttpStage::Lost);
 }
 
-// A server falls silent on a kept connection. The call was begun again on a
-// new one with all its time, so that it lasted twice as long as it may.
+// Guards against a call that takes twice its timeout: a server is silent on a
+// pooled connection, and the call is retried on a new one with its full time.
 TEST(HttpCall, SilenceOnAPooledConnectionIsNotRetried)
 {
   RawServer server("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhalf", false);
--- a/tests/unit/HttpHeadTest.cpp
+++ b/tests/unit/HttpHeadTest.cpp
@@ -1,5 +1,5 @@
-// Heads and bodies are read strictly: what two readers could understand
-// differently is refused.
+// Heads and bodies are parsed strictly: input that two parsers could read
+// differently is rejected.
 
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
   return ReadRequestHead(aText, head, used);
 }
 
-// Fed byte by byte, as slow networks do.
+// Feeds the bytes one by one, as a slow network may.
 bool
 TakeByteByByte(BodyReader& aReader,
                const std::string& aBytes,
--- a/tests/unit/HttpPortTest.cpp
+++ b/tests/unit/HttpPortTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A caller's connection, byte by byte.
+// A caller's raw connection.
 class RawCaller
 {
 public:
@@ -30,7 +30,7 @@
     }
   }
   void SendRequest() { Send("GET / HTTP/1.1\r\nHost: x\r\n\r\n"); }
-  // What one read brings; "" when the connection ended or was reset.
+  // Returns the result of one read; "" if the connection was closed or reset.
   std::string Read()
   {
     char buffer[4096];
@@ -41,7 +41,7 @@
       return "";
     }
   }
-  // Served once, and kept.
+  // Gets one answer and keeps the connection, which occupies a thread.
   void SendAndKeepOpen()
   {
     SendRequest();
@@ -67,11 +67,14 @@
   aOut.sendBuffer("ok", 2);
 }
 
-constexpr Millis kAcceptTime{ 150 }; // a connection is in the port's queue
+constexpr Millis kAcceptTime{
+  150
+}; // until a connection is in the port's queue
 
 } // namespace
 
-// Guards against: a request that waits for a thread is dropped at the end.
+// Guards against a request that waits for a thread and is dropped at the port's
+// end.
 TEST(HttpPort, QueuedConnectionIsAnsweredAtTheEnd)
 {
   auto port = std::make_unique<HttpPort>("127.0.0.1:0", Limits(8), AnswerOk);
@@ -86,7 +89,8 @@
   EXPECT_NE(waiting.Read().find("200 OK"), std::string::npos);
 }
 
-// Guards against: a connection is accepted and closed in the end's one moment.
+// Guards against a connection that is accepted and closed at the moment of the
+// port's end.
 TEST(HttpPort, EndUnderLoadLosesNoRequest)
 {
   constexpr int kRounds = 10;
@@ -121,7 +125,8 @@
   EXPECT_EQ(lost, 0);
 }
 
-// Guards against: a connection beyond the queue is closed with no answer.
+// Guards against a connection beyond the queue that is closed without an
+// answer.
 TEST(HttpPort, ConnectionBeyondTheQueueIsRefused)
 {
   HttpPort port("127.0.0.1:0", Limits(1), AnswerOk);
@@ -138,7 +143,8 @@
   EXPECT_NE(answer.find("Retry-After"), std::string::npos) << answer;
 }
 
-// Guards against: a refusal is lost in the reset of what its caller still sent.
+// Guards against a refusal that is lost in a reset, because its caller is still
+// sending.
 TEST(HttpPort, RefusalArrivesBeforeTheBodyIsRead)
 {
   HttpPort port("127.0.0.1:0", Limits(8), [](auto&, auto& aOut) {
@@ -156,7 +162,7 @@
   EXPECT_NE(caller.Read().find("401"), std::string::npos);
 }
 
-// Guards against: a body that nobody read is answered like the next request.
+// Guards against an unread body that is taken for the next request.
 TEST(HttpPort, UnreadBodyIsNotTakenForARequest)
 {
   std::atomic<int> requests{ 0 };
--- a/tests/unit/WireMessagesTest.cpp
+++ b/tests/unit/WireMessagesTest.cpp
@@ -1,4 +1,4 @@
-// Each translation of the platform's words, with good messages and bad ones.
+// Translation of the platform's messages, valid and invalid ones.
 
 #include <gtest/gtest.h>
 
@@ -135,7 +135,8 @@
   EXPECT_EQ(200, config->mTenants.at("t").mDefaultTokens);
 }
 
-// A part that can't be read is left out and counted; the rest is in force.
+// Guards against an invalid part that disables the whole configuration: it is
+// left out and counted.
 TEST(WireConfig, UnreadablePartsAreLeftOut)
 {
   int leftOut = 0;
