--- a/tests/platform/CallersTest.cpp
+++ b/tests/platform/CallersTest.cpp
@@ -95,8 +95,8 @@
     fields.push_back({ name, "evil" });
   }
   TestCallPtr call = fleet.Call(0, "/order/x", "r1", fields);
-  EXPECT_EQ(200,
-            call->mStatus); // a foreign id would be refused
+  // The stand-in refuses requests for another instance.
+  EXPECT_EQ(200, call->mStatus);
   EXPECT_EQ(1, fleet.RunsOf("r1"));
 }
 
