--- a/src/entry/ConfigFeed.cpp
+++ b/src/entry/ConfigFeed.cpp
@@ -206,8 +206,8 @@
     !known || restarted || known->mEntry.mDraining != entry->mDraining;
   // Followers learn what servers hold from the instance that orders the loads.
   // Of the servers' heartbeats they need only the fields compared here.
-  bool matters = listed || known->mEntry.mAddress != entry->mAddress ||
-                 known->mEntry.mOnDisk != entry->mOnDisk;
+  bool relevant = listed || known->mEntry.mAddress != entry->mAddress ||
+                  known->mEntry.mOnDisk != entry->mOnDisk;
   if (restarted) {
     mState.mServerPool.Drop(known->mEntry.mAddress, entry->mId);
   }
@@ -215,7 +215,7 @@
     LogListed(aObject, *entry);
   }
   bool changed = mState.mServers.Put(*entry, mState.Now());
-  if (matters) {
+  if (relevant) {
     mOnApplied({ aObject, false });
   }
   return changed;
@@ -336,9 +336,9 @@
   for (const StoreChange& change : aChanges) {
     const StoreObject& object = change.mObject;
     auto known = mServers.find(object.mName);
-    bool there = known != mServers.end();
+    bool exists = known != mServers.end();
     auto removal = mRemovals.find(object.mName);
-    int64_t before = there                        ? known->second.mRevision
+    int64_t before = exists                       ? known->second.mRevision
                      : removal != mRemovals.end() ? removal->second.mRevision
                                                   : 0;
     if (object.mRevision <= before) {
@@ -346,7 +346,7 @@
     }
     if (!change.mRemoved) {
       changed = ApplyServer(object) || changed;
-    } else if (there) {
+    } else if (exists) {
       RemoveServer(object.mName);
     }
   }
--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -107,9 +107,9 @@
   }
   mService = PickService(*mRoute, mFacts.mId);
   mPriority = std::clamp(mPriority, 0, kLowestPriority);
-  SetTimes();
+  SetDeadlines();
   CountDemand();
-  if (!Admits() || !MayStart(mArrived)) {
+  if (!ExpectsCallers() || !MayStart(mArrived)) {
     RefuseShuttingDown();
     return;
   }
@@ -122,11 +122,11 @@
 }
 
 void
-Exchange::SetTimes()
+Exchange::SetDeadlines()
 {
-  Millis most =
+  Millis timeLimit =
     std::min(mFacts.mDeadline.value_or(mRoute->mTimeout), mRoute->mTimeout);
-  mFinalAnswerBy = mArrived + most;
+  mFinalAnswerBy = mArrived + timeLimit;
   mFirstByteBy = mFinalAnswerBy;
   if (mRoute->mKind == RouteKind::Stream) {
     Millis timeout =
@@ -134,7 +134,7 @@
     mFirstByteBy = std::min(mFinalAnswerBy, mArrived + timeout);
   }
   std::weak_ptr<Exchange> weak = weak_from_this();
-  mTimer = mState.mReactor.After(most, [weak] {
+  mTimer = mState.mReactor.After(timeLimit, [weak] {
     if (auto exchange = weak.lock()) {
       exchange->OnDeadline();
     }
@@ -202,9 +202,9 @@
   }
   auto tenant = mConfig->mTenantOfKey.find(mFacts.mKey);
   if (tenant == mConfig->mTenantOfKey.end()) {
-    bool shown = !mFacts.mKey.empty();
+    bool hasKey = !mFacts.mKey.empty();
     Refuse(
-      shown ? ErrorKind::KeyUnknown : ErrorKind::KeyMissing, Millis(0), "key");
+      hasKey ? ErrorKind::KeyUnknown : ErrorKind::KeyMissing, Millis(0), "key");
     return false;
   }
   mTenant = tenant->second;
@@ -221,7 +221,7 @@
   mGrant = aAnswer.mGrant;
   // The instance may have handed its part of the rate limit to its zone peers
   // while the request waited for tokens; the limit itself isn't the cause then.
-  if (!mGrant && !Admits()) {
+  if (!mGrant && !ExpectsCallers()) {
     RefuseShuttingDown();
     return;
   }
@@ -272,7 +272,7 @@
 // Once a leaving instance expects no more callers, its parts of the tenants'
 // rate limits have been handed to its zone peers.
 bool
-Exchange::Admits() const
+Exchange::ExpectsCallers() const
 {
   return mState.mLeave.ExpectsCallers(mState.Now());
 }
@@ -309,18 +309,19 @@
   auto service = mConfig->mServices.find(mService);
   bool engine =
     service != mConfig->mServices.end() && service->second.mEngine.has_value();
-  ServerRequirements wish;
-  wish.mService = mService;
-  wish.mModel = engine ? mFacts.mModel : "";
-  wish.mAdapter = engine ? mFacts.mAdapter : "";
-  wish.mZone = mState.mSettings.mZone;
-  wish.mExcluded = mBadServers;
-  wish.mMaxPerSlot = engine ? kEngineRequestsPerSlot : kServiceRequestsPerSlot;
+  ServerRequirements requirements;
+  requirements.mService = mService;
+  requirements.mModel = engine ? mFacts.mModel : "";
+  requirements.mAdapter = engine ? mFacts.mAdapter : "";
+  requirements.mZone = mState.mSettings.mZone;
+  requirements.mExcluded = mBadServers;
+  requirements.mMaxPerSlot =
+    engine ? kEngineRequestsPerSlot : kServiceRequestsPerSlot;
   if (static_cast<int>(mTriedServers.size()) >= mRoute->mMaxServers) {
-    wish.mOnly = mTriedServers;
+    requirements.mOnly = mTriedServers;
   }
   ServerChoice choice =
-    mState.mServers.Choose(wish, mState.Now(), mState.mRandom);
+    mState.mServers.Choose(requirements, mState.Now(), mState.mRandom);
   if (choice.mBackend) {
     mWaiting = false;
     Send(*choice.mBackend);
--- a/src/entry/Exchange.h
+++ b/src/entry/Exchange.h
@@ -53,7 +53,7 @@
 private:
   // Admission.
   bool Identify();
-  void SetTimes();
+  void SetDeadlines();
   void CountDemand();
   void AskForTokens(const TenantLimit& aTenant);
   void OnTokens(const TokenAnswer& aAnswer);
@@ -65,7 +65,7 @@
   bool TriedServersGone(const ServerChoice& aChoice) const;
   bool RefuseIfUnmeetable(const ServerChoice& aChoice);
   void RefuseUnmeetable(Millis aWait, bool aHeld);
-  bool Admits() const;
+  bool ExpectsCallers() const;
   // Whether the request may be sent to a server at aStart. False when the
   // instance is leaving and would exit before the answer is due.
   bool MayStart(TimePoint aStart) const;
--- a/src/entry/FeedRelay.cpp
+++ b/src/entry/FeedRelay.cpp
@@ -151,9 +151,9 @@
 {
   const Peer* first = nullptr;
   for (const auto& [name, peer] : mPeers.All()) {
-    bool may = peer.mZone == mState.mSettings.mZone && !peer.mRank.empty() &&
-               !peer.mLeaving && mPeers.Alive(peer);
-    if (may && peer.mRank < (first ? first->mRank : Rank())) {
+    bool eligible = peer.mZone == mState.mSettings.mZone &&
+                    !peer.mRank.empty() && !peer.mLeaving && mPeers.Alive(peer);
+    if (eligible && peer.mRank < (first ? first->mRank : Rank())) {
       first = &peer;
     }
   }
--- a/src/entry/InboundConnection.cpp
+++ b/src/entry/InboundConnection.cpp
@@ -354,8 +354,8 @@
   }
   const CallerLimits& limits = Limits();
   if (mReader || !mChannel->Input().empty()) {
-    Millis most = mReader ? limits.mIdle : limits.mHeadTime;
-    if (mReadStartedAt != TimePoint() && aNow - mReadStartedAt > most) {
+    Millis timeLimit = mReader ? limits.mIdle : limits.mHeadTime;
+    if (mReadStartedAt != TimePoint() && aNow - mReadStartedAt > timeLimit) {
       Reject(408,
              mReader ? "request body not received in time"
                      : "request head not received in time");
--- a/src/net/Channel.cpp
+++ b/src/net/Channel.cpp
@@ -207,9 +207,9 @@
       return;
     }
   }
-  bool had = !mOutput.empty();
+  bool hadOutput = !mOutput.empty();
   Flush();
-  if (mOpen && had && mOutput.empty() && mEvents.mDrained) {
+  if (mOpen && hadOutput && mOutput.empty() && mEvents.mDrained) {
     mEvents.mDrained();
   }
 }
