--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -165,16 +165,16 @@
     request.mReserve = ReserveFor(mRoute->mPriority, mConfig->LeastUrgent());
   }
   std::weak_ptr<Exchange> weak = weak_from_this();
-  mRateLimiter.Ask(
-    request, [weak, &limiter = mRateLimiter](const TokenAnswer& aAnswer) {
-      auto exchange = weak.lock();
-      if (exchange && !exchange->mFinished) {
-        exchange->OnTokens(aAnswer);
-      } else if (aAnswer.mGrant) {
-        limiter.GiveBack(
-          *aAnswer.mGrant); // the caller has disconnected meanwhile
-      }
-    });
+  mRateLimiter.Ask(request,
+                   [weak, &limiter = mRateLimiter](const TokenAnswer& aAnswer) {
+                     auto exchange = weak.lock();
+                     if (exchange && !exchange->mFinished) {
+                       exchange->OnTokens(aAnswer);
+                     } else if (aAnswer.mGrant) {
+                       // The caller has disconnected meanwhile.
+                       limiter.GiveBack(*aAnswer.mGrant);
+                     }
+                   });
 }
 
 bool
--- a/src/entry/Exchange.h
+++ b/src/entry/Exchange.h
@@ -112,7 +112,7 @@
   int mPriority = 5;
   TimePoint mArrived;
   TimePoint mFinalAnswerBy{};
-  TimePoint mFirstByteBy{}; // callers give up on a stream at this time
+  TimePoint mFirstByteBy{}; // caller gives up without a first byte
   Reactor::TimerId mTimer{};
 
   std::set<std::string> mTriedServers; // may have received the request
