--- a/src/entry/ConfigFeed.cpp
+++ b/src/entry/ConfigFeed.cpp
@@ -19,9 +19,9 @@
 // for requests meanwhile.
 constexpr Millis kReregistrationGrace{ 2000 };
 
-// A change of the configuration must be in force within three seconds even when
-// the watch's connection died silently, i.e. within two seconds of the end of
-// the fault.
+// When the watch's connection has died silently, a change must be in force
+// within three seconds of that, and within two seconds of the time when the
+// fault counts as mended.
 constexpr Millis kConfigWatchTime{ 2000 };
 
 // Instances that follow this one rely on an update for little longer than this.
--- a/src/net/HttpCall.h
+++ b/src/net/HttpCall.h
@@ -49,9 +49,9 @@
   }
 };
 
-// Uses a new connection for this one call. For orders that must not be
-// repeated: on a kept-alive connection that the other side has closed it would
-// be unknown whether the order was read.
+// Uses a new connection for this one call, closed after it. For orders that
+// must not be repeated: on a kept-alive connection that the other side has
+// closed it would be unknown whether the order was read.
 HttpReply
 HttpCallOnce(const HttpCall& aCall);
 
--- a/src/net/HttpExchange.h
+++ b/src/net/HttpExchange.h
@@ -9,7 +9,8 @@
 
 namespace caraway {
 
-// Returns a connected socket, or an unconnected one and aError set.
+// Returns a connected socket, or an unconnected one and aError set; nothing was
+// sent then.
 Poco::Net::StreamSocket
 HttpConnect(const HttpCall& aCall, std::string& aError);
 
