--- a/src/serve/Authenticator.h
+++ b/src/serve/Authenticator.h
@@ -30,8 +30,8 @@
   // KeyStateStale, NotReady.
   Result<Caller> Authenticate(const std::string& aHeader) const;
   // Rechecks the key of a waiting request or a running stream. Returns
-  // KeyUnknown if it was withdrawn, KeyStateStale, or nothing while it is
-  // valid.
+  // KeyUnknown if it was withdrawn, KeyStateStale if the configuration wasn't
+  // confirmed within aMaxAge, and nothing while the key is valid.
   std::optional<ErrorKind> Recheck(const Caller& aCaller) const;
 
 private:
--- a/src/serve/BriefingRunner.cpp
+++ b/src/serve/BriefingRunner.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr Millis kRetryInterval{ 2000 };
-constexpr size_t kMaxConcurrent = 4; // per instance
+constexpr Millis kRetryInterval{ 2000 }; // per briefing
+constexpr size_t kMaxConcurrent = 4;     // per instance
 
 std::optional<Briefing>
 Finished(Briefing aBriefing, BriefingState aState, Json::Value aAnswer)
--- a/src/serve/BriefingSteps.h
+++ b/src/serve/BriefingSteps.h
@@ -31,8 +31,8 @@
 private:
   bool RunIfOpen(StoredBriefing& aStored, const Attempt& aAttempt);
   // True if a listed briefing has had no stored object for kMissingGrace. Its
-  // caller was never told that it was accepted, but the write may still be in
-  // flight, so it isn't dropped at once.
+  // caller never got the response "accepted", but the write may still be in
+  // flight, so the briefing isn't dropped at once.
   bool MissingForTooLong(const std::string& aId);
 
   BriefingStore& mStore;
--- a/src/serve/BriefingStore.h
+++ b/src/serve/BriefingStore.h
@@ -30,8 +30,8 @@
   // Adds the briefing to its list first and stores it second: a listed briefing
   // that isn't stored is dropped from the list by its runner, while a stored
   // one that isn't listed would be lost. PlatformUnavailable if it is uncertain
-  // whether both writes took effect; the caller must not be told then that the
-  // briefing was accepted.
+  // whether both writes took effect; the briefing must not be reported as
+  // accepted then.
   Result<void> Keep(const Briefing& aBriefing);
   Result<StoredBriefing> Read(const std::string& aId);
   // Replaces a briefing only while it is in state Accepted: the first result
--- a/src/serve/CallerAnswer.cpp
+++ b/src/serve/CallerAnswer.cpp
@@ -98,7 +98,7 @@
 CallerAnswer::AnswerShuttingDown(const std::string& aWhy)
 {
   // If the lock is held for longer, the handler is writing to a caller that
-  // doesn't read.
+  // doesn't read; its response counts as cut off.
   constexpr Millis kLockTimeout{ 5 };
   std::unique_lock<std::timed_mutex> lock(mLock, kLockTimeout);
   if (!lock.owns_lock()) {
--- a/src/serve/CallerPort.cpp
+++ b/src/serve/CallerPort.cpp
@@ -51,7 +51,7 @@
     if (!message.isObject() || !message["role"].isString() ||
         !message["content"].isString()) {
       return Fail(ErrorKind::BadRequest,
-                  "messages: each needs a role and a content");
+                  "messages: each needs a role and a content, both strings");
     }
   }
   const Json::Value& maxTokens = aJson["max_tokens"];
@@ -408,7 +408,8 @@
   call.mBody = std::move(body);
   call.mIdempotencyKey = aRequest.get("Idempotency-Key", "");
   if (call.mIdempotencyKey.size() > kIdempotencyKeyLimit) {
-    return Fail(ErrorKind::BadRequest, "Idempotency-Key is too long");
+    return Fail(ErrorKind::BadRequest,
+                "Idempotency-Key is longer than 256 bytes");
   }
   BOOST_LEAF_CHECK(Begin(aAnswer));
   BOOST_LEAF_AUTO(answer, mServices.Run(call));
--- a/src/serve/CallerPort.h
+++ b/src/serve/CallerPort.h
@@ -52,9 +52,9 @@
   // callers reconnect to another instance.
   void Leave() { mPort->Leave(); }
   // Lets requests in flight finish and refuses new ones at once. Without a
-  // refusal, callers that still connect after the balancer's lag would wait in
-  // the listen backlog until shutdown and then be reset with their request
-  // sent.
+  // refusal, callers that still connect after the time in which the balancer
+  // should have removed this instance would wait in the listen backlog until
+  // the process exits, and then be reset with their request sent.
   void Drain() { mDraining = true; }
   // Answers ShuttingDown to all requests still in flight, until aUntil at most.
   // Returns how many of them had begun work that is cut off.
--- a/src/serve/ClaimDriver.cpp
+++ b/src/serve/ClaimDriver.cpp
@@ -110,7 +110,8 @@
       return Fail(failure);
     }
     event = Perform(attempt, action, aSendOrder);
-    // From here on no peer is told that this attempt gave up.
+    // Once an endpoint was offered the order, the attempt must never be
+    // reported to a peer as GaveUp.
     offered = offered || event.mKind == ClaimEventKind::Answered ||
               event.mKind == ClaimEventKind::AnswerLost;
   }
--- a/src/serve/ClaimRegistry.h
+++ b/src/serve/ClaimRegistry.h
@@ -16,22 +16,22 @@
 
 struct AttemptStatus
 {
-  bool mKnown = false; // of this instance
+  bool mKnown = false; // in this instance's registry
   ClaimAttemptStatus mStatus = ClaimAttemptStatus::Running;
   ClaimAnswer mAnswer; // if Answered
 };
 
 // Keeps the outcome of an attempt in memory for a while after it ended, so that
-// a duplicate that reaches another instance can learn it even if the platform
-// could not be told. An attempt that was dropped is "unknown", and its
-// duplicate is refused.
+// a duplicate order at another instance gets it even if it could not be stored
+// at the platform. An attempt that was dropped is "unknown", and its duplicate
+// is refused.
 class ClaimRegistry
 {
 public:
   explicit ClaimRegistry(const Clock& aClock);
 
   void Begin(const std::string& aNonce);
-  // Final: a status that was reported doesn't change.
+  // Called once per attempt: a status that was reported must not change.
   void End(const std::string& aNonce, const AttemptStatus& aStatus);
   // Waits up to aWithin while the attempt is running.
   AttemptStatus Await(const std::string& aNonce, Millis aWithin);
--- a/src/serve/EngineSlotFinder.h
+++ b/src/serve/EngineSlotFinder.h
@@ -25,9 +25,9 @@
                    Authenticator& aKeys,
                    Metrics& aMetrics);
 
-  // Blocks until a slot is granted or refused. aRequest is called again if an
-  // earlier attempt took time; aOwner receives the instance to which the slot
-  // must be released.
+  // Blocks until a slot is granted or refused. aRequest builds the request and
+  // is called again before a second attempt, since less time is left then.
+  // aOwner receives the instance to which the slot must be released.
   Result<EngineSlotGrant> Acquire(
     const std::function<EngineSlotRequest()>& aRequest,
     const Caller& aCaller,
--- a/src/serve/EngineStream.h
+++ b/src/serve/EngineStream.h
@@ -21,8 +21,8 @@
   std::string mAdapter;
   Json::Value mMessages;
   int mMaxTokens = 1;
-  RequestClass mClass = RequestClass::Interactive; // sent to the engine
-  std::vector<std::string> mSoFar;                 // resume after these
+  RequestClass mClass = RequestClass::Interactive; // the engine's priority
+  std::vector<std::string> mSoFar;                 // tokens to resume after
   Millis mFirstToken{ 1400 }; // timeout for the first token
   Millis mStall{ 10000 };     // timeout between tokens
 };
@@ -44,8 +44,8 @@
 
 // Calls aOnToken for each token once and in order; if it returns false the
 // connection is closed, which stops the engine. A token is passed on only if it
-// carries this request's id and the next index, so a late or crossed answer is
-// cut off there.
+// carries this request's id and the next index, so an answer that comes late or
+// belongs to another request is cut off there.
 GenerateResult
 EngineGenerate(const GenerateCall& aCall,
                const std::function<bool(const std::string&)>& aOnToken);
--- a/src/serve/LeaveGate.cpp
+++ b/src/serve/LeaveGate.cpp
@@ -46,7 +46,7 @@
 LeaveGate::MayStart(TimePoint aAnswerBy, RunState aRun) const
 {
   std::lock_guard<std::mutex> lock(mLock);
-  constexpr Millis kUnknownDuration{ 0 }; // no estimate of its run time
+  constexpr Millis kUnknownDuration{ 0 }; // no estimate of the run time
   if (!mPlan.MayStart(mClock.Now(), aAnswerBy, kUnknownDuration)) {
     return Refuse(aRun);
   }
--- a/src/serve/RetryBudget.h
+++ b/src/serve/RetryBudget.h
@@ -1,4 +1,4 @@
-// RetryBudget.h: limits retries to a share of successful calls.
+// RetryBudget.h: limits retries to a fraction of successful calls.
 #ifndef caraway_serve_RetryBudget_h
 #define caraway_serve_RetryBudget_h
 
@@ -8,8 +8,8 @@
 namespace caraway {
 
 // If every call fails, unlimited retries would multiply the load on the
-// remaining endpoints. Each success earns a tenth of a retry; without any saved
-// no retry is made.
+// remaining endpoints. Each success earns a tenth of a retry; with less than
+// one retry saved, none is made.
 class RetryBudget
 {
 public:
--- a/src/serve/ServiceCalls.cpp
+++ b/src/serve/ServiceCalls.cpp
@@ -99,7 +99,8 @@
   std::string echoed = reply.Header("x-request-id");
   if (!echoed.empty() && echoed != aCall.mContext.mId) {
     reply.mStage = HttpStage::Lost;
-    reply.mError = "endpoint answered another request";
+    reply.mError =
+      "endpoint's answer carries another request's id; answer discarded";
   }
   return reply;
 }
@@ -116,9 +117,9 @@
   return order;
 }
 
-// For an order refused for its rate, for example. "Not run" must hold for the
-// order and not only for this attempt: if an earlier attempt ran, the caller
-// gets its answer, which costs no tokens.
+// Refuses an order before it is sent, for example for the tenant's rate. "Not
+// run" must hold for the order and not only for this attempt: if an earlier
+// attempt ran, the caller gets its answer, which costs no tokens.
 Result<OrderAnswer>
 ServiceCalls::RefuseOrder(const ServiceCall& aCall,
                           TimePoint aDeadline,
