--- a/src/peer/Members.h
+++ b/src/peer/Members.h
@@ -21,8 +21,9 @@
 public:
   Members(const Clock& aClock, InstanceInfo aSelf);
 
-  // Takes the platform's list. Members it doesn't name are kept while they
-  // answer, since the list may be stale and isn't available during an outage.
+  // Takes the platform's list. Members it doesn't name are kept while they were
+  // heard from within kForgetAfter, since the list may be stale and isn't
+  // available during an outage.
   void UpdateFromList(const std::vector<InstanceInfo>& aList);
   // Addresses on the last list read, or nothing if that list is too old.
   std::optional<std::set<std::string>> Listed() const;
@@ -45,14 +46,15 @@
   // Names of these zones without the suspected ones.
   std::set<std::string> RespondingZones() const;
   // Marks a zone as possibly unreachable after calls to two of its instances
-  // went unanswered. Otherwise each of its instances would cost the time of one
-  // call to find unresponsive. Cleared when one of them is heard from.
+  // went unanswered. Otherwise its instances would be found unresponsive one
+  // after the other, at the cost of a call's timeout each. Cleared when one of
+  // them is heard from.
   void SuspectZone(const std::string& aZone);
   // Number of available instances in all zones; includes this instance unless
   // it is leaving.
   int AvailableCount() const;
-  bool IsAvailablePeer(
-    const std::string& aId) const; // aId: of another instance
+  // aId: of another instance.
+  bool IsAvailablePeer(const std::string& aId) const;
   // Addresses of listed members that have never been heard from and have no
   // unanswered call.
   std::vector<std::string> UncontactedPeers() const;
--- a/src/peer/PeerClient.h
+++ b/src/peer/PeerClient.h
@@ -22,7 +22,8 @@
 class PeerClient
 {
 public:
-  // aFrom: zone and id of this instance, sent to peers for their operators.
+  // aFrom: zone and id of this instance, sent with each call for diagnosis by
+  // the peers' operators.
   PeerClient(std::string aSecret, std::string aFrom);
 
   // NoEndpoint if the peer can't be reached or doesn't answer. aResend: the
--- a/src/platform/ConfigHolder.cpp
+++ b/src/platform/ConfigHolder.cpp
@@ -8,8 +8,8 @@
 
 // Age of a configuration that was never confirmed. If age were counted from the
 // process start, an instance started in an isolated zone would report a peer's
-// stale configuration as fresh, its peers would believe that, and withdrawn
-// keys would stay valid for as long as instances are replaced.
+// stale configuration as fresh, its peers would accept that report, and
+// withdrawn keys would stay valid for as long as instances are replaced.
 constexpr std::chrono::hours kNeverConfirmedAge{ 24 * 365 };
 
 } // namespace
@@ -49,8 +49,8 @@
   }
 }
 
-// Reads both under one lock: an older revision with the age of a newer one
-// would tell a peer that the older one is the newest.
+// Reads both under one lock: a peer that received an older revision with the
+// age of a newer one would take the older one for the newest.
 ConfigFreshness
 ConfigHolder::Fresh() const
 {
--- a/src/platform/ConfigHolder.h
+++ b/src/platform/ConfigHolder.h
@@ -16,8 +16,8 @@
   Millis mAge{ 0 };      // since it was last confirmed as the newest
 };
 
-// Revisions only increase: a stale read, a late answer or a peer with an older
-// revision can't bring it back.
+// The revision only increases: a stale read, a late answer or a peer with an
+// older revision can't replace it by an earlier one.
 class ConfigHolder
 {
 public:
--- a/src/platform/ConfigStore.h
+++ b/src/platform/ConfigStore.h
@@ -41,8 +41,8 @@
 
   PlatformApi& mPlatform;
   std::mutex mLock;
-  std::map<std::string, Json::Value>
-    mParts; // parts of the last revision, by digest
+  // Parts of the last revision loaded, by digest.
+  std::map<std::string, Json::Value> mParts;
 };
 
 } // namespace caraway
--- a/src/platform/PlatformClient.cpp
+++ b/src/platform/PlatformClient.cpp
@@ -12,7 +12,7 @@
 constexpr int kConflict = 409;
 constexpr int kNotFound = 404;
 constexpr int kNoChange = 204;
-// Time for the answer of a watch that ended at its limit to come back.
+// Time for the answer of a watch that ended at its limit to arrive.
 constexpr Millis kWatchTimeoutMargin{ 2000 };
 
 std::string
--- a/src/platform/PlatformCounts.h
+++ b/src/platform/PlatformCounts.h
@@ -14,9 +14,8 @@
   std::atomic<int64_t> mWrites{ 0 };
   std::atomic<int64_t> mWatches{ 0 };
   std::atomic<int64_t> mFailures{ 0 }; // no answer, or a 5xx status
-  std::atomic<int64_t> mOverBudget{
-    0
-  }; // calls not made because the budget was used up
+  // Calls not made because the budget was used up.
+  std::atomic<int64_t> mOverBudget{ 0 };
 };
 
 } // namespace caraway
