--- a/src/daemon/ConfigWatcher.h
+++ b/src/daemon/ConfigWatcher.h
@@ -14,9 +14,9 @@
 namespace caraway {
 
 // Runs one watch at the platform; each return, with a change or without,
-// confirms freshness. In addition, a peer that reports a newer revision is
-// asked for it, so that a change reaches instances that can't reach the
-// platform, and a new instance can start during a platform outage.
+// confirms freshness. In addition, a newer revision that a peer reports is
+// fetched from that peer, so that a change reaches instances that can't reach
+// the platform, and a new instance can start during a platform outage.
 class ConfigWatcher
 {
 public:
--- a/src/daemon/Heartbeat.cpp
+++ b/src/daemon/Heartbeat.cpp
@@ -99,8 +99,8 @@
   std::vector<std::string> addresses = mMembers.UncontactedPeers();
   std::shuffle(addresses.begin(), addresses.end(), mRandom);
   for (const std::string& address : addresses) {
-    // A peer that doesn't answer costs this round its time; the next round
-    // continues.
+    // One unanswered call takes up this round's time; the next round goes on
+    // with the rest.
     if (mPeersContacted == kMaxInitialContacts || !SendHeartbeat(address)) {
       return;
     }
--- a/src/daemon/Heartbeat.h
+++ b/src/daemon/Heartbeat.h
@@ -33,7 +33,7 @@
             const Clock& aClock);
 
   void Round();
-  // Tells all available instances of the zone that this one is leaving.
+  // Notifies all available instances of the zone that this one is leaving.
   void AnnounceLeaving();
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
--- a/src/daemon/Instance.cpp
+++ b/src/daemon/Instance.cpp
@@ -376,7 +376,8 @@
   mLeave.Begin(times);
   mCallers->Leave();
   mMembers->MarkSelfLeaving();
-  // Detached, so that peers that don't answer don't delay the shutdown.
+  // Detached, so that peers that don't answer don't delay the shutdown; the
+  // thread ends with the process.
   std::thread([this] { mHeartbeat->AnnounceLeaving(); }).detach();
   // The balancer keeps sending until it has seen that this instance isn't
   // ready.
--- a/src/daemon/Instance.h
+++ b/src/daemon/Instance.h
@@ -32,7 +32,8 @@
 
   // Opens the ports. Throws Poco::Exception if an address can't be bound.
   void Start();
-  // {"caller":…,"admin":…,"peer":…}: the bound addresses.
+  // {"id":…,"zone":…,"caller":…,"admin":…,"peer":…,"peer_bound":…}: the
+  // addresses as bound, but "peer" as advertised to peers.
   Json::Value Addresses() const;
   // Reports not ready, keeps serving for the balancer's lag, finishes requests
   // in flight and hands over its leases. Returns how many requests were cut
@@ -85,7 +86,7 @@
   std::unique_ptr<CallerPort> mCallers;
   std::unique_ptr<AdminPort> mAdmin;
   std::vector<std::unique_ptr<Ticker>> mTickers;
-  std::atomic<bool> mWoken{ false }; // share slots were handed over
+  std::atomic<bool> mWoken{ false }; // share slots were received
 };
 
 } // namespace caraway
--- a/src/daemon/Settings.h
+++ b/src/daemon/Settings.h
@@ -34,10 +34,12 @@
   std::vector<AdminKey> mAdminKeys;
 
   // [peer]
-  std::string mPeerListen;             // ip:port
-  std::string mPeerAdvertise;          // ip:port; default: as bound
-  std::string mPeerSecret;             // shared by all instances
-  std::vector<std::string> mPeerSeeds; // ip:port, contacted in an outage
+  std::string mPeerListen;    // ip:port
+  std::string mPeerAdvertise; // ip:port; default: as bound
+  std::string mPeerSecret;    // shared by all instances
+  // ip:port; contacted while no peer is known, as at a start during a platform
+  // outage.
+  std::vector<std::string> mPeerSeeds;
 
   // [platform]
   std::string mPlatformAddress;          // ip:port
@@ -45,11 +47,11 @@
   int64_t mPlatformCallsPerSecond = 200; // budget of this instance
 
   // [keys]
-  Seconds mKeysMaxAge{ 600 }; // longest use without confirmation
+  Seconds mKeysMaxAge{ 600 }; // longest use of unconfirmed keys
 
   // [shares]
-  Millis mShareLease{ 3000 };  // right to spend after a renewal
-  Millis mShareMargin{ 1000 }; // added before other instances take over
+  Millis mShareLease{ 3000 };           // right to spend after a renewal
+  Millis mShareMargin{ 1000 };          // from a lease's end to a takeover
   Seconds mShareIsolationLimit{ 3600 }; // longest spending without a renewal
   Millis mShareGrantLife{ 100 };        // from request of tokens to admission
 
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -46,7 +46,7 @@
   int signal = 0;
   do {
     sigwait(&signals, &signal);
-  } while (signal == SIGHUP); // no configuration file is reloaded
+  } while (signal == SIGHUP); // ignored: settings are read only at the start
   int code = instance.Shutdown() == 0 ? kExitOk : kExitCut;
   std::fflush(nullptr);
   // All requests are answered and leases handed over. The remaining threads are
@@ -63,9 +63,9 @@
     "serves requests for rarely used models.\n"
     "  carawayd --config FILE.toml                 run\n"
     "  carawayd --config FILE.toml --check_config  check the file and exit\n"
-    "Prints its addresses as one JSON line once it serves. Exit codes: 0 ended "
-    "by a signal with nothing cut, 1 requests were cut, 2 usage, 3 settings "
-    "refused, 4 an address can't be bound.");
+    "Prints its addresses as one JSON line once it serves. Exit codes: 0 "
+    "stopped by a signal with no request cut off, 1 requests were cut off, 2 "
+    "usage, 3 settings refused, 4 an address can't be bound.");
   gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   if (FLAGS_config.empty() || aCount > 1) {
     std::fprintf(stderr,
