--- a/src/base/ConfigCodec.h
+++ b/src/base/ConfigCodec.h
@@ -40,7 +40,7 @@
 Json::Value
 ConfigJson(const ConfigSnapshot& aConfig);
 
-// Checks that references resolve, sizes fit and addresses are ip:port.
+// Checks that references resolve and that each model fits an engine's memory.
 Result<void>
 ConfigCheck(const ConfigSnapshot& aConfig);
 
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Limit per event name and second: ten times what an instance writes at today's
-// traffic, and a few thousandths of a core.
+// Limit per event name and second: ten times what an instance writes at normal
+// traffic. Writing that many lines takes a few thousandths of a core.
 constexpr int kLinesPerSecond = 200;
 
 // Buffer for a slow reader: a few seconds of lines.
--- a/src/base/MetricSeries.h
+++ b/src/base/MetricSeries.h
@@ -31,7 +31,8 @@
   double Sum() const;
   double Max() const;
   double Quantile(double aFraction) const; // aFraction: 0.5, 0.95 or 0.99
-  // Number of samples up to bound aBound, as the text format requires.
+  // Number of samples up to kMetricBounds[aBound], since the text format
+  // requires cumulative buckets.
   uint64_t CumulativeCount(size_t aBound) const;
 
 private:
--- a/src/ctl/CtlEntries.cpp
+++ b/src/ctl/CtlEntries.cpp
@@ -69,7 +69,7 @@
   return nullptr;
 }
 
-// Parses booleans and numbers as such; any other text is a string.
+// Returns a boolean or number if aText is one, and a string otherwise.
 Json::Value
 ValueOf(const std::string& aText)
 {
--- a/src/ctl/LossReport.cpp
+++ b/src/ctl/LossReport.cpp
@@ -13,10 +13,10 @@
 
 constexpr int64_t kSecondMs = 1000;
 
-// Statuses from this one on count as failed.
+// Requests with this status or above count as failed.
 constexpr int kFirstFailure = 400;
 
-// A second counts if more than this share of the tenant's rate was refused.
+// A second counts if more than this fraction of the tenant's rate was refused.
 constexpr double kMinRefusedShare = 0.2;
 
 std::string
--- a/src/ctl/RequestTrace.cpp
+++ b/src/ctl/RequestTrace.cpp
@@ -71,7 +71,8 @@
   const TraceLine* ended = FirstOf(aOthers, "place_ended");
   const TraceLine* decided = FirstOf(aOthers, "place_decided");
   if (sent && ended && waits && ended->mAt > sent->mAt) {
-    return sent->mAt - ended->mAt - 1; // causes come first in a tie too
+    // 1 ms more, so that the cause doesn't tie with its effect.
+    return sent->mAt - ended->mAt - 1;
   }
   bool caused = !sent || !ended || ended->mAt >= (waits ? waits->mAt : 0);
   if (waits && decided && caused && decided->mAt < waits->mAt &&
--- a/src/ctl/RequestTrace.h
+++ b/src/ctl/RequestTrace.h
@@ -16,7 +16,7 @@
   int64_t mUptimeMs = 0; // the instance's monotonic time; orders its own lines
   Json::Value mLine;
   bool mOwn = false;     // logged for the request itself
-  bool mShifted = false; // mAt was shifted to fit causes
+  bool mShifted = false; // mAt was shifted to precede its effect
 };
 
 class RequestTrace
