--- a/src/admin/AdminPort.cpp
+++ b/src/admin/AdminPort.cpp
@@ -20,7 +20,7 @@
 const std::string kRevisions = "/admin/v1/revisions/";
 
 std::string
-Text(WallTime aTime)
+FormatTime(WallTime aTime)
 {
   Poco::Timestamp stamp(
     std::chrono::duration_cast<Micros>(aTime.time_since_epoch()).count());
@@ -203,7 +203,7 @@
                                  config,
                                  aUser,
                                  body["note"].asString(),
-                                 Text(mDependencies.mClock->WallNow())));
+                                 FormatTime(mDependencies.mClock->WallNow())));
   LogInfo("config_accepted",
           { { "revision", std::to_string(revision.mRevision) },
             { "author", aUser },
--- a/src/base/JsonObjectReader.cpp
+++ b/src/base/JsonObjectReader.cpp
@@ -48,31 +48,31 @@
 }
 
 int64_t
-JsonObjectReader::Integer(const char* aName, int64_t aDefault, int64_t aLeast)
+JsonObjectReader::Integer(const char* aName, int64_t aDefault, int64_t aMin)
 {
   const Json::Value* value = Find(aName, false);
   if (!value) {
     return aDefault;
   }
-  if (!value->isInt64() || value->asInt64() < aLeast) {
-    AddError(aName, "expected a whole number >= " + std::to_string(aLeast));
+  if (!value->isInt64() || value->asInt64() < aMin) {
+    AddError(aName, "expected a whole number >= " + std::to_string(aMin));
     return aDefault;
   }
   return value->asInt64();
 }
 
 double
-JsonObjectReader::Number(const char* aName, double aDefault, double aLeast)
+JsonObjectReader::Number(const char* aName, double aDefault, double aMin)
 {
   const Json::Value* value = Find(aName, false);
   if (!value) {
     return aDefault;
   }
-  if (!value->isNumeric() || value->asDouble() < aLeast) {
+  if (!value->isNumeric() || value->asDouble() < aMin) {
     // Bounds are integers; to_string of a double would print 0.000000.
     AddError(aName,
              "expected a number >= " +
-               std::to_string(static_cast<int64_t>(aLeast)));
+               std::to_string(static_cast<int64_t>(aMin)));
     return aDefault;
   }
   return value->asDouble();
@@ -93,9 +93,9 @@
 }
 
 Millis
-JsonObjectReader::Duration(const char* aName, Millis aDefault, Millis aLeast)
+JsonObjectReader::Duration(const char* aName, Millis aDefault, Millis aMin)
 {
-  return Millis(Integer(aName, aDefault.count(), aLeast.count()));
+  return Millis(Integer(aName, aDefault.count(), aMin.count()));
 }
 
 Result<void>
--- a/src/base/JsonObjectReader.h
+++ b/src/base/JsonObjectReader.h
@@ -19,10 +19,10 @@
   JsonObjectReader(const Json::Value& aObject, std::string aPath);
 
   std::string Text(const char* aName, bool aRequired = false);
-  int64_t Integer(const char* aName, int64_t aDefault, int64_t aLeast);
-  double Number(const char* aName, double aDefault, double aLeast);
+  int64_t Integer(const char* aName, int64_t aDefault, int64_t aMin);
+  double Number(const char* aName, double aDefault, double aMin);
   bool Flag(const char* aName, bool aDefault);
-  Millis Duration(const char* aName, Millis aDefault, Millis aLeast);
+  Millis Duration(const char* aName, Millis aDefault, Millis aMin);
 
   void AddError(const char* aName, const std::string& aExpected);
   // ConfigInvalid with "path.field: what was expected" if there was an error.
--- a/src/base/RandomId.cpp
+++ b/src/base/RandomId.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 std::string
-RandomHex(int aArguments)
+RandomHex(int aWordCount)
 {
   std::random_device device;
   std::string text;
-  for (int i = 0; i < aArguments; ++i) {
+  for (int i = 0; i < aWordCount; ++i) {
     char digits[9];
     std::snprintf(digits, sizeof digits, "%08x", device());
     text += digits;
--- a/src/base/WorkerPool.cpp
+++ b/src/base/WorkerPool.cpp
@@ -15,7 +15,7 @@
 {
   {
     std::lock_guard<std::mutex> lock(mLock);
-    mEnding = true;
+    mStopping = true;
   }
   mWake.notify_all();
   for (std::thread& thread : mThreads) {
@@ -45,7 +45,7 @@
 {
   std::unique_lock<std::mutex> lock(mLock);
   for (;;) {
-    mWake.wait(lock, [this] { return mEnding || !mJobs.empty(); });
+    mWake.wait(lock, [this] { return mStopping || !mJobs.empty(); });
     if (mJobs.empty()) {
       return;
     }
--- a/src/base/WorkerPool.h
+++ b/src/base/WorkerPool.h
@@ -29,7 +29,7 @@
   std::deque<std::function<void()>> mJobs;
   std::vector<std::thread> mThreads;
   int mRunning = 0;
-  bool mEnding = false;
+  bool mStopping = false;
 };
 
 } // namespace caraway
--- a/src/ctl/LossReport.cpp
+++ b/src/ctl/LossReport.cpp
@@ -14,10 +14,10 @@
 constexpr int64_t kSecondMs = 1000;
 
 // Requests with this status or above count as failed.
-constexpr int kFirstFailure = 400;
+constexpr int kMinFailureStatus = 400;
 
 // A second counts if more than this fraction of the tenant's rate was refused.
-constexpr double kMinRefusedShare = 0.2;
+constexpr double kMinRefusedFraction = 0.2;
 
 std::string
 TextOf(const Json::Value& aLine, const char* aName)
@@ -74,7 +74,7 @@
     usage.mRate = NumberOf(json, "rate");
   } else if (event == "request_done") {
     double status = NumberOf(json, "status");
-    if (status == 0 || status >= kFirstFailure) {
+    if (status == 0 || status >= kMinFailureStatus) {
       int64_t window = at - at % kWindow.count();
       ++mLost[{ window, TextOf(json, "why"), mRouteOf[id], mTenantOf[id] }];
     }
@@ -113,7 +113,7 @@
     double admitted = 0;
     double requested = 0;
     for (const auto& [second, refused] : usage.mRefusedTokens) {
-      if (usage.mRate <= 0 || refused <= kMinRefusedShare * usage.mRate) {
+      if (usage.mRate <= 0 || refused <= kMinRefusedFraction * usage.mRate) {
         continue;
       }
       auto found = usage.mAdmittedTokens.find(second);
--- a/src/daemon/ConfigWatcher.cpp
+++ b/src/daemon/ConfigWatcher.cpp
@@ -10,7 +10,7 @@
 constexpr Millis kSleepStep{ 100 };
 constexpr Millis kFirstPause{ 200 };
 constexpr Millis kMaxPause{ 2000 };
-constexpr Millis kFetchTime{ 3000 };
+constexpr Millis kFetchTimeout{ 3000 };
 
 } // namespace
 
@@ -91,8 +91,8 @@
   Json::Value params;
   params["have"] = Json::Int64(mHolder.Current()->mRevision);
   auto answer = Outcome([&]() -> Result<ConfigSnapshot> {
-    BOOST_LEAF_AUTO(json,
-                    mPeers.Call(aAddress, "config.fetch", params, kFetchTime));
+    BOOST_LEAF_AUTO(
+      json, mPeers.Call(aAddress, "config.fetch", params, kFetchTimeout));
     BOOST_LEAF_AUTO(config, ConfigParse(json["config"]));
     config.mRevision = json["revision"].asInt64();
     return config;
--- a/src/daemon/Heartbeat.cpp
+++ b/src/daemon/Heartbeat.cpp
@@ -83,10 +83,10 @@
 Heartbeat::ReadList()
 {
   TimePoint now = mClock.Now();
-  if (mListRead != TimePoint{} && now - mListRead < kListInterval) {
+  if (mListReadAt != TimePoint{} && now - mListReadAt < kListInterval) {
     return;
   }
-  mListRead = now;
+  mListReadAt = now;
   auto list = Outcome([&] { return mPlatform.Instances(); });
   if (auto* found = std::get_if<std::vector<InstanceInfo>>(&list)) {
     mMembers.UpdateFromList(*found);
--- a/src/daemon/Heartbeat.h
+++ b/src/daemon/Heartbeat.h
@@ -53,7 +53,7 @@
   std::vector<std::string> mSeeds;
   const Clock& mClock;
   std::mt19937 mRandom{ std::random_device{}() };
-  TimePoint mListRead{};
+  TimePoint mListReadAt{};
   int mRounds = 0;
   size_t mPeersContacted = 0; // peers contacted at the start
 };
--- a/src/daemon/Instance.cpp
+++ b/src/daemon/Instance.cpp
@@ -56,7 +56,7 @@
 }
 
 ShareSettings
-SharesOf(const Settings& aSettings)
+ShareSettingsOf(const Settings& aSettings)
 {
   ShareSettings settings;
   settings.mZone = aSettings.mZone;
@@ -69,7 +69,7 @@
 }
 
 StoreGateSettings
-StoreOf(const Settings& aSettings)
+StoreGateSettingsOf(const Settings& aSettings)
 {
   StoreGateSettings settings;
   settings.mZones = static_cast<int>(aSettings.mZones.size());
@@ -133,8 +133,8 @@
                                            *mWatcher,
                                            mSettings.mPeerSeeds,
                                            mClock);
-  mStoreGate =
-    std::make_unique<StoreGate>(StoreOf(mSettings), *mMembers, mPeers, mClock);
+  mStoreGate = std::make_unique<StoreGate>(
+    StoreGateSettingsOf(mSettings), *mMembers, mPeers, mClock);
   mLoader.SetStoreGate(*mStoreGate);
   mHomeZones = std::make_unique<HomeZones>(mSettings.mNear, *mMembers);
   mOwner.SetHomeZones(*mHomeZones);
@@ -148,7 +148,7 @@
                                                      mEngines,
                                                      mLoader,
                                                      mClock);
-  mShares = std::make_unique<ShareManager>(SharesOf(mSettings),
+  mShares = std::make_unique<ShareManager>(ShareSettingsOf(mSettings),
                                            mIncarnation,
                                            address,
                                            mPlatform,
@@ -156,8 +156,12 @@
                                            *mMembers,
                                            mConfig,
                                            mClock);
-  mShareClient = std::make_unique<ShareClient>(
-    SharesOf(mSettings), mSettings.mZones, *mShares, mPeers, *mMembers, mClock);
+  mShareClient = std::make_unique<ShareClient>(ShareSettingsOf(mSettings),
+                                               mSettings.mZones,
+                                               *mShares,
+                                               mPeers,
+                                               *mMembers,
+                                               mClock);
   mClaims = std::make_unique<ClaimDriver>(
     mIncarnation, mPlatform, mPeers, mClaimRegistry, mClaimWorkers, mClock);
   mSlotFinder = std::make_unique<EngineSlotFinder>(
--- a/src/daemon/Settings.cpp
+++ b/src/daemon/Settings.cpp
@@ -93,8 +93,8 @@
   aFields.Address("advertise", aOut.mPeerAdvertise);
   aFields.Text("secret", aOut.mPeerSecret, true);
   aFields.Texts("seeds", aOut.mPeerSeeds, false);
-  constexpr size_t kLeastSecret = 16;
-  if (!aOut.mPeerSecret.empty() && aOut.mPeerSecret.size() < kLeastSecret) {
+  constexpr size_t kMinSecretLength = 16;
+  if (!aOut.mPeerSecret.empty() && aOut.mPeerSecret.size() < kMinSecretLength) {
     aFields.AddError(aFields.Node("secret", false),
                      "secret",
                      "expected 16 characters or more");
@@ -102,7 +102,7 @@
 }
 
 void
-ReadRest(const toml::table& aRoot, Settings& aOut, TomlErrors& aErrors)
+ReadOtherTables(const toml::table& aRoot, Settings& aOut, TomlErrors& aErrors)
 {
   {
     TomlTableReader fields(aRoot["platform"].as_table(), "platform", aErrors);
@@ -170,7 +170,7 @@
     ReadCaller({ root["caller"].as_table(), "caller", errors }, settings);
     ReadAdmin({ root["admin"].as_table(), "admin", errors }, settings);
     ReadPeer({ root["peer"].as_table(), "peer", errors }, settings);
-    ReadRest(root, settings, errors);
+    ReadOtherTables(root, settings, errors);
   } catch (const toml::parse_error& error) {
     errors.Add(
       error.source().begin.line, "not TOML", std::string(error.description()));
--- a/src/daemon/TomlTableReader.cpp
+++ b/src/daemon/TomlTableReader.cpp
@@ -115,17 +115,17 @@
 }
 
 void
-TomlTableReader::Number(const char* aField, int64_t& aOut, int64_t aLeast)
+TomlTableReader::Number(const char* aField, int64_t& aOut, int64_t aMin)
 {
   const toml::node* node = Node(aField, false);
   if (!node) {
     return;
   }
   auto number = node->value_exact<int64_t>();
-  if (!number || *number < aLeast) {
+  if (!number || *number < aMin) {
     AddError(node,
              aField,
-             "expected a whole number >= " + std::to_string(aLeast) +
+             "expected a whole number >= " + std::to_string(aMin) +
                ", without a unit");
     return;
   }
--- a/src/daemon/TomlTableReader.h
+++ b/src/daemon/TomlTableReader.h
@@ -35,7 +35,7 @@
   void Texts(const char* aField,
              std::vector<std::string>& aOut,
              bool aRequired);
-  void Number(const char* aField, int64_t& aOut, int64_t aLeast);
+  void Number(const char* aField, int64_t& aOut, int64_t aMin);
   template<class Duration>
   void Time(const char* aField, Duration& aOut)
   {
--- a/src/peer/Members.cpp
+++ b/src/peer/Members.cpp
@@ -49,7 +49,8 @@
   }
   TimePoint now = mClock.Now();
   for (const auto& known : mMembers) {
-    if (!next.count(known.first) && now - known.second.mHeard < kForgetAfter) {
+    if (!next.count(known.first) &&
+        now - known.second.mLastHeard < kForgetAfter) {
       next.insert(known);
     }
   }
@@ -74,7 +75,7 @@
   }
   Member& member = mMembers[aPeer.mId];
   member.mInfo = aPeer;
-  member.mHeard = mClock.Now();
+  member.mLastHeard = mClock.Now();
   mSuspectedZones.erase(aPeer.mZone);
   member.mUnansweredCalls = 0;
 }
@@ -239,7 +240,7 @@
   std::vector<std::string> uncontacted;
   for (const auto& entry : mMembers) {
     const Member& member = entry.second;
-    if (member.mHeard == TimePoint{} && member.mUnansweredCalls == 0) {
+    if (member.mLastHeard == TimePoint{} && member.mUnansweredCalls == 0) {
       uncontacted.push_back(member.mInfo.mPeerAddress);
     }
   }
--- a/src/peer/Members.h
+++ b/src/peer/Members.h
@@ -73,7 +73,7 @@
   struct Member
   {
     InstanceInfo mInfo;
-    TimePoint mHeard{};
+    TimePoint mLastHeard{};
     int mUnansweredCalls = 0;
     TimePoint mUnansweredAt{}; // of the last call counted
   };
--- a/src/platform/ConfigFollower.cpp
+++ b/src/platform/ConfigFollower.cpp
@@ -16,19 +16,19 @@
 Result<void>
 ConfigFollower::Look(Millis aWatch)
 {
-  WatchPosition followed;
+  WatchPosition position;
   {
     std::lock_guard<std::mutex> lock(mLock);
-    followed = mWatchPosition;
+    position = mWatchPosition;
   }
-  if (followed.mVersion == 0) {
+  if (position.mVersion == 0) {
     return Read();
   }
   TimePoint asked = mClock.Now();
   auto index =
-    Outcome([&] { return mStore.WatchIndex(followed.mVersion, aWatch); });
+    Outcome([&] { return mStore.WatchIndex(position.mVersion, aWatch); });
   if (auto* found = std::get_if<ConfigIndex>(&index)) {
-    return Take(*found, asked);
+    return ApplyIndex(*found, asked);
   }
   const Failure& failure = std::get<Failure>(index);
   if (failure.mKind != ErrorKind::NotFound) {
@@ -37,7 +37,7 @@
   // Confirms as of the start of the call, since the platform may have changed
   // after it, and for the revision that was watched: another thread may be
   // loading a newer one that isn't in force here yet.
-  mHolder.Confirm(followed.mRevision, asked);
+  mHolder.Confirm(position.mRevision, asked);
   return {};
 }
 
@@ -46,11 +46,11 @@
 {
   TimePoint asked = mClock.Now();
   BOOST_LEAF_AUTO(index, mStore.Index());
-  return Take(index, asked);
+  return ApplyIndex(index, asked);
 }
 
 Result<void>
-ConfigFollower::Take(const ConfigIndex& aIndex, TimePoint aAsked)
+ConfigFollower::ApplyIndex(const ConfigIndex& aIndex, TimePoint aAsked)
 {
   if (aIndex.mNow.mRevision > mHolder.Current()->mRevision) {
     // The watch position moves only after the load. A watch from the new
--- a/src/platform/ConfigFollower.h
+++ b/src/platform/ConfigFollower.h
@@ -43,7 +43,7 @@
     int64_t mRevision = 0; // the index's revision at that version
   };
 
-  Result<void> Take(const ConfigIndex& aIndex, TimePoint aAsked);
+  Result<void> ApplyIndex(const ConfigIndex& aIndex, TimePoint aAsked);
 
   ConfigStore& mStore;
   ConfigHolder& mHolder;
--- a/src/platform/ConfigHolder.cpp
+++ b/src/platform/ConfigHolder.cpp
@@ -17,7 +17,7 @@
 ConfigHolder::ConfigHolder(const Clock& aClock)
   : mClock(aClock)
   , mCurrent(std::make_shared<const ConfigSnapshot>())
-  , mConfirmed(aClock.Now() - kNeverConfirmedAge)
+  , mConfirmedAt(aClock.Now() - kNeverConfirmedAge)
 {
 }
 
@@ -45,7 +45,7 @@
 {
   std::lock_guard<std::mutex> lock(mLock);
   if (mCurrent->mRevision >= aRevision) {
-    mConfirmed = std::max(mConfirmed, aAt);
+    mConfirmedAt = std::max(mConfirmedAt, aAt);
   }
 }
 
@@ -56,7 +56,7 @@
 {
   std::lock_guard<std::mutex> lock(mLock);
   return { mCurrent->mRevision,
-           std::chrono::ceil<Millis>(mClock.Now() - mConfirmed) };
+           std::chrono::ceil<Millis>(mClock.Now() - mConfirmedAt) };
 }
 
 } // namespace caraway
--- a/src/platform/ConfigHolder.h
+++ b/src/platform/ConfigHolder.h
@@ -37,7 +37,7 @@
   const Clock& mClock;
   mutable std::mutex mLock;
   ConfigPtr mCurrent;
-  TimePoint mConfirmed;
+  TimePoint mConfirmedAt;
 };
 
 } // namespace caraway
--- a/src/serve/BriefingStore.cpp
+++ b/src/serve/BriefingStore.cpp
@@ -45,8 +45,8 @@
                                    : std::vector<std::string>()) {
       next[id] = list.mValue[id];
     }
-    bool there = next.isMember(aId);
-    if (there == aAdd) {
+    bool listed = next.isMember(aId);
+    if (listed == aAdd) {
       return {};
     }
     if (aAdd) {
@@ -76,10 +76,10 @@
     { kKind, aBriefing.mId, 0, RandomId(), BriefingJson(aBriefing) });
   // The id is random, so an object found under it came from this write: its
   // answer was lost, and another instance may have updated the object since.
-  bool kept =
+  bool stored =
     result.mEnd == WriteOutcome::Done ||
     (result.mEnd == WriteOutcome::Conflict && result.mObject.mVersion > 0);
-  if (!kept) {
+  if (!stored) {
     Failure failure = FailureOf(ErrorKind::PlatformUnavailable,
                                 "the briefing could not be stored");
     failure.mRun = RunState::MayHaveRun; // the write may still take effect
--- a/src/serve/ClaimRegistry.cpp
+++ b/src/serve/ClaimRegistry.cpp
@@ -46,12 +46,12 @@
   entry.mEnded = now;
   shard.mBytes += aStatus.mAnswer.mBody.size();
   shard.mEnded.emplace_back(now, aNonce);
-  DropExpired(shard, now);
+  Evict(shard, now);
   shard.mChanged.notify_all();
 }
 
 void
-ClaimRegistry::DropExpired(Shard& aShard, TimePoint aNow)
+ClaimRegistry::Evict(Shard& aShard, TimePoint aNow)
 {
   while (!aShard.mEnded.empty()) {
     bool old = aNow - aShard.mEnded.front().first > kRetention;
--- a/src/serve/ClaimRegistry.h
+++ b/src/serve/ClaimRegistry.h
@@ -53,7 +53,7 @@
   static constexpr size_t kShards = 8;
 
   Shard& ShardFor(const std::string& aNonce);
-  void DropExpired(Shard& aShard, TimePoint aNow);
+  void Evict(Shard& aShard, TimePoint aNow);
 
   const Clock& mClock;
   std::array<Shard, kShards> mShards;
