--- a/src/daemon/Heartbeat.h
+++ b/src/daemon/Heartbeat.h
@@ -33,7 +33,7 @@
             const Clock& aClock);
 
   void Round();
-  // Tells all available instances of the zone that this one is leaving.
+  // Notifies all available instances of the zone that this one is leaving.
   void AnnounceLeaving();
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
@@ -53,7 +53,7 @@
   std::vector<std::string> mSeeds;
   const Clock& mClock;
   std::mt19937 mRandom{ std::random_device{}() };
-  TimePoint mListRead{};
+  TimePoint mListReadAt{};
   int mRounds = 0;
   size_t mPeersContacted = 0; // peers contacted at the start
 };
