--- a/tests/process/BadInputTest.cpp
+++ b/tests/process/BadInputTest.cpp
@@ -63,8 +63,8 @@
 }
 
 // Eighty connections that send nothing, or half a request, are held open.
-// Guards against idle connections that use up the port: others must still be
-// served.
+// Guards against idle connections that use up the port: others must be served
+// at once, not only when the idle ones have timed out.
 TEST(BadInput, IdleConnectionsDontBlockOthers)
 {
   Fleet fleet({});
--- a/tests/process/CompleteAnswerTest.cpp
+++ b/tests/process/CompleteAnswerTest.cpp
@@ -32,7 +32,7 @@
 // The engine cuts the stream, sends another request's token, skips one, sends
 // one twice, or ends early with an end marker. The caller must get the complete
 // answer with each token once: correct tokens are kept and generation resumes
-// after them.
+// after them, at another engine or at the same one.
 TEST_P(CompleteAnswer, BrokenStreamsAreResumed)
 {
   FleetPlan plan;
--- a/tests/process/ConfigTest.cpp
+++ b/tests/process/ConfigTest.cpp
@@ -40,8 +40,8 @@
 } // namespace
 
 // A key is withdrawn during a stream. The stream must end with an error event
-// within seconds, and every instance must refuse new requests; other keys still
-// work.
+// within seconds, and every instance must refuse new requests with this key;
+// other keys must still work.
 TEST(Keys, WithdrawnWhileStreaming)
 {
   FleetPlan plan;
@@ -53,7 +53,7 @@
   std::thread caller([&] { reply = fleet.Chat(0, key, "chat-m0", 200, true); });
   EXPECT_TRUE(Eventually(
     Seconds(5), [&] { return fleet.EngineState(0)["active"].asInt() == 1; }));
-  std::this_thread::sleep_for(Millis(300)); // some tokens are out
+  std::this_thread::sleep_for(Millis(300)); // until some tokens were sent
   auto begun = std::chrono::steady_clock::now();
   int64_t revision = fleet.Configure(
     [](Json::Value& aConfig) { RemoveKey(aConfig, "key-acme"); });
@@ -113,9 +113,9 @@
   EXPECT_TRUE(fleet.AwaitRevision(revision, Seconds(9)));
 }
 
-// The platform answers reads with the state before a change for a while, and an
-// instance is restarted in between. Guards against a return to an earlier
-// revision; all instances must reach the newest.
+// For a while after each change the platform answers reads with the state
+// before it, and an instance is restarted in between. Guards against a return
+// to an earlier revision; all instances must reach the newest.
 TEST(Config, NeverGoesBack)
 {
   Fleet fleet({});
@@ -134,9 +134,8 @@
   fleet.PlatformFault("stale_ms", 700);
   int64_t revision = 1;
   for (int i = 0; i < 4; ++i) {
-    // The administration port reads the configuration from the platform and may
-    // get a stale one; its change is then refused, as a second operator's would
-    // be.
+    // The administration port reads the configuration from the platform. If it
+    // gets a stale one, the change is refused like that of a second operator.
     Eventually(Seconds(5), [&] {
       try {
         revision = fleet.Configure([&](Json::Value& aConfig) {
@@ -160,8 +159,8 @@
   EXPECT_EQ(reverts, 0);
 }
 
-// An instance starts during a platform outage. It must take the configuration
-// from a peer, and then knows every key.
+// An instance starts during a platform outage. It isn't ready without a
+// configuration, so it must take one from a peer; it then knows every key.
 TEST(Config, NewInstanceStartsInAnOutage)
 {
   Fleet fleet({});
@@ -177,9 +176,9 @@
   EXPECT_EQ(fleet.Call(caller, "GET", "/v1/models", {}, "wrong").mStatus, 401);
 }
 
-// A zone isolated from everything keeps serving the keys it knows for the
-// configured time and then refuses with a reason; after the partition it serves
-// again.
+// A zone is partitioned from the platform and all other zones. It must keep
+// serving the keys it knows for the configured time, then refuse with a reason,
+// and serve again after the partition.
 TEST(Keys, CutZoneServesForAsLongAsIsSet)
 {
   FleetPlan plan = Plan();
--- a/tests/process/HomeZoneTest.cpp
+++ b/tests/process/HomeZoneTest.cpp
@@ -37,8 +37,8 @@
 } // namespace
 
 // First requests for one cold model arrive in both zones at once. Guards
-// against a load in each zone, one of which would then be idle: the home zone
-// loads the model and all requests wait for it.
+// against a load in each zone, after which both replicas would be mostly idle:
+// the home zone loads the model and all requests wait for it.
 TEST(HomeZones, BurstInAllZonesMakesOneLoad)
 {
   Fleet fleet(Plan());
@@ -56,8 +56,9 @@
 
 // The home zone is unreachable, and callers elsewhere are served by a replica
 // in their own zone. Guards against each model and each instance finding out
-// separately, each at the cost of an owner's timeout. The instance that found
-// it and the model's owner both know, so three instances find it twice at most.
+// separately, each at the cost of the timeout of a call to an owner. The
+// instance that detects it and the model's owner both know, so three instances
+// detect it twice at most.
 TEST(HomeZones, PartitionedHomeZoneIsDetectedOnce)
 {
   FleetPlan plan = Plan();
@@ -82,8 +83,9 @@
   EXPECT_EQ(fleet.EngineAudit("loads"), static_cast<int>(homeProfiles.size()));
 }
 
-// A replica in the home zone serves all zones until it is lost: its engine is
-// killed before the next request.
+// A replica in the home zone must serve all zones until it is lost. Its engine
+// is then killed, and the next request must still be served, by a load
+// elsewhere.
 TEST(HomeZones, WarmReplicaInHomeZoneServesOtherZones)
 {
   Fleet fleet(Plan());
@@ -115,9 +117,9 @@
 }
 
 // A zone gets many requests for a model whose home is elsewhere, while its own
-// models were used seconds ago. Guards against evicting one of those for an
-// optional replica: they would evict each other in turn. Without free memory
-// the replica must not be loaded.
+// models were used seconds ago. Guards against evicting one of those for a
+// second, optional replica: the evicted model would be requested again and
+// evict in turn. Without free memory the optional replica must not be loaded.
 TEST(HomeZones, BusyZoneEvictsNothingInUse)
 {
   FleetPlan plan = Plan();
@@ -141,7 +143,8 @@
   EXPECT_EQ(fleet.EngineAudit("loads"), 3);
 }
 
-// A zone whose engines were all removed serves its callers from the other zone.
+// A zone whose engines were all removed must serve its callers from the other
+// zone.
 TEST(HomeZones, ZoneWithoutEnginesServesFromTheOther)
 {
   Fleet fleet(Plan());
--- a/tests/process/InTimeTest.cpp
+++ b/tests/process/InTimeTest.cpp
@@ -9,8 +9,9 @@
 
 // One large tenant floods a model with briefings from all instances, far more
 // than the engine can serve. A small tenant's bulletins for the same model must
-// be served within their deadline: they pass the queue, and an engine slot is
-// reserved from briefings. Refused briefings must carry a retry-after time.
+// be served within their deadline: they overtake queued briefings, and one
+// engine slot is closed to briefings. Refusals of briefings must carry a
+// retry-after time.
 TEST(InTime, BulletinsAreServedDuringABriefingFlood)
 {
   FleetPlan plan;
@@ -112,10 +113,11 @@
 
 } // namespace
 
-// A large tenant's chat fills the engine, which then slows to a tenth, and
-// requests already running can't be interrupted. A small tenant's bulletins
-// must be served within their deadline or refused at once with a retry-after
-// time; none may be held until the deadline, and most must be served.
+// A large tenant's chat fills the engine, which then slows to a tenth of its
+// speed. Requests already running take seconds and can't be interrupted. A
+// small tenant's bulletins must be served within their deadline or refused at
+// once with a retry-after time; none may be held until the deadline, and most
+// must be served.
 TEST(InTime, BulletinsOnASlowedEngine)
 {
   Fleet fleet(OneEngine());
--- a/tests/process/LeavingTest.cpp
+++ b/tests/process/LeavingTest.cpp
@@ -16,7 +16,8 @@
 namespace {
 
 // Callers behind a balancer: they use instances that are ready and try another
-// one if a connection is refused. Whatever was sent must get a complete answer.
+// one if a connection is refused. Each request that was sent must get a
+// complete answer; mCut counts those that don't.
 class Callers
 {
 public:
@@ -130,7 +131,7 @@
          << aBody[0];
     Send(head.str());
   }
-  // Sends the rest and returns everything that is received.
+  // Sends the rest; returns everything received until the connection closes.
   std::string Finish()
   {
     std::string answer;
@@ -237,10 +238,10 @@
 }
 
 // A long answer keeps a leaving instance running for seconds after the
-// balancer's lag. A caller that still connects must be told at once to use
-// another instance. Left in the listen backlog it would wait for the exit and
-// then be reset, with its request sent. The refusal of an order that may have
-// been sent before must not say "not run".
+// balancer's lag. A caller that still connects must be refused at once, so that
+// it uses another instance. Left in the listen backlog, its connection would
+// wait for the exit and then be reset with the request already sent. The
+// refusal of an order that may have been sent before must not say "not run".
 TEST(Leaving, NewRequestsAreRefusedWhileDraining)
 {
   FleetPlan plan;
@@ -307,8 +308,8 @@
   EXPECT_EQ(fleet.EngineState(leaving)["audit"]["generated"].asInt(), before);
 }
 
-// Guards against requests cut off by the time limit that get no last answer, or
-// a late one.
+// Guards against requests that are cut off by the shutdown's time limit and get
+// no final answer, or a late one.
 TEST(Leaving, RequestsCutByTheLimitAreAnswered)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 200", "limit_s = 2" }));
@@ -343,8 +344,8 @@
   EXPECT_NE(stream.mBody.find("event: error"), std::string::npos);
 }
 
-// Guards against closing a kept connection while its caller sends the next
-// request.
+// Guards against closing a keep-alive connection while its caller sends the
+// next request: answers during shutdown must announce the close.
 TEST(Leaving, AnswersCloseTheirConnections)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 3000" }));
@@ -358,7 +359,7 @@
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 0);
 }
 
-// Guards against an immediate exit on a signal other than the first SIGTERM.
+// Guards against an immediate exit on SIGHUP, SIGINT or a second SIGTERM.
 TEST(Leaving, OtherSignalsCutNothing)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 200" }));
@@ -379,8 +380,8 @@
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 0);
 }
 
-// Guards against starting a request that was received completely only shortly
-// before the time limit, which would cut it off.
+// Guards against starting a request whose last byte arrives so late that the
+// shutdown's time limit would cut it off.
 TEST(Leaving, LateCompletedRequestIsNotStarted)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 500", "limit_s = 2" }));
@@ -401,7 +402,7 @@
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 0);
 }
 
-// Guards against unresponsive peers that delay the last answers.
+// Guards against unresponsive peers that delay the final answers of a shutdown.
 TEST(Leaving, FrozenPeersDontDelayShutdown)
 {
   FleetPlan plan = SlowPlan({ "[shutdown]", "lag_ms = 200", "limit_s = 2" });
--- a/tests/process/PlacementTest.cpp
+++ b/tests/process/PlacementTest.cpp
@@ -40,8 +40,9 @@
   return names;
 }
 
-// Checks from outside while a test runs: counts replicas that an engine held
-// both before and after the placement record was read without them.
+// Compares the engines with the placement records at the platform while a test
+// runs. Counts replicas that an engine held both before and after a read of its
+// record that didn't list them.
 class Auditor
 {
 public:
@@ -188,8 +189,8 @@
 // Four models compete for the memory of two engines, from three instances at
 // once, while answers to orders are lost, the platform fails or loses answers,
 // and instances are killed and frozen, from a fixed seed. At no time may an
-// engine hold what wasn't decided or more bytes than its memory, whether it
-// checks fencing numbers or not.
+// engine hold a replica that wasn't decided on, or more bytes than its memory,
+// whether it checks fencing numbers or not.
 TEST_P(PlacementUnderFaults, NeverMoreThanDecided)
 {
   FleetPlan plan;
--- a/tests/process/ShareTest.cpp
+++ b/tests/process/ShareTest.cpp
@@ -12,9 +12,8 @@
 
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-// Callers at the given instances, each sending one request per aPeriod or as
-// fast as it is answered; counts admitted requests. Each request costs one
-// token.
+// One caller for each entry of aInstances. Each sends a request per aPeriod, or
+// as fast as it is answered, at a cost of one token. Counts the outcomes.
 class LoadGenerator
 {
 public:
--- a/tests/process/StoreGateTest.cpp
+++ b/tests/process/StoreGateTest.cpp
@@ -80,8 +80,8 @@
 
 // The zones can reach the platform but not each other. Each must continue with
 // its part of the store's limit instead of waiting for a gate that it can't
-// reach. Until all have noticed the partition there may be two gates with the
-// full limit.
+// reach. Until all instances have detected the partition, there may be two
+// gates with the full limit each.
 TEST_F(ColdStartFleet, PartitionedZonesUseTheirParts)
 {
   mFleet.CutZone("uspallata-b", true);
