--- a/tests/support/Child.h
+++ b/tests/support/Child.h
@@ -9,8 +9,8 @@
 
 namespace caraway {
 
-// The constructor starts the process and waits for its line of addresses; the
-// destructor kills it by its id.
+// The constructor starts the process and waits for the line of addresses that
+// it prints once it serves; the destructor kills the process by its id.
 class Child
 {
 public:
@@ -26,7 +26,7 @@
   void Kill();      // SIGKILL; waits for the exit
   void Stop();      // SIGSTOP
   void Continue();  // SIGCONT
-  void Terminate(); // SIGTERM; see Wait
+  void Terminate(); // SIGTERM; doesn't wait for the exit
   int Wait();       // exit code; -1 if killed by a signal
   bool Running() const { return mPid > 0; }
   pid_t Pid() const { return mPid; }
--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -89,8 +89,8 @@
     int slots = 0;
     for (size_t i = 0; i < mInstances.size(); ++i) {
       Json::Value status = Status(i);
-      // Each instance must hold slots. This excludes the first instance's early
-      // view of the table, in which it is alone and holds all of them.
+      // Each instance must hold slots: at first the first instance knows no
+      // other one and holds all of them, which must not count.
       if (!status["ready"].asBool() || !status["share_settled"].asBool() ||
           (mZoneOf.size() <= 16 && status["share_slots"].asInt() == 0)) {
         return false;
@@ -102,8 +102,8 @@
   if (!slotsHeld) {
     throw std::runtime_error("not all share slots are held; see " + mFolder);
   }
-  // Until all instances know each other, two of them may both act as the owner
-  // of one key. Tests of a fleet that is still forming start instances
+  // Until all instances know each other, two of them may act as the owner of
+  // the same key. Tests of a fleet that is still forming start instances
   // themselves.
   bool allKnown = Eventually(kStartTime, [&] {
     for (size_t i = 0; i < mInstances.size(); ++i) {
--- a/tests/support/Fleet.h
+++ b/tests/support/Fleet.h
@@ -29,7 +29,8 @@
   int mModels = 4;                       // named m0…, of 40 bytes each
   int mWeightsMs = 200;                  // duration of a load at full speed
   std::vector<std::string> mEngineFlags; // additional flags for engines
-  std::vector<std::string> mSettings;    // additional TOML lines for instances
+  // Additional TOML lines for instances; they follow the table [platform].
+  std::vector<std::string> mSettings;
 };
 
 // Tenants acme and globex with keys; profiles chat-mN (models, interactive),
@@ -44,6 +45,7 @@
   // Changes the configuration by aChange through the administration port and
   // returns the new revision.
   int64_t Configure(const std::function<void(Json::Value&)>& aChange);
+  // Waits until every running instance has revision aRevision or a later one.
   bool AwaitRevision(int64_t aRevision, Millis aWithin);
   Json::Value Status(size_t aInstance);
   std::string Metrics(size_t aInstance);
@@ -78,6 +80,7 @@
   void CutZone(const std::string& aZone, bool aCut);
 
   std::unique_ptr<Child> StartInstance(size_t aIndex);
+  // Puts the instance on the platform's instance list, or removes it if aGone.
   void Announce(size_t aIndex, bool aGone);
 
   FleetPlan mPlan;
@@ -100,8 +103,8 @@
   std::string SettingsText(size_t aIndex);
 };
 
-// Polls aTrue every few milliseconds; false if it doesn't hold within aWithin.
-// A limit on waiting only: that it holds in time proves nothing by itself.
+// Polls aCondition every few milliseconds; false if it doesn't hold within
+// aWithin. This only limits the wait: a test of a duration must measure it.
 bool
 Eventually(Millis aWithin, const std::function<bool()>& aTrue);
 
