--- a/tests/soak/SoakCaller.cpp
+++ b/tests/soak/SoakCaller.cpp
@@ -129,7 +129,7 @@
 {
   std::string& input = mChannel->Input();
   if (!mCall) {
-    return; // left for the next call, whose answer then fails
+    return; // stays in the buffer and makes the next call's answer invalid
   }
   if (!mHead) {
     HttpHead head;
@@ -158,7 +158,8 @@
   if (!aKeep) {
     mChannel->Close();
   }
-  // Negative draws send at once: many next requests are sent as a stream ends.
+  // A third of the draws are negative and send at once, so that many requests
+  // are sent at the moment a stream ends.
   std::uniform_int_distribution<int> wait(-400, 800);
   Next(Millis(std::max(0, wait(mSite.Random()))));
 }
--- a/tests/soak/SoakCaller.h
+++ b/tests/soak/SoakCaller.h
@@ -14,7 +14,7 @@
 
 namespace caraway {
 
-// Tells callers which instance to use and records their calls.
+// What callers need of the run: choice of an instance, and records of calls.
 class SoakSite
 {
 public:
--- a/tests/soak/SoakChecks.cpp
+++ b/tests/soak/SoakChecks.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A request that was sent while its connection was being closed, and was never
-// read, sees the close within this time.
+// A caller whose request was sent while the connection was being closed, and
+// was never read, sees the close within this time.
 constexpr Millis kMaxCloseDelay{ 200 };
 
 // Requests sent within kEarlyRequest after SIGTERM may be cut off in the last
@@ -26,6 +26,8 @@
 
 constexpr double kStreamTokens = 50;
 
+// Window over which the limited tenant's tokens are added up, and the factor by
+// which they may exceed its limit.
 constexpr Millis kWindow{ 8000 };
 
 constexpr double kAllowedOverage = 1.1;
@@ -76,8 +78,8 @@
     auto found = mRecord.mRuns.find(aCall.mId);
     return found == mRecord.mRuns.end() ? kNone : found->second;
   }
-  // True if a fault of aKind overlaps with the call; at its instance unless
-  // aAnywhere.
+  // True if a fault of aKind overlaps with the call. Only faults at the call's
+  // instance count, unless aAnywhere.
   bool FaultDuring(const SoakCall& aCall,
                    SoakFaultKind aKind,
                    bool aAnywhere) const
@@ -105,7 +107,7 @@
     }
     return false;
   }
-  // A complete request sent to a running instance must get an answer.
+  // A complete request sent to a running instance must get a complete answer.
   void CheckAnswered(const SoakCall& aCall)
   {
     bool closedWhileSending = aCall.mStatus == 0 && Runs(aCall).empty() &&
--- a/tests/soak/SoakFault.h
+++ b/tests/soak/SoakFault.h
@@ -14,10 +14,10 @@
   Kill,      // SIGKILL
   Freeze,    // SIGSTOP, then SIGCONT
   Reload,    // SIGHUP
-  Configure, // a configuration with other limits, rates or times
+  Configure, // a configuration with other limits or timeouts
   Store,     // the store doesn't answer, is busy, or loses answers
-  Servers,   // servers cut answers off, fail, or refuse
-  Drain,     // a server leaves and comes back
+  Servers,   // a server cuts answers off, fails, or refuses
+  Drain,     // a server is listed as draining for a time
 };
 
 struct SoakFault
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -17,12 +17,12 @@
 
 constexpr Millis kPollInterval{ 20 };
 
-// Time beyond the grace period for a process to exit by itself, without
-// SIGKILL.
+// A process that still runs this long after its grace period is killed, which
+// counts as a violation unless the process was frozen.
 constexpr Millis kGraceSlack{ 300 };
 
-// Time after the last fault until requests must be served again, and how long
-// served requests are then measured.
+// Time after the last fault until requests must be served again, and time for
+// which the share of served requests is then measured.
 constexpr Millis kRecovery{ 12000 };
 
 constexpr Millis kFaultFreePeriod{ 4000 };
@@ -243,7 +243,7 @@
     return;
   }
   // Faults that restart processes or change configurations are the most
-  // frequent, so that they come in series and overlap.
+  // frequent, so that several follow each other closely and overlap.
   constexpr SoakFaultKind kKinds[] = {
     SoakFaultKind::Terminate, SoakFaultKind::Terminate,
     SoakFaultKind::Terminate, SoakFaultKind::Configure,
--- a/tests/soak/SoakRun.h
+++ b/tests/soak/SoakRun.h
@@ -1,5 +1,5 @@
-// SoakRun.h: one seed's run: instances as processes, callers, faults and
-// checks.
+// SoakRun.h: the run of one seed, with instances as processes, callers, faults
+// and checks.
 #ifndef caraway_soak_SoakRun_h
 #define caraway_soak_SoakRun_h
 
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,6 +1,6 @@
 // caraway-soak: runs instances as processes under signals, configuration
-// changes and faults, and checks what callers and servers see. Equal seeds
-// inject equal faults.
+// changes and faults, and checks what callers and servers see. Runs of the same
+// seed draw the same faults.
 
 #include <cstdio>
 #include <gflags/gflags.h>
@@ -16,7 +16,9 @@
 DEFINE_string(program,
               CARAWAY_BIN_DIR "/carawayd-entry",
               "the entry daemon to run");
-DEFINE_string(folder, "", "for settings and logs; default: under the system's");
+DEFINE_string(folder,
+              "",
+              "for settings and logs; default: in the temporary folder");
 
 namespace {
 
