--- a/tests/standin/Engine.cpp
+++ b/tests/standin/Engine.cpp
@@ -89,8 +89,8 @@
       mReplicas[key].mOrder = aOrder;
       mReplicas[key].mUsed = std::chrono::steady_clock::now();
       ++mLoads;
-      // The engine loads whatever is ordered. That orders never exceed its
-      // memory is the caller's task; violations are counted here.
+      // The engine loads whatever is ordered. Keeping orders within its memory
+      // is the task of the process that orders; violations are counted here.
       int64_t bytes = Bytes();
       mPeakBytes = std::max(mPeakBytes, bytes);
       mPeakReplicas =
@@ -227,8 +227,9 @@
     (complete ? mGenerated : mCancelled) += 1;
   }
 
-  // Faults: stream cut after N tokens, another request's id, a token skipped or
-  // doubled at N, an early end marker.
+  // Returns true if the complete stream was sent. Faults at token N: the stream
+  // is cut, a token has another request's id, is skipped or sent twice, or the
+  // end marker comes early.
   bool Stream(const Json::Value& aCall, StandInResponse& aOut)
   {
     int cutAfter = TakeFault("cut_after");
--- a/tests/standin/Platform.cpp
+++ b/tests/standin/Platform.cpp
@@ -22,8 +22,8 @@
 
 struct Stored
 {
-  Json::Value mJson; // name, version, write_id, value
-  Json::Value mBefore;
+  Json::Value mJson;   // name, version, write_id, value
+  Json::Value mBefore; // state before the last change
   SteadyTime mChanged{};
 };
 
@@ -54,8 +54,8 @@
   }
 
 private:
-  // Applies outages and delays. False if no regular answer may follow; an
-  // answer that isn't sent closes the connection and is lost.
+  // Applies outages and delays. Returns false if the request must not be
+  // handled; where no answer was sent, the connection closes without one.
   bool Available(StandInResponse& aOut)
   {
     std::unique_lock<std::mutex> lock(mLock);
@@ -100,8 +100,7 @@
 
   void Count(const char* aOp) { mCounters[aOp] = mCounters[aOp].asInt64() + 1; }
 
-  // A stale read returns the state before the last change for stale_ms after
-  // it.
+  // For stale_ms after a change, reads return the state before it.
   Json::Value VisibleState(const Stored& aStored)
   {
     Millis stale(mFaults["stale_ms"].asInt64());
--- a/tests/standin/Proxy.cpp
+++ b/tests/standin/Proxy.cpp
@@ -1,11 +1,12 @@
 // A TCP proxy that injects faults. POST /mode {"mode":M,"delay_ms":N} on its
 // control port sets the mode:
 //  pass         forwards everything
-//  cut          closes connections and refuses new ones
+//  cut          closes all connections, also new ones
 //  freeze       holds bytes back until the mode changes
-//  drop_answer  forwards requests but no answers
-// "cut_from":["zone"] cuts only connections from instances of that zone, as the
-// first bytes on the connection show.
+//  drop_answer  forwards requests, and closes the connection when the answer
+//               begins
+// "cut_from":["zone"] cuts only connections from instances of that zone, which
+// is read from a header in the first bytes of the connection.
 #include <algorithm>
 #include <atomic>
 #include <gflags/gflags.h>
--- a/tests/standin/Store.cpp
+++ b/tests/standin/Store.cpp
@@ -1,5 +1,5 @@
-// Stand-in for the weight store: a few loads run at full speed, more are
-// slower.
+// Stand-in for the weight store: up to full_speed concurrent loads run at full
+// speed, and more of them all slow down in proportion.
 #include <atomic>
 #include <gflags/gflags.h>
 #include <mutex>
