--- a/tests/unit/ErrorKindTest.cpp
+++ b/tests/unit/ErrorKindTest.cpp
@@ -5,8 +5,8 @@
 
 namespace caraway {
 
-// A kind without a row in the table would be answered as an internal error, and
-// a refusal would then say "may have run" although nothing ran.
+// Guards against a kind without a row in the table: it would be answered as an
+// internal error, and a refusal would say "may have run" although nothing ran.
 TEST(ErrorKind, EveryKindHasItsOwnRow)
 {
   std::set<std::string> names;
--- a/tests/unit/EventLogTest.cpp
+++ b/tests/unit/EventLogTest.cpp
@@ -26,8 +26,8 @@
   EXPECT_TRUE(line["f"].asBool());
 }
 
-// Guards against one frequent event that displaces others; the dropped lines
-// must be counted in a line of their own.
+// Guards against one frequent event that displaces the lines of others; the
+// number of its dropped lines must be logged in a line of its own.
 TEST(EventLog, FloodOfOneEventDoesNotDropOthers)
 {
   PausedClock clock;
--- a/tests/unit/HeartbeatTest.cpp
+++ b/tests/unit/HeartbeatTest.cpp
@@ -72,10 +72,10 @@
 
 } // namespace
 
-// A new instance reads the list at once, the others seconds later. Guards
-// against the others taking another instance for the owner of its keys until
-// then, which made two gates in front of the weight store and two queues for
-// one model.
+// A new instance reads the instance list at once, the others seconds later.
+// Guards against the others taking another instance for the owner of its keys
+// until then: there would be two gates in front of the weight store and two
+// queues for one model.
 TEST_F(NewInstance, IsKnownToAllAfterOneRound)
 {
   AddPeers(5);
@@ -88,8 +88,9 @@
   EXPECT_EQ(HeartbeatsReceived(), afterFirstRound + 1); // the regular one
 }
 
-// Guards against a cost that grows with the square of the fleet when a large
-// fleet is replaced as a whole and each new instance contacts all others.
+// Guards against a number of heartbeats that grows with the square of the
+// fleet, when a large fleet is replaced as a whole and each new instance
+// contacts all others.
 TEST_F(NewInstance, ContactsNoMoreThanSixteenAtStart)
 {
   AddPeers(20);
--- a/tests/unit/RequestTraceTest.cpp
+++ b/tests/unit/RequestTraceTest.cpp
@@ -28,8 +28,8 @@
 
 } // namespace
 
-// The lease holder's clock is 700 ms ahead. Ordered by time alone, the load
-// would end after the request that waited for it was sent.
+// The lease holder's clock is 700 ms ahead. Ordered by time alone, the trace
+// would show the load's end after the request that waited for it.
 TEST(RequestTrace, OrdersCausesBeforeEffectsDespiteClockSkew)
 {
   RequestTrace trace("r1");
--- a/tests/unit/SettingsTest.cpp
+++ b/tests/unit/SettingsTest.cpp
@@ -38,8 +38,8 @@
 }
 
 // Guards against invalid settings that are ignored, so that the instance runs
-// with defaults: the error must name file, line and what was expected before
-// anything starts.
+// with defaults instead. Before anything starts, the error must name the file,
+// the line and what was expected.
 TEST(Settings, InvalidSettingsAreReportedWithTheirLine)
 {
   EXPECT_EQ(ErrorOf(kValidSettings + "[keys]\nmax_age = 3\n"),
