--- a/tests/process/AtMostOnceTest.cpp
+++ b/tests/process/AtMostOnceTest.cpp
@@ -59,7 +59,7 @@
 // One order is sent to three instances at the same moment while the service is
 // slow. Guards against each instance running it: the claim is created once, the
 // other two wait for its creator, and all return the answer of the one run.
-TEST_F(AtMostOnce, SentToAllInstancesAtOnce)
+TEST_F(AtMostOnce, OrderSentToAllInstancesRunsOnce)
 {
   SetServiceFault("delay_ms", 400);
   std::vector<std::future<HttpReply>> replies;
@@ -76,7 +76,7 @@
 // The instance is killed while the service runs the order, and the caller
 // retries at another instance. Nobody alive knows the outcome, so the reply
 // must be "may have run", and the order must not be sent again to find out.
-TEST_F(AtMostOnce, InstanceKilledAfterHandingOn)
+TEST_F(AtMostOnce, OrderOfAKilledInstanceIsNotRepeated)
 {
   SetServiceFault("delay_ms", 700);
   auto firstReply =
@@ -93,7 +93,7 @@
 
 // The caller times out and retries at another instance while the first run is
 // still in flight. It must get that run's answer, not a second run.
-TEST_F(AtMostOnce, CallerTimesOutAndRetriesElsewhere)
+TEST_F(AtMostOnce, RetryElsewhereGetsTheFirstRunsAnswer)
 {
   SetServiceFault("delay_ms", 900);
   HttpReply first = Send(0, "k", "close", Millis(300));
@@ -109,7 +109,7 @@
 // The platform stores the claim and its answer is lost; later it loses the
 // write of the answer's record. Guards against taking its own claim for
 // another's: resending the write finds the write id.
-TEST_F(AtMostOnce, PlatformAnswersLost)
+TEST_F(AtMostOnce, LostPlatformAnswersDontRepeatOrders)
 {
   mFleet.PlatformFault("lose_answers", 1);
   EXPECT_EQ(Field(Send(0, "k1", "one"), "ran"), "one");
@@ -122,7 +122,7 @@
 // During a platform outage no order is sent to a service, and the refusal comes
 // at once. It must not say "not run", since an earlier attempt may have run.
 // After the outage the same order runs.
-TEST_F(AtMostOnce, PlatformOutage)
+TEST_F(AtMostOnce, OrdersAreRefusedDuringAPlatformOutage)
 {
   EXPECT_TRUE(Send(0, "k1", "before").Ok());
   mFleet.PlatformFault("outage", "refuse");
@@ -139,7 +139,7 @@
 
 // The answer is lost between service and instance. The order ran, so every
 // instance must report "may have run", also after the fault has ended.
-TEST_F(AtMostOnce, AnswerLostOnTheWayBack)
+TEST_F(AtMostOnce, LostAnswerIsReportedAsMayHaveRun)
 {
   for (auto& proxy : mFleet.mServiceProxies) {
     mFleet.ProxyMode(*proxy, Mode("drop_answer"));
@@ -155,7 +155,7 @@
 
 // With one of two services down, the order goes to the other. With both down,
 // "not run" is correct and the key can be used again.
-TEST_F(AtMostOnce, ServicesUnreachable)
+TEST_F(AtMostOnce, UnreachableServicesAreReportedAsNotRun)
 {
   mFleet.mServiceProxies[0]->Kill();
   EXPECT_TRUE(Send(0, "k1", "one").Ok());
@@ -195,7 +195,7 @@
 // over its rate. The answer "over the rate, not run" would make it send the
 // order again under another key. The claim is therefore looked up first, and
 // the kept answer costs no tokens.
-TEST(AtMostOnceRate, OrderThatRanIsAnsweredOverTheRate)
+TEST(AtMostOnceRate, OrderThatRanIsAnsweredAboveTheRate)
 {
   FleetPlan plan;
   plan.mRate = 0.001;
--- a/tests/process/BriefingTest.cpp
+++ b/tests/process/BriefingTest.cpp
@@ -43,7 +43,7 @@
 // Briefings are accepted while no engine can serve them, then all instances are
 // killed. Guards against losing accepted briefings: new instances must find and
 // run them, and only the tenant that submitted them may read the results.
-TEST(Briefings, SurviveAllInstances)
+TEST(Briefings, SurviveLossOfAllInstances)
 {
   FleetPlan plan;
   plan.mEngineFlags = { "--store=", "--load_ms=1500" };
@@ -77,7 +77,7 @@
 // the platform's answer is lost, the write is found again and the briefing is
 // acknowledged. A briefing whose key is withdrawn before it runs ends with a
 // refusal that can be fetched.
-TEST(Briefings, AcknowledgedOnlyWhenKept)
+TEST(Briefings, AcknowledgedOnlyWhenStored)
 {
   FleetPlan plan;
   plan.mSettings = { "timeout_ms = 300" }; // of [platform]
--- a/tests/process/CompleteAnswerTest.cpp
+++ b/tests/process/CompleteAnswerTest.cpp
@@ -65,7 +65,7 @@
 // The only engine dies during a stream. The caller must get the tokens so far
 // and an error event, and no end marker: a short answer must never look
 // complete.
-TEST(CompleteAnswerLost, ErrorEventInPlaceOfTheEnd)
+TEST(CompleteAnswerLost, LostEngineGivesErrorEventAndNoEndMarker)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
--- a/tests/process/ConfigTest.cpp
+++ b/tests/process/ConfigTest.cpp
@@ -42,7 +42,7 @@
 // A key is withdrawn during a stream. The stream must end with an error event
 // within seconds, and every instance must refuse new requests with this key;
 // other keys must still work.
-TEST(Keys, WithdrawnWhileStreaming)
+TEST(Keys, WithdrawnKeyEndsItsStreams)
 {
   FleetPlan plan;
   plan.mEngineFlags = { "--token_ms=50" };
@@ -72,7 +72,7 @@
 // A key is withdrawn while its caller waits for a model load. The caller must
 // be refused within seconds instead of at the end of the load, and nothing may
 // run for it; another tenant's caller waiting for the same load is served.
-TEST(Keys, WithdrawnWhileWaiting)
+TEST(Keys, WithdrawnKeyEndsItsWaits)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
@@ -104,7 +104,7 @@
 
 // One zone can't reach the platform, but its peers in the other zone can. A
 // change must reach it through them.
-TEST(Config, ReachesAZoneCutOffFromThePlatform)
+TEST(Config, ChangeReachesAZoneWithoutPlatform)
 {
   Fleet fleet(Plan());
   fleet.ProxyMode(*fleet.mPlatformProxies["uspallata-b"], Mode("cut"));
@@ -116,7 +116,7 @@
 // For a while after each change the platform answers reads with the state
 // before it, and an instance is restarted in between. Guards against a return
 // to an earlier revision; all instances must reach the newest.
-TEST(Config, NeverGoesBack)
+TEST(Config, RevisionNeverGoesBack)
 {
   Fleet fleet({});
   std::atomic<bool> ending{ false };
@@ -179,7 +179,7 @@
 // A zone is partitioned from the platform and all other zones. It must keep
 // serving the keys it knows for the configured time, then refuse with a reason,
 // and serve again after the partition.
-TEST(Keys, CutZoneServesForAsLongAsIsSet)
+TEST(Keys, PartitionedZoneServesForTheConfiguredTime)
 {
   FleetPlan plan = Plan();
   plan.mSettings = { "[keys]", "max_age_s = 4" };
@@ -204,7 +204,7 @@
 
 // Two operators change the same revision. The second must be refused with the
 // first one's note, and the first change must not be lost.
-TEST(Config, OperatorsRacing)
+TEST(Config, SecondOfTwoConcurrentChangesIsRefused)
 {
   Fleet fleet({});
   Json::Value read =
--- a/tests/process/EndToEndTest.cpp
+++ b/tests/process/EndToEndTest.cpp
@@ -5,7 +5,9 @@
 
 namespace caraway {
 
-TEST(EndToEnd, NoEndpointSeesTheKeyAndListsAreTheTenants)
+// Guards against a caller's key that is forwarded to an endpoint, and against a
+// profile that tenants other than its own can list or use.
+TEST(EndToEnd, KeysAndProfilesStayWithTheirTenant)
 {
   Fleet fleet({});
   std::string key = fleet.mKeys["acme"];
--- a/tests/process/HomeZoneTest.cpp
+++ b/tests/process/HomeZoneTest.cpp
@@ -74,11 +74,12 @@
     HttpReply reply = fleet.Chat(2 + at++ % 3, fleet.mKeys["acme"], profile, 4);
     EXPECT_TRUE(reply.Ok()) << profile << ": " << reply.mBody;
   }
-  double found = 0;
+  double detections = 0;
   for (size_t i = 2; i < 5; ++i) {
-    found += fleet.Metric(i, "caraway_home_silent_total{zone=\"mendoza-a\"}");
+    detections +=
+      fleet.Metric(i, "caraway_home_silent_total{zone=\"mendoza-a\"}");
   }
-  EXPECT_LE(found, 2);
+  EXPECT_LE(detections, 2);
 
   EXPECT_EQ(fleet.EngineAudit("loads"), static_cast<int>(homeProfiles.size()));
 }
@@ -110,8 +111,8 @@
   std::string profile = ProfilesWithHomeIn(fleet, "mendoza-a").at(0);
   std::string model = profile.substr(std::string("chat-").size());
   EXPECT_TRUE(fleet.Chat(2, fleet.mKeys["acme"], profile, 4).Ok());
-  bool first = RendezvousOwner({ "i0", "i1" }, "model/" + model) == "i0";
-  fleet.mInstances[first ? 0 : 1]->Kill();
+  bool firstIsOwner = RendezvousOwner({ "i0", "i1" }, "model/" + model) == "i0";
+  fleet.mInstances[firstIsOwner ? 0 : 1]->Kill();
   EXPECT_TRUE(fleet.Chat(2, fleet.mKeys["acme"], profile, 4).Ok());
   EXPECT_EQ(fleet.EngineState(1)["audit"]["loads"].asInt(), 0);
 }
--- a/tests/process/InTimeTest.cpp
+++ b/tests/process/InTimeTest.cpp
@@ -118,7 +118,7 @@
 // small tenant's bulletins must be served within their deadline or refused at
 // once with a retry-after time; none may be held until the deadline, and most
 // must be served.
-TEST(InTime, BulletinsOnASlowedEngine)
+TEST(InTime, BulletinsAreAnsweredInTimeByASlowedEngine)
 {
   Fleet fleet(OneEngine());
   ASSERT_TRUE(fleet.Chat(0, fleet.mKeys["acme"], "notice", 1).Ok());
--- a/tests/process/LeavingTest.cpp
+++ b/tests/process/LeavingTest.cpp
@@ -18,17 +18,17 @@
 // Callers behind a balancer: they use instances that are ready and try another
 // one if a connection is refused. Each request that was sent must get a
 // complete answer; mCut counts those that don't.
-class Callers
+class BalancedCallers
 {
 public:
-  Callers(Fleet& aFleet, int aCount)
+  BalancedCallers(Fleet& aFleet, int aCount)
     : mFleet(aFleet)
   {
     for (int i = 0; i < aCount; ++i) {
       mThreads.emplace_back([this, i] { Run(i); });
     }
   }
-  ~Callers() { Stop(); }
+  ~BalancedCallers() { Stop(); }
   void Stop()
   {
     mEnding = true;
@@ -41,7 +41,7 @@
   std::atomic<int> mCut{ 0 };
 
 private:
-  bool Ready(size_t aInstance)
+  bool IsReady(size_t aInstance)
   {
     return mFleet
       .Call(mFleet.mInstances[aInstance]->Address("admin"), "GET", "/readyz")
@@ -51,7 +51,7 @@
   {
     for (int i = 0; !mEnding; ++i) {
       size_t at = static_cast<size_t>(aSelf + i) % mFleet.mInstances.size();
-      if (!Ready(at)) {
+      if (!IsReady(at)) {
         continue;
       }
       std::string key = mFleet.mKeys["acme"];
@@ -178,7 +178,7 @@
   plan.mSettings = { "[shutdown]", "lag_ms = 600" };
   Fleet fleet(plan);
   fleet.Chat(0, fleet.mKeys["acme"], "chat-m0", 1);
-  Callers callers(fleet, 8);
+  BalancedCallers callers(fleet, 8);
   std::this_thread::sleep_for(Millis(600));
   fleet.mInstances[1]->Terminate();
   EXPECT_EQ(fleet.mInstances[1]->Wait(), 0);
