--- a/tests/soak/SoakCaller.cpp
+++ b/tests/soak/SoakCaller.cpp
@@ -30,19 +30,19 @@
 
 } // namespace
 
-SoakCaller::SoakCaller(SoakSite& aSite, std::string aTenant)
-  : mSite(aSite)
+SoakCaller::SoakCaller(SoakContext& aContext, std::string aTenant)
+  : mContext(aContext)
   , mTenant(std::move(aTenant))
 {
 }
 
 void
-SoakCaller::Next(Millis aDelay)
+SoakCaller::SendAfter(Millis aDelay)
 {
   std::weak_ptr<SoakCaller> weak = weak_from_this();
-  mSite.TestFleet().mReactor.After(aDelay, [weak] {
+  mContext.TestFleet().mReactor.After(aDelay, [weak] {
     auto self = weak.lock();
-    if (self && !self->mSite.Ending() && !self->mCall) {
+    if (self && !self->mContext.Ending() && !self->mCall) {
       self->Send();
     }
   });
@@ -53,7 +53,7 @@
 {
   mInstance = aInstance;
   mRequestsOnConnection = 0;
-  EntryTestFleet& testFleet = mSite.TestFleet();
+  EntryTestFleet& testFleet = mContext.TestFleet();
   mChannel = Channel::Connect(
     testFleet.mReactor, testFleet.CallerAddress(aInstance), Seconds(1));
   std::weak_ptr<SoakCaller> weak = weak_from_this();
@@ -78,7 +78,7 @@
 }
 
 std::string
-SoakCaller::TextOf(const SoakCall& aCall)
+SoakCaller::RequestTextOf(const SoakCall& aCall)
 {
   std::vector<HttpField> fields = {
     { wire::kAuthorization, "Bearer key-" + mTenant },
@@ -87,10 +87,11 @@
   if (aCall.mKind == SoakKind::Stream || aCall.mKind == SoakKind::Resume) {
     std::uniform_int_distribution<int> model(0, 3);
     fields.push_back(
-      { wire::kModel, "m" + std::to_string(model(mSite.Random())) });
+      { wire::kModel, "m" + std::to_string(model(mContext.Random())) });
     fields.push_back({ wire::kTokens, "20,30" });
   }
-  return mSite.TestFleet().RequestText(PathOf(aCall.mKind), aCall.mId, fields);
+  return mContext.TestFleet().RequestText(
+    PathOf(aCall.mKind), aCall.mId, fields);
 }
 
 void
@@ -98,30 +99,31 @@
 {
   bool reuses = mChannel && mChannel->Open();
   std::optional<size_t> instance =
-    reuses ? std::optional<size_t>(mInstance) : mSite.Pick();
+    reuses ? std::optional<size_t>(mInstance) : mContext.Pick();
   if (!instance) {
-    Next(Millis(200));
+    SendAfter(Millis(200));
     return;
   }
-  SoakCall& call = mSite.NewCall();
+  SoakCall& call = mContext.NewCall();
   call.mTenant = mTenant;
   call.mInstance = *instance;
   call.mKind = static_cast<SoakKind>(
-    std::uniform_int_distribution<int>(0, 3)(mSite.Random()));
-  call.mSent = mSite.TestFleet().mClock.Now();
+    std::uniform_int_distribution<int>(0, 3)(mContext.Random()));
+  call.mSent = mContext.TestFleet().mClock.Now();
   if (!reuses) {
     Connect(*instance);
   }
   call.mConnected = reuses;
   call.mRequestsOnConnection = mRequestsOnConnection++;
   mCall = &call;
-  mChannel->Write(TextOf(call));
+  mChannel->Write(RequestTextOf(call));
   std::weak_ptr<SoakCaller> weak = weak_from_this();
-  mSite.TestFleet().mReactor.After(kDeadline + kOverdue, [weak, sent = &call] {
-    if (auto self = weak.lock()) {
-      self->OnTimeUp(sent);
-    }
-  });
+  mContext.TestFleet().mReactor.After(kDeadline + kOverdue,
+                                      [weak, sent = &call] {
+                                        if (auto self = weak.lock()) {
+                                          self->OnTimeout(sent);
+                                        }
+                                      });
 }
 
 void
@@ -151,7 +153,7 @@
 void
 SoakCaller::Finish(SoakCall& aCall, bool aKeep)
 {
-  aCall.mEnded = mSite.TestFleet().mClock.Now();
+  aCall.mEnded = mContext.TestFleet().mClock.Now();
   mCall = nullptr;
   mHead.reset();
   mReader.reset();
@@ -161,7 +163,7 @@
   // A third of the draws are negative and send at once, so that many requests
   // are sent at the moment a stream ends.
   std::uniform_int_distribution<int> wait(-400, 800);
-  Next(Millis(std::max(0, wait(mSite.Random()))));
+  SendAfter(Millis(std::max(0, wait(mContext.Random()))));
 }
 
 void
@@ -173,7 +175,7 @@
 }
 
 void
-SoakCaller::OnTimeUp(const SoakCall* aCall)
+SoakCaller::OnTimeout(const SoakCall* aCall)
 {
   if (mCall == aCall) {
     mCall->mCallerLeft = true;
--- a/tests/soak/SoakCaller.h
+++ b/tests/soak/SoakCaller.h
@@ -15,10 +15,10 @@
 namespace caraway {
 
 // What callers need of the run: choice of an instance, and records of calls.
-class SoakSite
+class SoakContext
 {
 public:
-  virtual ~SoakSite() = default;
+  virtual ~SoakContext() = default;
   // Returns an instance that the balancer considers ready, if there is one.
   virtual std::optional<size_t> Pick() = 0;
   virtual EntryTestFleet& TestFleet() = 0;
@@ -30,20 +30,20 @@
 class SoakCaller : public std::enable_shared_from_this<SoakCaller>
 {
 public:
-  SoakCaller(SoakSite& aSite, std::string aTenant);
+  SoakCaller(SoakContext& aContext, std::string aTenant);
   // Sends the next request after aDelay.
-  void Next(Millis aDelay);
+  void SendAfter(Millis aDelay);
 
 private:
   void Send();
   void Connect(size_t aInstance);
-  std::string TextOf(const SoakCall& aCall);
+  std::string RequestTextOf(const SoakCall& aCall);
   void OnData();
   void OnEnd();
-  void OnTimeUp(const SoakCall* aCall);
+  void OnTimeout(const SoakCall* aCall);
   void Finish(SoakCall& aCall, bool aKeep);
 
-  SoakSite& mSite;
+  SoakContext& mContext;
   std::string mTenant;
   std::shared_ptr<Channel> mChannel;
   size_t mInstance = 0;
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -161,10 +161,10 @@
     }
     return;
   }
-  if (instance.mStartAt == TimePoint()) {
+  if (instance.mRestartAt == TimePoint()) {
     OnExit(instance, aIndex);
-  } else if (now >= instance.mStartAt && !mEnding) {
-    instance.mStartAt = TimePoint();
+  } else if (now >= instance.mRestartAt && !mEnding) {
+    instance.mRestartAt = TimePoint();
     instance.mTerminatedAt = TimePoint();
     instance.mEndingFault = SIZE_MAX;
     instance.mProcess->Start();
@@ -185,7 +185,7 @@
   if (aInstance.mEndingFault != SIZE_MAX) {
     mRecord.mInjectedFaults[aInstance.mEndingFault].mUntil = Now();
   }
-  aInstance.mStartAt = Now() + Millis(Draw(200, 1500));
+  aInstance.mRestartAt = Now() + Millis(Draw(200, 1500));
 }
 
 void
@@ -368,10 +368,10 @@
   for (int i = 0; i < mPlan.mCallers; ++i) {
     const char* tenant = i % 4 == 0 ? kLimitedTenant : "acme";
     mCallers.push_back(std::make_shared<SoakCaller>(*this, tenant));
-    mCallers.back()->Next(Millis(Draw(0, 1000)));
+    mCallers.back()->SendAfter(Millis(Draw(0, 1000)));
   }
   mTestFleet->mReactor.After(Seconds(2), [this] { InjectNextFault(); });
-  mTestFleet->For(mPlan.mLength);
+  mTestFleet->For(mPlan.mFaultDuration);
   mFaultsStopped = true;
   mTestFleet->For(kRecovery);
   mRecord.mFaultFreeFrom = Now();
--- a/tests/soak/SoakRun.h
+++ b/tests/soak/SoakRun.h
@@ -14,14 +14,14 @@
 struct SoakPlan
 {
   unsigned mSeed = 1;
-  Millis mLength{ 30000 };       // how long faults are injected
-  int mInstances = 2;            // in each of two zones
-  int mCallers = 24;             // a quarter of them use the limited tenant
-  std::filesystem::path mFolder; // for settings and logs
-  std::string mProgram;          // the entry daemon
+  Millis mFaultDuration{ 30000 }; // how long faults are injected
+  int mInstances = 2;             // in each of two zones
+  int mCallers = 24;              // a quarter of them use the limited tenant
+  std::filesystem::path mFolder;  // for settings and logs
+  std::string mProgram;           // the entry daemon
 };
 
-class SoakRun : public SoakSite
+class SoakRun : public SoakContext
 {
 public:
   explicit SoakRun(SoakPlan aPlan);
@@ -41,7 +41,7 @@
   {
     std::unique_ptr<EntryProcess> mProcess;
     TimePoint mTerminatedAt{}; // when SIGTERM was sent
-    TimePoint mStartAt{};      // when to start it again, if it isn't running
+    TimePoint mRestartAt{};    // when to start it again, if it isn't running
     TimePoint mFrozenUntil{};
     size_t mEndingFault = SIZE_MAX; // index of the fault that ends it
     int mMissedProbes = 2;          // consecutive, by the balancer
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -32,7 +32,7 @@
       : fs::path(FLAGS_folder);
   caraway::SoakPlan plan;
   plan.mSeed = aSeed;
-  plan.mLength = caraway::Seconds(FLAGS_seconds);
+  plan.mFaultDuration = caraway::Seconds(FLAGS_seconds);
   plan.mInstances = FLAGS_instances;
   plan.mCallers = FLAGS_callers;
   plan.mProgram = FLAGS_program;
