--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -39,10 +39,10 @@
 } // namespace
 
 bool
-Eventually(Millis aWithin, const std::function<bool()>& aTrue)
+Eventually(Millis aWithin, const std::function<bool()>& aCondition)
 {
   auto until = std::chrono::steady_clock::now() + aWithin;
-  while (!aTrue()) {
+  while (!aCondition()) {
     if (std::chrono::steady_clock::now() > until) {
       return false;
     }
@@ -70,7 +70,7 @@
   }
   Json::Value body;
   body["expected"] = 0;
-  body["config"] = FirstConfig();
+  body["config"] = InitialConfig();
   HttpReply reply = Call(mInstances[0]->Address("admin"),
                          "POST",
                          "/admin/v1/config",
@@ -147,15 +147,15 @@
         start({ "proxy", "--target=" + mPlatform->Address() });
     }
     for (int i = 0; i < mPlan.mEngines; ++i) {
-      std::vector<std::string> words = {
+      std::vector<std::string> arguments = {
         "engine",
         "--memory=" + std::to_string(mPlan.mMemory),
         "--store=" + mStore->Address(),
         std::string("--checks_fencing=") + (mPlan.mFencing ? "true" : "false")
       };
-      words.insert(
-        words.end(), mPlan.mEngineFlags.begin(), mPlan.mEngineFlags.end());
-      mEngines.push_back(start(words));
+      arguments.insert(
+        arguments.end(), mPlan.mEngineFlags.begin(), mPlan.mEngineFlags.end());
+      mEngines.push_back(start(arguments));
     }
     for (int i = 0; i < mPlan.mServices; ++i) {
       mServices.push_back(start({ "service" }));
@@ -168,7 +168,7 @@
 }
 
 Json::Value
-Fleet::FirstConfig()
+Fleet::InitialConfig()
 {
   Json::Value config;
   for (const char* name : { "acme", "globex" }) {
--- a/tests/support/Fleet.h
+++ b/tests/support/Fleet.h
@@ -99,14 +99,14 @@
 
 private:
   void StartStandIns();
-  Json::Value FirstConfig();
+  Json::Value InitialConfig();
   std::string SettingsText(size_t aIndex);
 };
 
 // Polls aCondition every few milliseconds; false if it doesn't hold within
 // aWithin. This only limits the wait: a test of a duration must measure it.
 bool
-Eventually(Millis aWithin, const std::function<bool()>& aTrue);
+Eventually(Millis aWithin, const std::function<bool()>& aCondition);
 
 } // namespace caraway
 
