--- a/tests/standin/Engine.cpp
+++ b/tests/standin/Engine.cpp
@@ -177,7 +177,7 @@
   void EnterBatch(int aPriority)
   {
     std::unique_lock<std::mutex> lock(mLock);
-    auto position = std::make_pair(aPriority, mNext++);
+    auto position = std::make_pair(aPriority, mNextArrival++);
     mWaiting.insert(position);
     mFree.wait(lock, [&] {
       return mActive < FLAGS_batch && *mWaiting.begin() == position;
@@ -283,7 +283,7 @@
   std::map<std::string, Replica> mReplicas;
   std::set<std::pair<int, uint64_t>> mWaiting;
   std::set<std::string> mOnDisk;
-  uint64_t mNext = 0;
+  uint64_t mNextArrival = 0;
   int mActive = 0;
   int64_t mHighestFencingToken = 0;
   Json::Value mFaults{ Json::objectValue };
--- a/tests/standin/Platform.cpp
+++ b/tests/standin/Platform.cpp
@@ -20,10 +20,10 @@
 
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-struct Stored
+struct StoredObject
 {
-  Json::Value mJson;   // name, version, write_id, value
-  Json::Value mBefore; // state before the last change
+  Json::Value mJson;     // name, version, write_id, value
+  Json::Value mPrevious; // state before the last change
   SteadyTime mChanged{};
 };
 
@@ -101,11 +101,11 @@
   void Count(const char* aOp) { mCounters[aOp] = mCounters[aOp].asInt64() + 1; }
 
   // For stale_ms after a change, reads return the state before it.
-  Json::Value VisibleState(const Stored& aStored)
+  Json::Value VisibleState(const StoredObject& aStored)
   {
     Millis stale(mFaults["stale_ms"].asInt64());
     bool isStale = std::chrono::steady_clock::now() - aStored.mChanged < stale;
-    return isStale ? aStored.mBefore : aStored.mJson;
+    return isStale ? aStored.mPrevious : aStored.mJson;
   }
 
   void Get(const std::string& aKey, StandInResponse& aOut)
@@ -125,7 +125,7 @@
     int64_t expected = std::stoll(aIn.get("X-Expected-Version", "0"));
     std::unique_lock<std::mutex> lock(mLock);
     Count("writes");
-    Stored& stored = mObjects[aKey];
+    StoredObject& stored = mObjects[aKey];
     int64_t version = stored.mJson["version"].asInt64();
     if (version != expected) {
       Json::Value conflict;
@@ -142,7 +142,7 @@
       }
       return;
     }
-    stored.mBefore = version == 0 ? Json::Value() : stored.mJson;
+    stored.mPrevious = version == 0 ? Json::Value() : stored.mJson;
     stored.mJson["name"] = aKey.substr(aKey.find('/') + 1);
     stored.mJson["version"] = Json::Int64(++mVersion);
     stored.mJson["write_id"] = aIn.get("X-Write-Id", "");
@@ -223,7 +223,7 @@
 
   std::mutex mLock;
   std::condition_variable mChanged;
-  std::map<std::string, Stored> mObjects;
+  std::map<std::string, StoredObject> mObjects;
   std::map<std::string, Json::Value> mInstances;
   Json::Value mFaults{ Json::objectValue };
   Json::Value mCounters{ Json::objectValue };
