--- a/tests/demo/main.cpp
+++ b/tests/demo/main.cpp
@@ -122,8 +122,9 @@
 void
 Histograms(Fleet& aFleet)
 {
-  std::printf("      histogram of tenant acme's cold starts and complete times "
-              "(instance i0):\n");
+  std::printf(
+    "      sums and counts of tenant acme's cold start times and times to the "
+    "complete answer (instance i0):\n");
   std::string text = aFleet.Metrics(0);
   size_t at = 0;
   while (at < text.size()) {
