--- a/bench/QueueBench.cpp
+++ b/bench/QueueBench.cpp
@@ -35,12 +35,12 @@
   int mLate = 0;              // refused at their deadline
   int mAtOnce = 0;            // refused on arrival
   int mRetried = 0;           // of those, retried at their retry-after time
-  int mRetryRefused = 0;
-  int mRetryServed = 0; // retried and served
+  int mRetryRefused = 0;      // retried and refused again
+  int mRetryServed = 0;       // retried and served
 };
 
 std::vector<Arrival>
-Arrivals(unsigned aSeed)
+GenerateArrivals(unsigned aSeed)
 {
   std::mt19937 random(aSeed);
   std::vector<Arrival> all;
@@ -88,8 +88,8 @@
   return slow ? kRate / 10 : kRate;
 }
 
-// Eight slots, as the engine batches. The product reserves the last free slot
-// for bulletins, and another one from batch work.
+// Eight slots, like the engine's batch. The product reserves the last free slot
+// for bulletins, and closes another one to batch work.
 struct EngineSlots
 {
   std::vector<TimePoint> mFree = std::vector<TimePoint>(kEngineSlots);
@@ -131,7 +131,7 @@
   std::map<std::string, QueueOutcome> outcomes;
   WaitQueue queue;
   std::deque<QueuedRequest> fifo;
-  double learntRate = 0;
+  double learnedRate = 0;
   EngineSlots slots;
   auto key = [](const QueuedRequest& aItem) {
     return aItem.mTenant + " " + RequestClassName(aItem.mClass);
@@ -176,8 +176,8 @@
       outcomes[key(*item)].mWaits.push_back(std::max(0.0, wait));
       outcomes[key(*item)].mRetryServed += retried.count(item->mId) ? 1 : 0;
       double rate = RateAt(now, aSlowed);
-      learntRate =
-        learntRate == 0 ? rate : learntRate + 0.2 * (rate - learntRate);
+      learnedRate =
+        learnedRate == 0 ? rate : learnedRate + 0.2 * (rate - learnedRate);
       double seconds = item->mTokens / (rate / kEngineSlots);
       slots.mFree[slot] = now + Micros(static_cast<int64_t>(seconds * 1e6));
       slots.mBatch[slot] = item->mClass == RequestClass::Batch;
@@ -192,7 +192,7 @@
       fifo.push_back(item);
       continue;
     }
-    auto refusal = queue.Offer(item, learntRate, Millis(0), at);
+    auto refusal = queue.Offer(item, learnedRate, Millis(0), at);
     if (!refusal) {
       continue;
     }
@@ -211,12 +211,13 @@
   return outcomes;
 }
 
-// Retries once at the retry-after time. aBursts: the large tenant sends only in
-// every fifth 20 s; otherwise all the time, and its retries add to the flood.
+// Refused requests retry once at their retry-after time. aBursts: the large
+// tenant sends only in the first 20 s of every 100 s; otherwise it sends all
+// the time, and its retries add to the flood.
 void
 PrintRetries(const char* aName, bool aBursts, bool aSlowed)
 {
-  std::vector<Arrival> all = Arrivals(1);
+  std::vector<Arrival> all = GenerateArrivals(1);
   if (aBursts) {
     auto quiet = [](const Arrival& aArrival) {
       auto since = aArrival.mAt - TimePoint(Seconds(1000));
@@ -253,7 +254,7 @@
               "p99 ms",
               "late",
               "at once");
-  std::vector<Arrival> all = Arrivals(1);
+  std::vector<Arrival> all = GenerateArrivals(1);
   auto fifo = RunQueue(all, false, aSlowed);
   auto fair = RunQueue(all, true, aSlowed);
   for (auto& entry : fair) {
--- a/tests/process/CompleteAnswerTest.cpp
+++ b/tests/process/CompleteAnswerTest.cpp
@@ -32,7 +32,7 @@
 // The engine cuts the stream, sends another request's token, skips one, sends
 // one twice, or ends early with an end marker. The caller must get the complete
 // answer with each token once: correct tokens are kept and generation resumes
-// after them.
+// after them, at another engine or at the same one.
 TEST_P(CompleteAnswer, BrokenStreamsAreResumed)
 {
   FleetPlan plan;
@@ -65,7 +65,7 @@
 // The only engine dies during a stream. The caller must get the tokens so far
 // and an error event, and no end marker: a short answer must never look
 // complete.
-TEST(CompleteAnswerLost, ErrorEventInPlaceOfTheEnd)
+TEST(CompleteAnswerLost, LostEngineGivesErrorEventAndNoEndMarker)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
--- a/tests/process/ConfigTest.cpp
+++ b/tests/process/ConfigTest.cpp
@@ -40,9 +40,9 @@
 } // namespace
 
 // A key is withdrawn during a stream. The stream must end with an error event
-// within seconds, and every instance must refuse new requests; other keys still
-// work.
-TEST(Keys, WithdrawnWhileStreaming)
+// within seconds, and every instance must refuse new requests with this key;
+// other keys must still work.
+TEST(Keys, WithdrawnKeyEndsItsStreams)
 {
   FleetPlan plan;
   plan.mEngineFlags = { "--token_ms=50" };
@@ -53,7 +53,7 @@
   std::thread caller([&] { reply = fleet.Chat(0, key, "chat-m0", 200, true); });
   EXPECT_TRUE(Eventually(
     Seconds(5), [&] { return fleet.EngineState(0)["active"].asInt() == 1; }));
-  std::this_thread::sleep_for(Millis(300)); // some tokens are out
+  std::this_thread::sleep_for(Millis(300)); // until some tokens were sent
   auto begun = std::chrono::steady_clock::now();
   int64_t revision = fleet.Configure(
     [](Json::Value& aConfig) { RemoveKey(aConfig, "key-acme"); });
@@ -72,7 +72,7 @@
 // A key is withdrawn while its caller waits for a model load. The caller must
 // be refused within seconds instead of at the end of the load, and nothing may
 // run for it; another tenant's caller waiting for the same load is served.
-TEST(Keys, WithdrawnWhileWaiting)
+TEST(Keys, WithdrawnKeyEndsItsWaits)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
@@ -104,7 +104,7 @@
 
 // One zone can't reach the platform, but its peers in the other zone can. A
 // change must reach it through them.
-TEST(Config, ReachesAZoneCutOffFromThePlatform)
+TEST(Config, ChangeReachesAZoneWithoutPlatform)
 {
   Fleet fleet(Plan());
   fleet.ProxyMode(*fleet.mPlatformProxies["uspallata-b"], Mode("cut"));
@@ -113,10 +113,10 @@
   EXPECT_TRUE(fleet.AwaitRevision(revision, Seconds(9)));
 }
 
-// The platform answers reads with the state before a change for a while, and an
-// instance is restarted in between. Guards against a return to an earlier
-// revision; all instances must reach the newest.
-TEST(Config, NeverGoesBack)
+// For a while after each change the platform answers reads with the state
+// before it, and an instance is restarted in between. Guards against a return
+// to an earlier revision; all instances must reach the newest.
+TEST(Config, RevisionNeverGoesBack)
 {
   Fleet fleet({});
   std::atomic<bool> ending{ false };
@@ -134,9 +134,8 @@
   fleet.PlatformFault("stale_ms", 700);
   int64_t revision = 1;
   for (int i = 0; i < 4; ++i) {
-    // The administration port reads the configuration from the platform and may
-    // get a stale one; its change is then refused, as a second operator's would
-    // be.
+    // The administration port reads the configuration from the platform. If it
+    // gets a stale one, the change is refused like that of a second operator.
     Eventually(Seconds(5), [&] {
       try {
         revision = fleet.Configure([&](Json::Value& aConfig) {
@@ -160,8 +159,8 @@
   EXPECT_EQ(reverts, 0);
 }
 
-// An instance starts during a platform outage. It must take the configuration
-// from a peer, and then knows every key.
+// An instance starts during a platform outage. It isn't ready without a
+// configuration, so it must take one from a peer; it then knows every key.
 TEST(Config, NewInstanceStartsInAnOutage)
 {
   Fleet fleet({});
@@ -177,10 +176,10 @@
   EXPECT_EQ(fleet.Call(caller, "GET", "/v1/models", {}, "wrong").mStatus, 401);
 }
 
-// A zone isolated from everything keeps serving the keys it knows for the
-// configured time and then refuses with a reason; after the partition it serves
-// again.
-TEST(Keys, CutZoneServesForAsLongAsIsSet)
+// A zone is partitioned from the platform and all other zones. It must keep
+// serving the keys it knows for the configured time, then refuse with a reason,
+// and serve again after the partition.
+TEST(Keys, PartitionedZoneServesForTheConfiguredTime)
 {
   FleetPlan plan = Plan();
   plan.mSettings = { "[keys]", "max_age_s = 4" };
@@ -205,7 +204,7 @@
 
 // Two operators change the same revision. The second must be refused with the
 // first one's note, and the first change must not be lost.
-TEST(Config, OperatorsRacing)
+TEST(Config, SecondOfTwoConcurrentChangesIsRefused)
 {
   Fleet fleet({});
   Json::Value read =
--- a/tests/process/HomeZoneTest.cpp
+++ b/tests/process/HomeZoneTest.cpp
@@ -37,8 +37,8 @@
 } // namespace
 
 // First requests for one cold model arrive in both zones at once. Guards
-// against a load in each zone, one of which would then be idle: the home zone
-// loads the model and all requests wait for it.
+// against a load in each zone, after which both replicas would be mostly idle:
+// the home zone loads the model and all requests wait for it.
 TEST(HomeZones, BurstInAllZonesMakesOneLoad)
 {
   Fleet fleet(Plan());
@@ -56,8 +56,9 @@
 
 // The home zone is unreachable, and callers elsewhere are served by a replica
 // in their own zone. Guards against each model and each instance finding out
-// separately, each at the cost of an owner's timeout. The instance that found
-// it and the model's owner both know, so three instances find it twice at most.
+// separately, each at the cost of the timeout of a call to an owner. The
+// instance that detects it and the model's owner both know, so three instances
+// detect it twice at most.
 TEST(HomeZones, PartitionedHomeZoneIsDetectedOnce)
 {
   FleetPlan plan = Plan();
@@ -73,17 +74,19 @@
     HttpReply reply = fleet.Chat(2 + at++ % 3, fleet.mKeys["acme"], profile, 4);
     EXPECT_TRUE(reply.Ok()) << profile << ": " << reply.mBody;
   }
-  double found = 0;
+  double detections = 0;
   for (size_t i = 2; i < 5; ++i) {
-    found += fleet.Metric(i, "caraway_home_silent_total{zone=\"mendoza-a\"}");
+    detections +=
+      fleet.Metric(i, "caraway_home_silent_total{zone=\"mendoza-a\"}");
   }
-  EXPECT_LE(found, 2);
+  EXPECT_LE(detections, 2);
 
   EXPECT_EQ(fleet.EngineAudit("loads"), static_cast<int>(homeProfiles.size()));
 }
 
-// A replica in the home zone serves all zones until it is lost: its engine is
-// killed before the next request.
+// A replica in the home zone must serve all zones until it is lost. Its engine
+// is then killed, and the next request must still be served, by a load
+// elsewhere.
 TEST(HomeZones, WarmReplicaInHomeZoneServesOtherZones)
 {
   Fleet fleet(Plan());
@@ -108,16 +111,16 @@
   std::string profile = ProfilesWithHomeIn(fleet, "mendoza-a").at(0);
   std::string model = profile.substr(std::string("chat-").size());
   EXPECT_TRUE(fleet.Chat(2, fleet.mKeys["acme"], profile, 4).Ok());
-  bool first = RendezvousOwner({ "i0", "i1" }, "model/" + model) == "i0";
-  fleet.mInstances[first ? 0 : 1]->Kill();
+  bool firstIsOwner = RendezvousOwner({ "i0", "i1" }, "model/" + model) == "i0";
+  fleet.mInstances[firstIsOwner ? 0 : 1]->Kill();
   EXPECT_TRUE(fleet.Chat(2, fleet.mKeys["acme"], profile, 4).Ok());
   EXPECT_EQ(fleet.EngineState(1)["audit"]["loads"].asInt(), 0);
 }
 
 // A zone gets many requests for a model whose home is elsewhere, while its own
-// models were used seconds ago. Guards against evicting one of those for an
-// optional replica: they would evict each other in turn. Without free memory
-// the replica must not be loaded.
+// models were used seconds ago. Guards against evicting one of those for a
+// second, optional replica: the evicted model would be requested again and
+// evict in turn. Without free memory the optional replica must not be loaded.
 TEST(HomeZones, BusyZoneEvictsNothingInUse)
 {
   FleetPlan plan = Plan();
@@ -141,7 +144,8 @@
   EXPECT_EQ(fleet.EngineAudit("loads"), 3);
 }
 
-// A zone whose engines were all removed serves its callers from the other zone.
+// A zone whose engines were all removed must serve its callers from the other
+// zone.
 TEST(HomeZones, ZoneWithoutEnginesServesFromTheOther)
 {
   Fleet fleet(Plan());
--- a/tests/standin/Engine.cpp
+++ b/tests/standin/Engine.cpp
@@ -89,8 +89,8 @@
       mReplicas[key].mOrder = aOrder;
       mReplicas[key].mUsed = std::chrono::steady_clock::now();
       ++mLoads;
-      // The engine loads whatever is ordered. That orders never exceed its
-      // memory is the caller's task; violations are counted here.
+      // The engine loads whatever is ordered. Keeping orders within its memory
+      // is the task of the process that orders; violations are counted here.
       int64_t bytes = Bytes();
       mPeakBytes = std::max(mPeakBytes, bytes);
       mPeakReplicas =
@@ -177,7 +177,7 @@
   void EnterBatch(int aPriority)
   {
     std::unique_lock<std::mutex> lock(mLock);
-    auto position = std::make_pair(aPriority, mNext++);
+    auto position = std::make_pair(aPriority, mNextArrival++);
     mWaiting.insert(position);
     mFree.wait(lock, [&] {
       return mActive < FLAGS_batch && *mWaiting.begin() == position;
@@ -227,8 +227,9 @@
     (complete ? mGenerated : mCancelled) += 1;
   }
 
-  // Faults: stream cut after N tokens, another request's id, a token skipped or
-  // doubled at N, an early end marker.
+  // Returns true if the complete stream was sent. Faults at token N: the stream
+  // is cut, a token has another request's id, is skipped or sent twice, or the
+  // end marker comes early.
   bool Stream(const Json::Value& aCall, StandInResponse& aOut)
   {
     int cutAfter = TakeFault("cut_after");
@@ -282,7 +283,7 @@
   std::map<std::string, Replica> mReplicas;
   std::set<std::pair<int, uint64_t>> mWaiting;
   std::set<std::string> mOnDisk;
-  uint64_t mNext = 0;
+  uint64_t mNextArrival = 0;
   int mActive = 0;
   int64_t mHighestFencingToken = 0;
   Json::Value mFaults{ Json::objectValue };
--- a/tests/standin/Platform.cpp
+++ b/tests/standin/Platform.cpp
@@ -20,10 +20,10 @@
 
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-struct Stored
+struct StoredObject
 {
-  Json::Value mJson; // name, version, write_id, value
-  Json::Value mBefore;
+  Json::Value mJson;     // name, version, write_id, value
+  Json::Value mPrevious; // state before the last change
   SteadyTime mChanged{};
 };
 
@@ -54,8 +54,8 @@
   }
 
 private:
-  // Applies outages and delays. False if no regular answer may follow; an
-  // answer that isn't sent closes the connection and is lost.
+  // Applies outages and delays. Returns false if the request must not be
+  // handled; where no answer was sent, the connection closes without one.
   bool Available(StandInResponse& aOut)
   {
     std::unique_lock<std::mutex> lock(mLock);
@@ -100,13 +100,12 @@
 
   void Count(const char* aOp) { mCounters[aOp] = mCounters[aOp].asInt64() + 1; }
 
-  // A stale read returns the state before the last change for stale_ms after
-  // it.
-  Json::Value VisibleState(const Stored& aStored)
+  // For stale_ms after a change, reads return the state before it.
+  Json::Value VisibleState(const StoredObject& aStored)
   {
     Millis stale(mFaults["stale_ms"].asInt64());
     bool isStale = std::chrono::steady_clock::now() - aStored.mChanged < stale;
-    return isStale ? aStored.mBefore : aStored.mJson;
+    return isStale ? aStored.mPrevious : aStored.mJson;
   }
 
   void Get(const std::string& aKey, StandInResponse& aOut)
@@ -126,7 +125,7 @@
     int64_t expected = std::stoll(aIn.get("X-Expected-Version", "0"));
     std::unique_lock<std::mutex> lock(mLock);
     Count("writes");
-    Stored& stored = mObjects[aKey];
+    StoredObject& stored = mObjects[aKey];
     int64_t version = stored.mJson["version"].asInt64();
     if (version != expected) {
       Json::Value conflict;
@@ -143,7 +142,7 @@
       }
       return;
     }
-    stored.mBefore = version == 0 ? Json::Value() : stored.mJson;
+    stored.mPrevious = version == 0 ? Json::Value() : stored.mJson;
     stored.mJson["name"] = aKey.substr(aKey.find('/') + 1);
     stored.mJson["version"] = Json::Int64(++mVersion);
     stored.mJson["write_id"] = aIn.get("X-Write-Id", "");
@@ -224,7 +223,7 @@
 
   std::mutex mLock;
   std::condition_variable mChanged;
-  std::map<std::string, Stored> mObjects;
+  std::map<std::string, StoredObject> mObjects;
   std::map<std::string, Json::Value> mInstances;
   Json::Value mFaults{ Json::objectValue };
   Json::Value mCounters{ Json::objectValue };
--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -39,10 +39,10 @@
 } // namespace
 
 bool
-Eventually(Millis aWithin, const std::function<bool()>& aTrue)
+Eventually(Millis aWithin, const std::function<bool()>& aCondition)
 {
   auto until = std::chrono::steady_clock::now() + aWithin;
-  while (!aTrue()) {
+  while (!aCondition()) {
     if (std::chrono::steady_clock::now() > until) {
       return false;
     }
@@ -70,7 +70,7 @@
   }
   Json::Value body;
   body["expected"] = 0;
-  body["config"] = FirstConfig();
+  body["config"] = InitialConfig();
   HttpReply reply = Call(mInstances[0]->Address("admin"),
                          "POST",
                          "/admin/v1/config",
@@ -89,8 +89,8 @@
     int slots = 0;
     for (size_t i = 0; i < mInstances.size(); ++i) {
       Json::Value status = Status(i);
-      // Each instance must hold slots. This excludes the first instance's early
-      // view of the table, in which it is alone and holds all of them.
+      // Each instance must hold slots: at first the first instance knows no
+      // other one and holds all of them, which must not count.
       if (!status["ready"].asBool() || !status["share_settled"].asBool() ||
           (mZoneOf.size() <= 16 && status["share_slots"].asInt() == 0)) {
         return false;
@@ -102,8 +102,8 @@
   if (!slotsHeld) {
     throw std::runtime_error("not all share slots are held; see " + mFolder);
   }
-  // Until all instances know each other, two of them may both act as the owner
-  // of one key. Tests of a fleet that is still forming start instances
+  // Until all instances know each other, two of them may act as the owner of
+  // the same key. Tests of a fleet that is still forming start instances
   // themselves.
   bool allKnown = Eventually(kStartTime, [&] {
     for (size_t i = 0; i < mInstances.size(); ++i) {
@@ -147,15 +147,15 @@
         start({ "proxy", "--target=" + mPlatform->Address() });
     }
     for (int i = 0; i < mPlan.mEngines; ++i) {
-      std::vector<std::string> words = {
+      std::vector<std::string> arguments = {
         "engine",
         "--memory=" + std::to_string(mPlan.mMemory),
         "--store=" + mStore->Address(),
         std::string("--checks_fencing=") + (mPlan.mFencing ? "true" : "false")
       };
-      words.insert(
-        words.end(), mPlan.mEngineFlags.begin(), mPlan.mEngineFlags.end());
-      mEngines.push_back(start(words));
+      arguments.insert(
+        arguments.end(), mPlan.mEngineFlags.begin(), mPlan.mEngineFlags.end());
+      mEngines.push_back(start(arguments));
     }
     for (int i = 0; i < mPlan.mServices; ++i) {
       mServices.push_back(start({ "service" }));
@@ -168,7 +168,7 @@
 }
 
 Json::Value
-Fleet::FirstConfig()
+Fleet::InitialConfig()
 {
   Json::Value config;
   for (const char* name : { "acme", "globex" }) {
