--- a/src/entry/EntryDaemon.cpp
+++ b/src/entry/EntryDaemon.cpp
@@ -14,11 +14,12 @@
 constexpr size_t kMaxCallers = 3400;
 constexpr size_t kMaxOtherConnections = 64;
 
-// Time for the last answers to reach their callers.
+// Time after the last answers are sent for them to reach their callers.
 constexpr Millis kLastAnswersTime{ 200 };
 
-// A caller on a connection that was kept alive usually sends its next request
-// within this time. It is still answered here, and the connection is closed.
+// A caller that was told to keep its connection usually sends its next request
+// within this time. The request is still answered, and the connection is
+// closed.
 constexpr Millis kNextRequestTime{ 300 };
 
 // Interval of the checks whether the shutdown is complete.
@@ -190,8 +191,8 @@
   CheckLeaving();
 }
 
-// Called when no new callers are accepted: the remaining tenant tokens go to a
-// zone peer, and this instance's part of the limits is divided among all.
+// Called once callers are no longer accepted. Gives the remaining tenant tokens
+// to a zone peer; this instance's part of the limits is divided among all.
 void
 EntryDaemon::LeaveZone()
 {
--- a/src/entry/EntryDaemon.h
+++ b/src/entry/EntryDaemon.h
@@ -30,8 +30,8 @@
   // Waits for events for at most aMaxWait and handles them; called until
   // Gone().
   void RunPass(Millis aMaxWait);
-  // Starts the shutdown: the instance is no longer ready, and ends once no
-  // request is in flight, within the grace time of the platform.
+  // Starts the shutdown: the instance is no longer ready, and exits when no
+  // request is in flight, within the platform's grace time.
   void Leave();
   bool Gone() const { return mGone; }
   bool Ready() const;
--- a/src/entry/EntrySettings.h
+++ b/src/entry/EntrySettings.h
@@ -21,8 +21,9 @@
   std::string mStore;              // ip:port of the object store
   double mCpuShare = 1;            // of a core
   Millis mGrace{ 8000 };           // from SIGTERM to SIGKILL
-  Millis mOrderSilence{ 3000 };    // between orders of two lease holders
-  // Interval at which servers update their entries.
+  // Between the orders of two lease holders to a server.
+  Millis mOrderSilence{ 3000 };
+  // Interval at which servers update their entries in the store.
   Millis mServerHeartbeatInterval{ 1200 };
   double mRetryRatio = 0.2; // retries per request, over all instances
   double mRetrySlack = 0;   // additional retries in each window
--- a/src/entry/EntryState.h
+++ b/src/entry/EntryState.h
@@ -18,7 +18,7 @@
 
 namespace caraway {
 
-// Accessed by the thread of its reactor only.
+// Accessed only on the thread of mReactor.
 struct EntryState
 {
   EntryState(const Clock& aClock, EntrySettings aSettings, int aLogFile);
--- a/src/entry/LeaseLoop.cpp
+++ b/src/entry/LeaseLoop.cpp
@@ -9,14 +9,14 @@
 // Interval of the lease checks; a lease lasts for seconds.
 constexpr Millis kCheckInterval{ 100 };
 
-// Upper bound of the random delay of the first check: of instances that start
-// together most then find the lease taken instead of racing for it.
+// Upper bound of the random delay of the first check. Of the instances that
+// start together, most then find the lease taken instead of racing for it.
 constexpr Millis kMaxStartDelay{ 300 };
 
-// Time for which an instance with one core leaves a free lease to the others.
-// It is longer for a smaller share of a core: 0.1 s for a half, 0.4 s for an
-// eighth. The lease holder of a zone of 20 instances and 15 servers needs about
-// an eighth of a core for its orders.
+// Time for which an instance with a full core leaves a free lease to the
+// others. It grows as the share of a core shrinks: 0.1 s for a half, 0.4 s for
+// an eighth. The lease holder of a zone of 20 instances and 15 servers needs
+// about an eighth of a core for its orders.
 constexpr Millis kOneCoreYield{ 50 };
 
 // Heartbeats after which a live holder must have claimed the lease, even if it
@@ -138,7 +138,8 @@
     mStep.OnHolderReleased(aNow); // alive, but no longer claims it
     mLastClaimant.clear();
   } else if (aNow >= mRecheckAt && mPeers.Alive(mStep.SeenHolder())) {
-    // The holder may have released the lease before any of its claims arrived.
+    // The holder may have released the lease before any heartbeat with its
+    // claim arrived.
     mRecheckAt = aNow + mPeers.HeartbeatInterval() * kClaimHeartbeats;
     mStep.LookAgain(aNow);
   }
@@ -174,8 +175,8 @@
   object.mSpec["holder"] = wanted.mHolder;
   object.mSpec["token"] = Json::Int64(wanted.mToken);
   object.mSpec["settled"] = wanted.mSettled;
-  // A renewal without a change would keep its revision, and a successor could
-  // not see it.
+  // A renewal that changes nothing would leave the object's revision as it is,
+  // and a successor could not see the renewal.
   object.mSpec["renewed"] = Json::Int64(
     std::chrono::duration_cast<Millis>(mState.Now().time_since_epoch())
       .count());
--- a/src/entry/LeaseLoop.h
+++ b/src/entry/LeaseLoop.h
@@ -1,5 +1,5 @@
-// LeaseLoop.h: reads and writes a lease in the object store as LeaseStep
-// decides.
+// LeaseLoop.h: acquires, renews and releases a lease in the object store;
+// LeaseStep takes the decisions.
 #ifndef caraway_entry_LeaseLoop_h
 #define caraway_entry_LeaseLoop_h
 
@@ -29,8 +29,8 @@
 
   void Start();
   void Release() { SetWanted(false); }
-  // While it is not wanted, the lease is released and not taken. It is wanted
-  // at the start.
+  // While it is not wanted, the lease is released and not acquired again.
+  // Initially it is wanted.
   void SetWanted(bool aWanted);
   // Additional time for which a free lease is left to other candidates.
   void SetRankYield(Millis aYield);
@@ -54,7 +54,7 @@
   LeaseStep mStep;
   Millis mYield;             // by this instance's share of a core
   std::string mLastClaimant; // last instance that claimed the lease
-  TimePoint mRecheckAt{};    // when the holder is alive but does not claim it
+  TimePoint mRecheckAt{};    // next read if a live holder doesn't claim it
   bool mWanted = true;
   bool mLoggedHolds = false; // as last logged
 };
--- a/src/entry/LoadMessages.h
+++ b/src/entry/LoadMessages.h
@@ -16,14 +16,15 @@
 // A load from the weight store has started or ended; see StoreLoadTracker.
 inline constexpr char kStoreLoadMessage[] = "store_load";
 
+// The Read functions throw Json::Exception if a field has another type.
+
 Json::Value
 LoadRequestJson(const LoadRequest& aRequest);
 LoadRequest
 ReadLoadRequest(const Json::Value& aRequest);
 
-// A server with its start time, the number of orders accepted, its content, and
-// the time for which it will accept no other order. The readers throw
-// Json::Exception when a field has another type.
+// A server's id, its start time, the number of orders it has accepted, its
+// content, and the time for which it accepts no other order.
 Json::Value
 ContentJson(const Backend& aBackend, Millis aLoading);
 HeldModels
--- a/src/entry/LoadRequester.h
+++ b/src/entry/LoadRequester.h
@@ -20,7 +20,7 @@
   std::string mModel;
   std::string mAdapter;       // "" = the model itself
   int mPriority = 5;          // 0 = most urgent
-  Millis mLeft{ 0 };          // until an answer that starts is late
+  Millis mLeft{ 0 };          // until the answer must start
   bool mExtraReplica = false; // another replica beside an existing one
 };
 
@@ -28,8 +28,8 @@
 {
 public:
   virtual ~LoadRequester() = default;
-  // Sends a load request, repeated at a limited rate; a waiting request may
-  // call this at any time.
+  // Sends a load request, unless the same one was sent just before; a request
+  // that waits for the model may call this at any time.
   virtual void Want(const LoadRequest& aRequest) = 0;
   // Time until the load is expected to end; nothing while that is not known.
   virtual std::optional<Millis> Expected(const LoadRequest& aRequest) = 0;
--- a/src/entry/LoadScheduler.h
+++ b/src/entry/LoadScheduler.h
@@ -1,10 +1,10 @@
 // LoadScheduler.h: loads models and adapters on the servers of one zone.
 //
-// Only the holder of the zone's lease sends orders to its servers, one at a
-// time to each server. An order names the number of orders that the server is
-// assumed to have accepted before it, so an order that arrives late, after
-// others, has no effect. Every instance sends its load requests to the lease
-// holder; see ZoneSchedulers.
+// Only the holder of the zone's lease sends orders to the zone's servers, one
+// at a time to each server. Each order carries the number of orders that the
+// server is assumed to have accepted before it, so an order that is carried out
+// late, after others, has no effect. Every instance sends its load requests to
+// the lease holder; see ZoneSchedulers.
 #ifndef caraway_entry_LoadScheduler_h
 #define caraway_entry_LoadScheduler_h
 
@@ -53,8 +53,8 @@
   size_t Loads() const { return mJobs.size(); }
   size_t Waiting() const { return mQueue.size(); }
 
-  // Queues a load request of any instance. The result says in how many ms the
-  // model or adapter is expected to be loaded.
+  // Queues a load request of any instance. The result's "expected_ms" is the
+  // time until the model or adapter is expected to be loaded, if it is known.
   Json::Value OnLoadRequest(const LoadRequest& aRequest);
   // Messages from the lease holder of another zone.
   void OnClaim(const Json::Value& aMessage);
@@ -75,7 +75,8 @@
     LoadRequest mRequest;
     TimePoint mSince{};
     TimePoint mLastRequestedAt{};
-    TimePoint mNeedBy{}; // latest start of an answer in time, over all requests
+    // Latest time at which an answer must start, over all requests.
+    TimePoint mNeedBy{};
   };
   // The orders that load one model or adapter on one server.
   struct Job
@@ -90,8 +91,8 @@
     TimePoint mBegan{};
     TimePoint mExpected{};
     bool mLoading = false; // the last order, the load, was accepted
-    // No order of another sender can be in progress at the server: the last
-    // order of this job was accepted, and none has gone unanswered since.
+    // Only orders of this job can be in progress at the server: its last order
+    // was accepted, and none has gone unanswered since.
     bool mOnlyOwnOrders = false;
     int mUnanswered = 0;
     int mAttempts = 0;    // attempts at the current step
@@ -102,7 +103,7 @@
   static Key KeyOf(const LoadRequest& aRequest);
   const EngineSpec* EngineOf(const std::string& aService) const;
 
-  // Decisions.
+  // Choice of the load requests to start, and of their servers.
   void ScheduleQueued();
   LoadPriorityFacts PriorityFactsOf(const PendingLoad& aPending) const;
   Millis ShortestLoadTime(const LoadRequest& aRequest) const;
@@ -119,7 +120,7 @@
   void SendClaim(const LoadRequest& aRequest, bool aBegun, Millis aExpected);
   void SendStoreLoad(const std::string& aServer, Millis aLeft);
 
-  // Orders.
+  // Orders of the jobs.
   Job* Find(const std::string& aServer, uint64_t aId);
   void StartJob(Job aJob);
   void SendStep(const std::string& aServer, uint64_t aId);
@@ -144,11 +145,12 @@
   std::map<Key, PendingLoad> mQueue;
   std::map<std::string, Job> mJobs; // by server
   ServerInventories mInventories;
-  // End of the eviction protection by server and model; see PlacementFacts.
+  // End of the protection from eviction, by server and model; see
+  // PlacementFacts.
   std::map<std::pair<std::string, std::string>, TimePoint> mRecentlyLoaded;
   StoreLoadTracker mStoreLoads;
   LoadClaims mClaims;
-  // By service, with the time when demand and replicas were last counted.
+  // By service, with the time at which demand and replicas were last counted.
   std::map<std::string, std::pair<TimePoint, PlacementFacts>> mFacts;
   bool mScheduleDue = false;
   TimePoint mScheduledAt{};
--- a/src/entry/LoadSchedulerBegin.cpp
+++ b/src/entry/LoadSchedulerBegin.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-// Turns a load request into a job: chooses the server and lists the orders.
+// Makes a load request a job: chooses the server and the orders to send to it.
 
 // Returns true when the request need not stay queued.
 bool
@@ -138,7 +138,7 @@
   return true;
 }
 
-// Returns the order that unloads the least demanded idle adapter; nothing
+// Returns the order that unloads the least requested idle adapter, or nothing
 // while all adapters are in use.
 std::optional<ModelOrder>
 LoadScheduler::LeastDemandedAdapter(const Backend& aBackend) const
--- a/src/entry/LoadSchedulerClaims.cpp
+++ b/src/entry/LoadSchedulerClaims.cpp
@@ -4,8 +4,8 @@
 
 namespace caraway {
 
-// Messages among the lease holders of the zones, so that only one zone loads a
-// model.
+// Messages between the zones' lease holders: claims, so that only one zone
+// loads a model, and loads from the weight store, whose rate all zones share.
 
 void
 LoadScheduler::SendClaim(const LoadRequest& aRequest,
--- a/src/entry/LoadSchedulerDecide.cpp
+++ b/src/entry/LoadSchedulerDecide.cpp
@@ -12,9 +12,9 @@
 // Requests a second. Below this rate one replica in the fleet is enough.
 constexpr double kMinReplicaRate = 0.2;
 
-// A model claimed by another zone is loaded here only when that is faster by
-// this margin: estimates of a queue are rough, and loading a model twice costs
-// a second of one server.
+// A model claimed by another zone is loaded here only if that is faster by this
+// margin: waiting times estimated from a queue are rough, and loading a model
+// twice costs a second of one server.
 constexpr Millis kMinTimeSaved{ 300 };
 
 // Lower bound of the waiting times that are reported to instances.
@@ -24,11 +24,12 @@
 // and counting visits every server and model of the fleet.
 constexpr Millis kFactsMaxAge{ 100 };
 
-// Estimated time until a server with unknown content has sent its report.
+// Expected time until a server with unknown content has answered a request for
+// a report.
 constexpr Millis kReportEstimate{ 50 };
 
-// Waiting requests are reconsidered on every change, and at this interval for
-// what depends on time alone.
+// Queued requests are reconsidered on every change, and at this interval
+// because some conditions depend on time alone.
 constexpr Millis kMaxScheduleGap{ 100 };
 
 } // namespace
@@ -134,7 +135,7 @@
     if (now < std::max(backend.mAvoidUntil, backend.mAddressReusedUntil)) {
       facts.mAvoid.insert(id);
     }
-    // The server has been asked for a report of its content.
+    // A report of the server's content has been requested.
     if (backend.mEntry.mZone == facts.mZone && !facts.mBusy.count(id) &&
         backend.mEntry.mService == aService && !mInventories.CanTakeOrder(id)) {
       facts.mBusy[id] = std::max(backend.LoadingFor(now), kReportEstimate);
@@ -197,7 +198,8 @@
   LoadPriorityFacts facts;
   facts.mRate = mState.mDemand.Rate(aPending.mRequest.mModel, mState.Now());
   facts.mPriority = aPending.mRequest.mPriority;
-  // The lowest priority is that of a replica that no request waits for.
+  // The lowest priority is that of a replica that no request waits for; one
+  // that is needed because requests already wait has priority 0.
   facts.mAsked = aPending.mRequest.mPriority < kLowestPriority;
   facts.mSince = aPending.mSince;
   facts.mNeedBy = aPending.mNeedBy;
@@ -218,9 +220,9 @@
   return count;
 }
 
-// Some server of this zone accepts orders now. Under overload none does most of
-// the time, and planning a placement for each queued request would use up the
-// instance's share of a core.
+// Returns whether any server of this zone accepts orders now. Under overload
+// none does most of the time, and planning a placement for each queued request
+// would use up the instance's share of a core.
 bool
 LoadScheduler::AnyServerFree(const PlacementFacts& aFacts) const
 {
@@ -258,8 +260,8 @@
   return least;
 }
 
-// Requests more replicas of models whose demand exceeds what their servers
-// serve well, before requests have to wait.
+// Requests more replicas of models whose demand exceeds the capacity of their
+// servers, before requests have to wait.
 void
 LoadScheduler::AddReplicas()
 {
--- a/src/entry/LoadSchedulerReport.cpp
+++ b/src/entry/LoadSchedulerReport.cpp
@@ -10,12 +10,13 @@
 constexpr Millis kResyncInterval{ 120 };
 constexpr Millis kLoadPollInterval{ 120 };
 
-// A load that takes this many times its expected time is given up.
+// A job is ended when it has taken this many times its load time and two
+// seconds more.
 constexpr int kLoadTimeoutFactor = 6;
 
 } // namespace
 
-// Reports of servers whose content is not certain.
+// Requests reports of servers whose content is uncertain, and handles them.
 
 void
 LoadScheduler::Resync(Job& aJob)
--- a/src/entry/LoadSchedulerSend.cpp
+++ b/src/entry/LoadSchedulerSend.cpp
@@ -25,17 +25,18 @@
 // Unanswered orders after which the job ends, so that another server is tried.
 constexpr int kMaxUnanswered = 4;
 
-// A server is first asked whether a load has ended this long after its expected
-// end: reports are about 100 ms old. A report costs an eighth of a call to the
-// object store, and the store shows the end of a load later.
+// Time from the expected end of a load until the first report is requested:
+// reports are about 100 ms old. Reports are used because one costs an eighth of
+// a call to the object store, and the store shows the end of a load later.
 constexpr Millis kFirstPollDelay{ 120 };
 
 // The timers of servers run slightly late; a request that reaches the server
 // before the load has ended is rejected and has to be sent again.
 constexpr Millis kLoadMargin{ 10 };
 
-// Covers two heartbeats, as one may be lost, but in a large fleet, where
-// heartbeats are rare, no more than the time of a load.
+// A loaded model is protected from eviction for two heartbeats, as one may be
+// lost, but in a large fleet, where heartbeats are rare, not for longer than a
+// load takes.
 constexpr int kSettleRounds = 2;
 constexpr Millis kMaxSettleTime{ 1000 };
 
@@ -77,8 +78,8 @@
     .Ms("expected_ms", aJob.mUnload + aJob.mLoad);
   std::string server = aJob.mServer;
   uint64_t id = aJob.mId;
-  // The other instances learn of the load now; if an unload comes first, with
-  // the content that is sent when it is accepted.
+  // Other instances are notified of the load now. If an unload comes first,
+  // they are notified by the content that is sent when the unload is accepted.
   bool announce = first.mLoad && first.mAdapter.empty();
   backend->mLoadingUntil = aJob.mExpected;
   mJobs[server] = std::move(aJob);
@@ -117,8 +118,8 @@
     return;
   }
   ModelOrder& order = job->mSteps.front();
-  // A report that something other than this job requested may have arrived
-  // since.
+  // A report requested elsewhere may have changed the inventory since the job
+  // was planned.
   if (inventory.Holds(order.mModel, order.mAdapter) == order.mLoad) {
     EndJob(aServer,
            order.mLoad ? "already loaded"
@@ -171,8 +172,8 @@
       OnAccepted(*job, false);
       break;
     case OrderAnswer::Holds:
-      // The unload of an idle adapter is done at once and counts as an order;
-      // an order that found nothing to do does not.
+      // The unload of an idle adapter is done at once, and the server counts it
+      // as an order. An order that found nothing to do is not counted.
       if (!step.mLoad && !step.mAdapter.empty()) {
         OnAccepted(*job, true);
       } else {
@@ -236,9 +237,9 @@
     OnLoadOrderAccepted(*job);
     return;
   }
-  // An adapter in use is unloaded when its requests have ended; its slot is
-  // free only once a report shows that. While it unloads a model, a server
-  // rejects other orders.
+  // An adapter in use is unloaded when its requests have ended; its slot counts
+  // as free only after a report shows that. A server rejects other orders while
+  // it unloads a model.
   bool adapter = !step.mAdapter.empty();
   if (adapter && !aDone) {
     mInventories.Of(server).Forget();
@@ -269,8 +270,8 @@
 }
 
 // A load from a server's own memory or disk is assumed to take the time that
-// the configuration gives. If it is late, a request is rejected by the server
-// and sent again.
+// the configuration gives. If the load takes longer, the server rejects the
+// request, which is sent again.
 void
 LoadScheduler::AssumeLoaded(const std::string& aServer, uint64_t aId)
 {
@@ -345,7 +346,7 @@
   if (backend) {
     backend->mLoadingUntil = mState.Now();
   }
-  // An order may still be in progress, or arrive late.
+  // An order of the job may still be in progress, or be carried out late.
   if (backend && !held) {
     mInventories.Of(aServer).Forget();
   }
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -6,27 +6,28 @@
 
 constexpr char kKind[] = "caraway-instances";
 
-// The call of an instance to be counted, and the message that it has stopped
-// spending.
+// Call by which an instance asks to be counted, and message by which it reports
+// that it has stopped spending tokens.
 constexpr char kCountMeMethod[] = "count_me";
 constexpr char kLeftMessage[] = "left_zone";
 
-// An entry was marked or removed; receivers read a fresh list.
+// Message that an entry was marked or removed; its receivers read a fresh list.
 constexpr char kListChangedMessage[] = "list_news";
 
-// The interval of the list doubles from the first of these to the second:
-// instances that start together may each read it before the others are on it.
+// Interval between two reads of the list. It starts short and doubles up to the
+// maximum: instances that start together may each read the list before the
+// others are on it.
 constexpr Millis kMinListInterval{ 300 };
 constexpr Millis kMaxListInterval{ 10000 };
 
-// Interval while ZoneMembers::NeedsStore().
+// Longest interval while ZoneMembers::NeedsStore().
 constexpr Millis kNeededListInterval{ 1000 };
 
 constexpr Millis kRetryInterval{ 300 };
 
 constexpr Millis kCheckInterval{ 200 };
 
-// An answer takes milliseconds; a peer that does not answer is called again.
+// A peer answers within milliseconds; one that does not is called again.
 constexpr Millis kCallTimeout{ 300 };
 
 bool
@@ -155,8 +156,8 @@
               });
 }
 
-// aRevision 0: there is no entry yet. aCounted: the entry to be replaced was
-// counted by all, and no instance stops counting it before the entry is
+// aRevision 0: there is no entry yet. aCounted: by the entry that is replaced,
+// all instances of the zone count this one; none stops before the entry is
 // removed.
 void
 Membership::Write(int64_t aRevision, bool aCounted)
@@ -208,8 +209,8 @@
               });
 }
 
-// The zone is notified only after the entry has been removed: a restarted
-// instance that still found the entry would assume that it is counted.
+// The zone is notified only after the entry has been removed: an instance that
+// restarts and still finds its entry assumes that it is counted.
 void
 Membership::Leave()
 {
@@ -341,8 +342,8 @@
   }
 }
 
-// Marks the entry of a silent zone peer and later removes it, so that its part
-// of the limits is divided among the others.
+// Marks the entry of a silent zone peer and removes it later, so that the
+// peer's part of the limits is divided among the others.
 void
 Membership::ForgetSilentPeer()
 {
--- a/src/entry/Membership.h
+++ b/src/entry/Membership.h
@@ -25,7 +25,7 @@
   // Removes the entry and then notifies the zone that this instance has stopped
   // spending tokens.
   void Leave();
-  // The removal is in progress; the zone has not been notified yet.
+  // The entry is being removed; the zone has not been notified yet.
   bool RemovingEntry() const { return mRemovingEntry; }
   // Called when MaySpend() or CountedMembers() may have changed.
   void OnChange(std::function<void()> aChange)
@@ -81,7 +81,7 @@
   std::set<std::string> mConfirming; // peers called to count this instance
   bool mJoining = false;             // a write of the entry is in progress
   bool mRemovingEntry = false;
-  bool mRecordedCounted = false; // the entry says that it is counted
+  bool mRecordedCounted = false; // the entry says that this one is counted
   bool mForgetting = false;
   bool mReportedMaySpend = false; // as last logged
 };
--- a/src/entry/OrderLimits.h
+++ b/src/entry/OrderLimits.h
@@ -6,9 +6,10 @@
 
 namespace caraway {
 
-// Attempts at one step of a job, reports included; then its placement is
-// planned again. At the longest retry interval they take six seconds: all but
-// the longest streams end within that time, and an unload waits for them.
+// Attempts at one order of a job, requests for reports included; after them the
+// placement is planned again. At the longest retry interval, 100 ms, they take
+// six seconds. An unload waits for the model's streams, and all but the longest
+// end within that time.
 inline constexpr int kMaxOrderAttempts = 60;
 
 // A server answers an order within milliseconds; without an answer within this
--- a/src/entry/Peers.cpp
+++ b/src/entry/Peers.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Other instances see the requests in flight here with this delay, which is
+// Other instances see this one's requests in flight with this delay, which is
 // less than the time in which a server's batch fills.
 constexpr Millis kHeartbeatTick{ 250 };
 
@@ -245,7 +245,7 @@
     mState.mMetrics.Count(
       "caraway_peer_bytes_total", "", static_cast<int64_t>(aText.size()));
   } catch (const Poco::Exception&) {
-    // Lost like any datagram; the next heartbeat carries the same state.
+    // The datagram is lost; the next heartbeat carries the same state.
     mState.mMetrics.Count("caraway_peer_unsent_total", "");
   }
 }
@@ -265,7 +265,7 @@
       ReadDatagram(bytes.substr(0, static_cast<size_t>(count)));
     }
   } catch (const Poco::Exception&) {
-    // An earlier datagram was refused and the error is reported now; ignored.
+    // The error of an earlier datagram that was refused; nothing to do.
   }
 }
 
--- a/src/entry/Peers.h
+++ b/src/entry/Peers.h
@@ -4,8 +4,8 @@
 // versions seen, requests in flight by server and model, demand, leases held.
 // What must arrive is sent as a JSON-RPC call over TCP.
 //
-// An instance that shuts down announces it at once, and says goodbye when it
-// accepts no more callers. The others then forget it except for its requests in
+// An instance announces its shutdown at once, and sends a goodbye when it no
+// longer accepts callers. The others then forget it, except for its requests in
 // flight.
 #ifndef caraway_entry_Peers_h
 #define caraway_entry_Peers_h
@@ -33,11 +33,11 @@
   std::string mZone;
   std::string mAddress;
   TimePoint mLastHeardAt{};         // never = only in the list
-  std::vector<std::string> mLeases; // that it claims to hold
-  int mQueued = 0;                  // load requests that it has queued
+  std::vector<std::string> mLeases; // leases that it claims to hold
+  int mQueued = 0;                  // load requests in its queues
   int64_t mIncarnation = 0;         // differs after each restart
   int64_t mSenderTime = 0;          // its clock in its last heartbeat, ms
-  std::string mRank;                // as a reader, see WatchStep
+  std::string mRank;                // as a reader of the store, see WatchStep
   bool mLeaving = false;            // it is shutting down
 };
 
@@ -85,7 +85,7 @@
                const std::string& aZone,
                const std::string& aAddress);
   void RemovePeer(const std::string& aName);
-  // Says goodbye to all instances; none calls this one afterwards.
+  // Sends a goodbye to all instances; none calls this one afterwards.
   void Leave();
   // The live instance that claims to hold aLease; "" = none.
   std::string HolderOf(const std::string& aLease) const;
@@ -97,7 +97,7 @@
   {
     return mClaims.count(aLease) > 0;
   }
-  // It is known and not shutting down.
+  // The instance is known and is not shutting down.
   bool IsStaying(const std::string& aName) const;
 
   // Round-trip time of datagrams, including the time that they wait unread:
@@ -105,8 +105,8 @@
   // heartbeat and the age of that heartbeat, from which the instance computes
   // how long heartbeat and reply took together.
   Json::Value Echoes() const;
-  // aEchoes: from the received datagram. Nothing: its sender has received no
-  // heartbeat of this instance yet.
+  // aEchoes: from the received datagram. Returns nothing if its sender has
+  // received no heartbeat of this instance yet.
   std::optional<Millis> RoundTripTime(const Json::Value& aEchoes) const;
   // Interval of the heartbeats to one instance.
   Millis HeartbeatInterval() const;
@@ -116,7 +116,7 @@
   void OnReadable() override;
 
 private:
-  // An instance that said goodbye; it may still have requests in flight.
+  // An instance that sent its goodbye; it may still have requests in flight.
   struct Departed
   {
     Peer mPeer;
@@ -126,7 +126,7 @@
   void SendHeartbeats();
   void ForgetSilent();
   void ForgetDeparted();
-  // It is of this zone and may still have requests in flight.
+  // The instance is of this zone and may still have requests in flight.
   bool DrainsInZone(const Departed& aDeparted) const;
   void WatchLeaving();
   void AnnounceOwnLeaving();
@@ -154,7 +154,7 @@
     mMessageHandlers;
   std::string mLastHeartbeatTo;
   std::map<std::string, Departed> mDeparted;
-  std::set<std::string> mClaims; // leases of the last heartbeat
+  std::set<std::string> mClaims; // leases claimed in the last heartbeat
   std::function<void(const std::string&)> mOnLeaving = [](const auto&) {};
   int64_t mIncarnation = 0;
   bool mAnnouncedLeaving = false;
--- a/src/entry/PeersLeave.cpp
+++ b/src/entry/PeersLeave.cpp
@@ -4,22 +4,24 @@
 
 namespace caraway {
 
-// Shutdown of instances, and round-trip times of datagrams.
+// Announces and handles the shutdown of instances, and measures the round-trip
+// times of datagrams.
 
 namespace {
 
-// Interval of the check whether this instance shuts down. The message that
-// announces it may be lost, so heartbeats say it too.
+// Interval of the check whether this instance is shutting down. The message
+// that announces it may be lost, so heartbeats carry it too.
 constexpr Millis kLeavingCheckInterval{ 50 };
 
-// An instance that shuts down has released its leases in the store by then.
+// After this time an instance that is shutting down has released its leases in
+// the store.
 constexpr Millis kLeaseClearDelay{ 500 };
 
-// An instance that said goodbye is not added again for this time, as the list
-// may be older than the goodbye.
+// Time for which an instance that sent a goodbye is not added again, as the
+// list may be older than the goodbye.
 constexpr Millis kDepartedMemory{ 15000 };
 
-// Most requests that an instance has in flight at its goodbye end by then.
+// Most of the requests in flight at an instance's goodbye end within this time.
 constexpr Millis kDrainTime{ 4000 };
 
 constexpr char kLeavingMessage[] = "leaving";
@@ -94,8 +96,8 @@
   mOnLeaving(found->first);
 }
 
-// The heartbeat that no longer claims the leases may take a round over all
-// instances.
+// Clears the leases without waiting for the heartbeat that no longer claims
+// them, which may take a round over all instances to arrive.
 void
 Peers::ClearLeases(const Peer& aPeer)
 {
@@ -109,7 +111,7 @@
     });
 }
 
-// Its requests in flight stay known until its heartbeats end.
+// The instance's requests in flight stay known until its heartbeats end.
 void
 Peers::OnGoodbye(const Json::Value& aMessage)
 {
@@ -123,7 +125,7 @@
   }
   int64_t known = departed.mPeer.mIncarnation;
   if (IsDeparted(name, incarnation) || (known != 0 && known != incarnation)) {
-    return; // a repetition, or of an earlier incarnation
+    return; // a duplicate, or from an earlier incarnation
   }
   departed.mPeer.mName = name;
   departed.mPeer.mIncarnation = incarnation;
--- a/src/entry/RateLimiter.h
+++ b/src/entry/RateLimiter.h
@@ -1,4 +1,4 @@
-// RateLimiter.h: charges the tokens of a request to its tenant.
+// RateLimiter.h: admits a request by charging its tokens to its tenant.
 #ifndef caraway_entry_RateLimiter_h
 #define caraway_entry_RateLimiter_h
 
@@ -16,7 +16,7 @@
   std::string mTenant;
   double mTokens = 0;
   double mReserve = 0;  // share of the burst left for more urgent requests
-  Millis mMaxWait{ 0 }; // for tokens that accrue within this time
+  Millis mMaxWait{ 0 }; // longest wait for tokens to accrue
 };
 
 // Tokens charged for a request, by the holder they were taken from.
--- a/src/entry/ServerInventories.cpp
+++ b/src/entry/ServerInventories.cpp
@@ -19,8 +19,9 @@
 
 constexpr Millis kSendTick{ 1000 };
 
-// In heartbeat rounds: a second in a small fleet. In a large fleet the messages
-// are rare enough for a lease holder to stay within its share of a narrow link.
+// Interval at which all contents are sent, in heartbeat rounds: a second in a
+// small fleet, and in a large one long enough for a lease holder to stay within
+// its share of a narrow link.
 constexpr int kSendAllRounds = 4;
 
 } // namespace
@@ -216,8 +217,8 @@
   }
 }
 
-// Makes up for lost messages, and refreshes mReportedAt so that outdated
-// entries of the list have no effect.
+// Makes up for lost content messages, and refreshes mReportedAt so that
+// outdated entries of the list of servers have no effect.
 void
 ServerInventories::SendAllContents()
 {
--- a/src/entry/ServerInventories.h
+++ b/src/entry/ServerInventories.h
@@ -35,13 +35,15 @@
   // confirmed it. aServer must be listed.
   ServerInventory& Of(const std::string& aServer);
   bool Known(const std::string& aServer);
-  // The inventory is known and no load is in progress, as far as is known.
+  // The inventory is known, and no report has shown that a load assumed to be
+  // done is still in progress.
   bool CanTakeOrder(const std::string& aServer);
-  // Requests a report of the server. aThen is told whether the report confirmed
-  // the inventory.
+  // Requests a report of the server. aThen is called with whether the report
+  // confirmed the inventory.
   void RequestReport(const std::string& aServer,
                      std::function<void(bool aConfirmed)> aThen);
-  // Makes this instance route requests by the inventory.
+  // Copies the inventory to the server view, by which this instance routes
+  // requests.
   void Apply(const std::string& aServer);
   // Apply(), and sends the content to the other instances.
   void ApplyAndSend(const std::string& aServer);
--- a/src/entry/SettingsWatch.cpp
+++ b/src/entry/SettingsWatch.cpp
@@ -6,9 +6,8 @@
 
 namespace {
 
-// A change without a signal takes effect within a second, which is also the
-// time for which an instance still receives requests after its shutdown has
-// started.
+// A change without a signal takes effect within a second. An instance receives
+// requests for as long after its shutdown has started.
 constexpr Millis kFileCheckInterval{ 1000 };
 
 constexpr int64_t kNanosPerSecond = 1000000000;
--- a/src/entry/SettingsWatch.h
+++ b/src/entry/SettingsWatch.h
@@ -19,7 +19,7 @@
 class SettingsWatch
 {
 public:
-  // Returns nothing, and an error of one line in aError, for an unusable file.
+  // For an unusable file, returns nothing and sets aError to one line.
   using Reader =
     std::function<std::optional<EntrySettings>(const std::string& aPath,
                                                std::string& aError)>;
--- a/src/entry/TenantRateLimiter.cpp
+++ b/src/entry/TenantRateLimiter.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Members, limits and live instances are refreshed at this interval, and when a
-// change of the members is reported.
+// Buckets follow changes of limits and of live instances at this interval, and
+// changes of the members at once.
 constexpr Millis kRefreshInterval{ 100 };
 
 constexpr Millis kMinTimer{ 1 };
@@ -50,9 +50,9 @@
   mState.mReactor.Every(kRefreshInterval, [this] { Refresh(); });
 }
 
-// Creates the bucket of each limited tenant in advance: a bucket starts to fill
-// when it is created, so one created at a tenant's first request would refuse
-// it.
+// Creates and updates the bucket of each limited tenant. Buckets are created in
+// advance because they start empty: one created at a tenant's first request
+// would refuse it.
 void
 TenantRateLimiter::Refresh()
 {
@@ -75,9 +75,9 @@
   }
 }
 
-// The live holders of the tenant's tokens: those of this zone first, then those
-// of the other zones. Each instance starts at another one, so that not all ask
-// the same lender.
+// Returns the live holders of the tenant's tokens: those of this zone first,
+// then those of the other zones. Within a zone each instance starts with a
+// different one, so that not all request loans of the same lender.
 std::vector<std::string>
 TenantRateLimiter::LendersOf(const TenantLimit& aLimit) const
 {
@@ -324,7 +324,7 @@
     params["tenant"] = aGrant.mTenant;
     params["tokens"] = source.mTokens;
     params["age_ms"] = Json::Int64(mState.AgeOf(aGrant.mAt).count());
-    // If the call is lost, the tokens count as spent; the limit still holds.
+    // If the call fails, the tokens count as spent; the limit still holds.
     mPeers.Call(source.mHolder,
                 kReturnMethod,
                 params,
--- a/src/entry/UsageRelay.cpp
+++ b/src/entry/UsageRelay.cpp
@@ -8,7 +8,7 @@
 
 constexpr char kUsageMessage[] = "use";
 
-// The heartbeat interval of a small fleet. A message takes 0.1 KB per zone:
+// As often as heartbeats in a small fleet. A message takes 0.1 KB per zone:
 // with 79 instances and four zones each lease holder receives 60 KB/s.
 constexpr Millis kSendInterval{ 250 };
 
@@ -75,7 +75,7 @@
                                   ReadCounts(aHeartbeat["under_way"]));
   const Json::Value& demand = aHeartbeat["asked"];
   for (const std::string& model : demand.getMemberNames()) {
-    // Each heartbeat reaches only a part of the instances, in turn.
+    // Each heartbeat reaches only one in TicksPerRound() instances, in turn.
     mState.mDemand.Add(
       model, demand[model].asInt() * mPeers.TicksPerRound(), mState.Now());
   }
@@ -99,7 +99,7 @@
 UsageRelay::SendUsageTo(const std::string& aZone, const std::string& aHolder)
 {
   Json::Value usage = UsageOf(aZone);
-  // Empty counts are sent once, after the last request has ended.
+  // Empty counts are sent only once, when the last request has ended.
   if (usage.empty() && !mReportedZones.count(aZone)) {
     return;
   }
--- a/src/entry/UsageRelay.h
+++ b/src/entry/UsageRelay.h
@@ -1,11 +1,11 @@
-// UsageRelay.h: shares the requests in flight at servers and the demand for
-// models among instances.
+// UsageRelay.h: exchanges the numbers of requests in flight and the demand for
+// models between instances.
 //
 // Heartbeats carry both to all instances in turn, which takes seconds in a
 // large fleet. The lease holder of a zone needs to know sooner which models are
 // in use: an unload waits for the model's requests, and meanwhile the server
-// accepts no other order. So each instance also sends the holder the counts for
-// the servers of its zone directly.
+// accepts no other order. So each instance also sends each lease holder the
+// counts for the servers of the holder's zone directly.
 #ifndef caraway_entry_UsageRelay_h
 #define caraway_entry_UsageRelay_h
 
--- a/src/entry/ZoneSchedulers.cpp
+++ b/src/entry/ZoneSchedulers.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Load requests are repeated at this interval while requests wait: the lease
-// holder drops those that are not repeated.
+// Load requests are sent again at this interval while requests wait for the
+// model: the lease holder drops those that are not.
 constexpr Millis kRequestInterval{ 400 };
 
 constexpr Millis kRequestTimeout{ 400 };
@@ -138,8 +138,8 @@
 
 // ---- Load requests
 
-// The lease holder of aZone and the length of its queue; nothing when no holder
-// is known.
+// Returns the lease holder of aZone and the length of its queue, or nothing if
+// no holder is known.
 std::optional<ZoneSchedulers::SchedulerState>
 ZoneSchedulers::SchedulerStateOf(const std::string& aZone) const
 {
@@ -155,8 +155,9 @@
   return SchedulerState{ holder, peer->second.mQueued };
 }
 
-// The zone that can load it soonest, by its nearest copy of the weights; for an
-// adapter, one that holds the model.
+// Returns the zone that can load the model soonest, by the zone's nearest copy
+// of the weights; for an adapter, a zone that holds the model is preferred.
+// Returns "" if there is none.
 std::string
 ZoneSchedulers::ZoneFor(const LoadRequest& aRequest) const
 {
@@ -225,7 +226,7 @@
               });
 }
 
-// The zone is empty when the caller knows only its own zone.
+// "zone" is empty if the calling instance knows only its own zone.
 Json::Value
 ZoneSchedulers::OnLoadRequestCall(const Json::Value& aParams)
 {
--- a/src/entry/ZoneSchedulers.h
+++ b/src/entry/ZoneSchedulers.h
@@ -1,8 +1,9 @@
-// ZoneSchedulers.h: sends load requests to the zone that can load soonest.
+// ZoneSchedulers.h: sends load requests to the zone that can load the model or
+// adapter soonest.
 //
 // The holder of a zone's lease, usually an instance of the zone, schedules the
-// loads on its servers. A zone without an instance is led by an instance of
-// another zone until one of its own starts; see ZoneTakeover.
+// loads on the zone's servers. A zone without an instance is led by an instance
+// of another zone until one of its own starts; see ZoneTakeover.
 #ifndef caraway_entry_ZoneSchedulers_h
 #define caraway_entry_ZoneSchedulers_h
 
@@ -48,11 +49,11 @@
   // Service, model, adapter.
   using Key = std::tuple<std::string, std::string, std::string>;
 
-  // A load request of this instance and its answer.
+  // A load request of this instance and its last reply.
   struct RequestState
   {
     TimePoint mAt{};
-    TimePoint mExpected{}; // end of the load; none = not known
+    TimePoint mExpected{}; // end of the load; zero = not known
     bool mRequestPending = false;
   };
   struct SchedulerState
@@ -60,7 +61,7 @@
     std::string mHolder; // "" = this instance
     int mQueued = 0;
   };
-  // Another zone, which this instance leads when it has no instance.
+  // Another zone, which this instance may lead while the zone has no instance.
   struct OtherZone
   {
     OtherZone(EntryState& aState,
--- a/src/entry/ZoneSchedulersTakeover.cpp
+++ b/src/entry/ZoneSchedulersTakeover.cpp
@@ -95,7 +95,7 @@
   LogLed(aZone, aOther);
 }
 
-// Number of live instances of other zones that rank before this one.
+// Returns the number of live instances outside aZone that rank before this one.
 int
 ZoneSchedulers::RankFor(const std::string& aZone) const
 {
