--- a/tests/platform/EmptyZonesTest.cpp
+++ b/tests/platform/EmptyZonesTest.cpp
@@ -139,8 +139,8 @@
   fleet.ExpectOneHolderPerToken();
 }
 
-// Guards against a zone that is not taken over again after it has been handed
-// back and emptied, or is taken over on the basis of an outdated list.
+// Guards against a zone that is not taken over a second time after it has been
+// handed back, or is taken over because of an outdated list.
 TEST(EmptyZones, ZoneIsTakenOverAgainWhenItEmptiesAgain)
 {
   TwoZoneFleet fleet;
@@ -169,7 +169,7 @@
   EXPECT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverAfterRemovalTime));
 }
 
-// Guards against two instances that take over the same zone.
+// Guards against two instances of different zones that take over the same zone.
 TEST(EmptyZones, OnlyOneInstanceTakesOver)
 {
   EntryFleetOptions options;
--- a/tests/platform/OrdersTest.cpp
+++ b/tests/platform/OrdersTest.cpp
@@ -39,10 +39,9 @@
   EXPECT_EQ(1, fleet.mEngines[0]->mOrdersSeen);
 }
 
-// A server's report shows a load from its disk only a second after it has
-// ended. Callers give up after two or three seconds, so a request that waits
-// for the report is answered too late. It must be sent when the load time is
-// over.
+// Guards against requests that wait for a server's report, which shows a load
+// from disk only a second after its end. Callers give up after two or three
+// seconds, so a waiting request must be sent when the load time is over.
 TEST(Orders, LoadFromDiskIsUsedBeforeItIsReported)
 {
   EntryTestFleet fleet;
@@ -161,9 +160,10 @@
   EXPECT_EQ(1, engine.mOrders);
 }
 
-// The instance is killed while a load that it ordered is in progress. After its
-// restart it sees two models and memory for a third, and plans a load. By the
-// time the server accepts orders again, the first load has filled the memory.
+// Guards against a load beyond the memory. The instance is killed while a load
+// that it ordered is in progress. After its restart it sees two models and
+// memory for a third, and plans a load. When the server accepts orders again,
+// the first load has filled the memory.
 TEST(Orders, LoadOrderedBeforeRestartIsCounted)
 {
   EntryTestFleet fleet;
@@ -192,8 +192,8 @@
   EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
-// Guards against an order count that is combined with content from before the
-// last order has ended: the next load would exceed the memory.
+// Guards against a successor that combines an order count with content from
+// before the last order has ended: its next load would exceed the memory.
 TEST(Orders, SuccessorDoesNotTrustContentSentDuringLoad)
 {
   EntryFleetOptions options;
--- a/tests/platform/RollingShutdownTest.cpp
+++ b/tests/platform/RollingShutdownTest.cpp
@@ -1,5 +1,5 @@
-// Instances shut down one after the other: the remaining ones have current
-// updates, and neither follow nor call those that have left.
+// Instances shut down one after the other: the remaining ones stay current, and
+// neither follow nor call those that have left.
 
 #include <gtest/gtest.h>
 
@@ -116,8 +116,8 @@
   EXPECT_TRUE(fleet.Until([&] { return AllKnow(fleet, reader); }, Millis(700)));
 }
 
-// Guards against a configuration that counts as current because the sender's
-// list of servers is current.
+// Guards against a configuration that counts as current because the reader's
+// list of servers is current. The reader's watch of the configuration hangs.
 TEST(RollingShutdown, ConfigurationAgeIsIndependentOfTheServerList)
 {
   EntryTestFleet fleet(Instances(3));
@@ -134,8 +134,8 @@
     fleet.Until([&] { return AllKnow(fleet, reader); }, Millis(2900)));
 }
 
-// Guards against updates that waited unread and are taken for as recent as when
-// they were sent.
+// Guards against updates whose age is counted from when they are read. An
+// instance that was suspended finds them waiting while the reader has stopped.
 TEST(RollingShutdown, UpdatesAgeWhileUnread)
 {
   EntryTestFleet fleet(Instances(3));
@@ -215,7 +215,7 @@
 }
 
 // Guards against a change that is lost while many instances shut down: each
-// instance that accepts callers has it within the time limit.
+// remaining instance has it within the time limit.
 TEST(RollingShutdown, ChangesTakeEffectWhileMostInstancesLeave)
 {
   EntryTestFleet fleet(Instances(8));
@@ -235,7 +235,8 @@
   }
 }
 
-// Guards against an instance that restarts under its name and stays forgotten.
+// Guards against an instance that restarts under its name and is taken for the
+// incarnation that has left.
 TEST(RollingShutdown, RestartedInstanceIsKnownAgain)
 {
   EntryTestFleet fleet(Instances(3));
--- a/tests/support/EntryTestFleet.h
+++ b/tests/support/EntryTestFleet.h
@@ -46,7 +46,7 @@
   int mInstances = 1; // in each zone
   int mEngines = 1;   // in each zone
   int mPlain = 2;     // plain servers, in the first zone
-  bool mOwn = true;   // in this process; false = in processes of the test
+  bool mOwn = true;   // run instances here; false = the test starts processes
 };
 
 class EntryTestFleet
@@ -55,8 +55,8 @@
   explicit EntryTestFleet(EntryFleetOptions aOptions = EntryFleetOptions());
   ~EntryTestFleet();
 
-  // Runs all event loops until aDone returns true, at most for aWithin. Returns
-  // whether aDone did.
+  // Runs all event loops until aDone returns true, for at most aWithin. Returns
+  // false on timeout.
   bool Until(const std::function<bool()>& aDone, Millis aWithin);
   void For(Millis aTime);
   // Waits until all instances are ready and know each other; fails the test if
--- a/tests/support/StandInServer.cpp
+++ b/tests/support/StandInServer.cpp
@@ -225,8 +225,8 @@
   if (aHead.mTarget.find("/stream") != std::string::npos &&
       (mBehaviour == ServerBehaviour::Proper ||
        mBehaviour == ServerBehaviour::StopsMidway ||
-       mBehaviour ==
-         ServerBehaviour::Refuses)) { // taken before it began to refuse
+       // Accepted before the server began to refuse.
+       mBehaviour == ServerBehaviour::Refuses)) {
     own.push_back({ "Content-Type", "text/event-stream" });
     own.push_back({ "Transfer-Encoding", "chunked" });
     channel.Write(WriteHead("HTTP/1.1 200 OK", own));
--- a/tests/support/StandInServer.h
+++ b/tests/support/StandInServer.h
@@ -40,7 +40,7 @@
 {
   std::string mId;
   std::string mTenant;
-  std::string mKey; // the caller's key; servers must never receive it
+  std::string mKey; // the caller's key, which servers must never receive
   std::string mLastEvent;
   std::string mTarget;
   std::string mBody;
