--- a/src/entry/EntryDaemon.cpp
+++ b/src/entry/EntryDaemon.cpp
@@ -38,26 +38,26 @@
   , mFeed(mState, mStore, [this] { OnStateChanged(); })
   , mPeers(mState)
   , mMembers(mState, mStore, mPeers)
-  , mRelay(mState, mStore, mPeers, mFeed)
-  , mUse(mState, mPeers)
+  , mFeedRelay(mState, mStore, mPeers, mFeed)
+  , mUsageRelay(mState, mPeers)
   , mZoneLease(mState,
                mStore,
                mPeers,
                ZoneLeaseName(mState.mSettings.mZone),
                mState.mSettings.mOrderSilence)
-  , mTokens(mState, mPeers, mMembers)
-  , mOrders(mState,
-            mStore,
-            mPeers,
-            mMembers,
-            mZoneLease,
-            [this] { OnStateChanged(); })
-  , mFront(mState, mTokens, mOrders)
-  , mReadyReplies([this](const InboundRequest& aRequest) {
+  , mRateLimiter(mState, mPeers, mMembers)
+  , mSchedulers(mState,
+                mStore,
+                mPeers,
+                mMembers,
+                mZoneLease,
+                [this] { OnStateChanged(); })
+  , mDispatcher(mState, mRateLimiter, mSchedulers)
+  , mReadinessHandler([this](const InboundRequest& aRequest) {
     bool asked = aRequest.mHead.mTarget == wire::kReadyPath;
     return ImmediateReply{ !asked ? 404 : Ready() ? 200 : 503, "", "" };
   })
-  , mMetricsReplies([this](const InboundRequest&) { return MetricsReply(); })
+  , mMetricsHandler([this](const InboundRequest&) { return MetricsReply(); })
 {
   StartUp();
 }
@@ -70,14 +70,16 @@
     .Text("callers", mState.mSettings.mCallers)
     .Text("store", mState.mSettings.mStore);
   Reactor& reactor = mState.mReactor;
-  mCallers =
-    ListenPort::Open(reactor, mState.mSettings.mCallers, mFront, kMaxCallers);
-  mReadiness = ListenPort::Open(
-    reactor, mState.mSettings.mReadiness, mReadyReplies, kMaxOtherConnections);
+  mCallers = ListenPort::Open(
+    reactor, mState.mSettings.mCallers, mDispatcher, kMaxCallers);
+  mReadiness = ListenPort::Open(reactor,
+                                mState.mSettings.mReadiness,
+                                mReadinessHandler,
+                                kMaxOtherConnections);
   if (!mState.mSettings.mMetrics.empty()) {
     mMetricsPort = ListenPort::Open(reactor,
                                     mState.mSettings.mMetrics,
-                                    mMetricsReplies,
+                                    mMetricsHandler,
                                     kMaxOtherConnections);
   }
   mPeers.OnHeartbeatFill(
@@ -87,12 +89,12 @@
   });
   mPeers.Start();
   mMembers.Start();
-  mRelay.Start();
-  mUse.Start();
+  mFeedRelay.Start();
+  mUsageRelay.Start();
   mFeed.Start();
   mZoneLease.Start();
-  mTokens.Start();
-  mOrders.Start();
+  mRateLimiter.Start();
+  mSchedulers.Start();
   reactor.Every(kSweepInterval, [this] {
     mCallers->Sweep();
     mReadiness->Sweep();
@@ -107,8 +109,8 @@
 void
 EntryDaemon::OnStateChanged()
 {
-  mOrders.OnChanged();
-  mFront.OnServersChanged();
+  mSchedulers.OnChanged();
+  mDispatcher.OnServersChanged();
 }
 
 bool
@@ -128,16 +130,16 @@
 void
 EntryDaemon::FillHeartbeat(Json::Value& aHeartbeat)
 {
-  mRelay.FillHeartbeat(aHeartbeat);
-  mUse.FillHeartbeat(aHeartbeat);
+  mFeedRelay.FillHeartbeat(aHeartbeat);
+  mUsageRelay.FillHeartbeat(aHeartbeat);
 }
 
 void
 EntryDaemon::ReadHeartbeat(const Peer& aPeer, const Json::Value& aHeartbeat)
 {
-  mUse.ReadHeartbeat(aPeer, aHeartbeat);
-  mRelay.ReadHeartbeat(aPeer, aHeartbeat);
-  mFront.OnServersChanged();
+  mUsageRelay.ReadHeartbeat(aPeer, aHeartbeat);
+  mFeedRelay.ReadHeartbeat(aPeer, aHeartbeat);
+  mDispatcher.OnServersChanged();
 }
 
 ImmediateReply
@@ -152,16 +154,17 @@
   gauge("caraway_servers", static_cast<int64_t>(mState.mServers.All().size()));
   gauge("caraway_instances", mState.mInstances);
   gauge("caraway_requests_under_way",
-        static_cast<int64_t>(mFront.RequestsInFlight()));
-  gauge("caraway_requests_waiting", static_cast<int64_t>(mFront.Waiting()));
+        static_cast<int64_t>(mDispatcher.RequestsInFlight()));
+  gauge("caraway_requests_waiting",
+        static_cast<int64_t>(mDispatcher.Waiting()));
   gauge("caraway_sockets", static_cast<int64_t>(mState.mReactor.Sockets()));
   gauge("caraway_log_lines_left_out", mState.mLog.DroppedLines());
   gauge("caraway_list_age_ms", mState.AgeOf(mFeed.ListConfirmedAt()).count());
   gauge("caraway_list_told_by_another", mFeed.Paused() ? 1 : 0);
   gauge("caraway_lease_held", mZoneLease.Holds() ? 1 : 0);
-  gauge("caraway_zones_led", static_cast<int64_t>(mOrders.LedZones()));
-  gauge("caraway_loads_under_way", static_cast<int64_t>(mOrders.Loads()));
-  gauge("caraway_loads_queued", static_cast<int64_t>(mOrders.Waiting()));
+  gauge("caraway_zones_led", static_cast<int64_t>(mSchedulers.LedZones()));
+  gauge("caraway_loads_under_way", static_cast<int64_t>(mSchedulers.Loads()));
+  gauge("caraway_loads_queued", static_cast<int64_t>(mSchedulers.Waiting()));
   gauge("caraway_store_age_ms", mState.AgeOf(mStore.LastSuccessAt()).count());
   return { 200, "text/plain", text };
 }
@@ -186,7 +189,7 @@
   times.mGrace = mState.mSettings.mGrace;
   mState.mLeave.Begin(mLeavingSince, times);
   mState.mLog.Line("leaving").Count(
-    "under_way", static_cast<int64_t>(mFront.RequestsInFlight()));
+    "under_way", static_cast<int64_t>(mDispatcher.RequestsInFlight()));
   mZoneLease.Release();
   CheckLeaving();
 }
@@ -198,7 +201,7 @@
 {
   if (!mLeftZone) {
     mLeftZone = true;
-    mTokens.Leave();
+    mRateLimiter.Leave();
     mMembers.Leave();
   }
 }
@@ -214,14 +217,14 @@
     mCallers->CloseIdle(ConnectionCloseReason::Leaving, kNextRequestTime);
     LeaveZone();
   }
-  if (now >= mState.mLeave.End() && !mAnsweredAll) {
-    mAnsweredAll = true;
+  if (now >= mState.mLeave.End() && !mFinishedAll) {
+    mFinishedAll = true;
     mState.mLog.Line("last_answers")
-      .Count("under_way", static_cast<int64_t>(mFront.RequestsInFlight()));
-    mFront.FinishAll();
+      .Count("under_way", static_cast<int64_t>(mDispatcher.RequestsInFlight()));
+    mDispatcher.FinishAll();
     mCallers->RejectPartialRequests();
   }
-  bool done = closed && mFront.RequestsInFlight() == 0 &&
+  bool done = closed && mDispatcher.RequestsInFlight() == 0 &&
               mCallers->AllClosed() && !mMembers.RemovingEntry();
   if (done || now >= mState.mLeave.End() + kLastAnswersTime) {
     mCallers->EndAll();
--- a/src/entry/EntryDaemon.h
+++ b/src/entry/EntryDaemon.h
@@ -56,20 +56,20 @@
   ConfigFeed mFeed;
   Peers mPeers;
   Membership mMembers;
-  FeedRelay mRelay;
-  UsageRelay mUse;
+  FeedRelay mFeedRelay;
+  UsageRelay mUsageRelay;
   LeaseLoop mZoneLease;
-  TenantRateLimiter mTokens;
-  ZoneSchedulers mOrders;
-  RequestDispatcher mFront;
-  ImmediateHandler mReadyReplies;
-  ImmediateHandler mMetricsReplies;
+  TenantRateLimiter mRateLimiter;
+  ZoneSchedulers mSchedulers;
+  RequestDispatcher mDispatcher;
+  ImmediateHandler mReadinessHandler;
+  ImmediateHandler mMetricsHandler;
   std::shared_ptr<ListenPort> mCallers;
   std::shared_ptr<ListenPort> mReadiness;
   std::shared_ptr<ListenPort> mMetricsPort;
   TimePoint mLeavingSince{};
   bool mLeftZone = false;
-  bool mAnsweredAll = false;
+  bool mFinishedAll = false;
   bool mGone = false;
 };
 
--- a/src/entry/LeaseLoop.cpp
+++ b/src/entry/LeaseLoop.cpp
@@ -124,7 +124,7 @@
       Write();
       break;
   }
-  ReportChange();
+  LogChange();
 }
 
 void
@@ -197,12 +197,12 @@
       } else {
         mStep.OnFailed(now);
       }
-      ReportChange();
+      LogChange();
     });
 }
 
 void
-LeaseLoop::ReportChange()
+LeaseLoop::LogChange()
 {
   bool holds = Holds();
   if (holds != mLoggedHolds) {
--- a/src/entry/LeaseLoop.h
+++ b/src/entry/LeaseLoop.h
@@ -45,7 +45,7 @@
   void ObserveHolder(TimePoint aNow);
   void Read();
   void Write();
-  void ReportChange();
+  void LogChange();
 
   EntryState& mState;
   StoreClient& mStore;
--- a/src/entry/LoadSchedulerDecide.cpp
+++ b/src/entry/LoadSchedulerDecide.cpp
@@ -180,14 +180,14 @@
     ranked.emplace_back(RankLoad(PriorityFactsOf(*queued), now), queued);
   }
   std::sort(ranked.begin(), ranked.end());
-  std::vector<Key> begun;
+  std::vector<Key> started;
   for (const auto& [rank, queued] : ranked) {
     PlacementFacts& facts = FactsFor(queued->mRequest.mService);
     if (AnyServerFree(facts) && TryStartModel(queued->mRequest, facts)) {
-      begun.push_back(KeyOf(queued->mRequest));
+      started.push_back(KeyOf(queued->mRequest));
     }
   }
-  for (const Key& key : begun) {
+  for (const Key& key : started) {
     mQueue.erase(key);
   }
 }
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -42,8 +42,8 @@
   : mState(aState)
   , mStore(aStore)
   , mPeers(aPeers)
-  , mZone(aState.mSettings.mName)
-  , mListWait(kMinListInterval)
+  , mZoneMembers(aState.mSettings.mName)
+  , mListInterval(kMinListInterval)
 {
 }
 
@@ -55,7 +55,7 @@
     return Json::Value(Json::objectValue);
   });
   mPeers.OnMessage(kLeftMessage, [this](const Json::Value& aMessage) {
-    mZone.OnLeft(aMessage["name"].asString());
+    mZoneMembers.OnLeft(aMessage["name"].asString());
     mOnChange();
   });
   mPeers.OnMessage(kListChangedMessage,
@@ -76,16 +76,17 @@
 Membership::Check()
 {
   TimePoint now = mState.Now();
-  mZone.SetHeartbeatInterval(mPeers.HeartbeatInterval());
-  mZone.Tick(now);
-  if (mZone.MustJoin() && !mJoining && !mState.mLeave.Leaving()) {
+  mZoneMembers.SetHeartbeatInterval(mPeers.HeartbeatInterval());
+  mZoneMembers.Tick(now);
+  if (mZoneMembers.MustJoin() && !mJoining && !mState.mLeave.Leaving()) {
     Join();
   }
   RequestConfirmations();
   ForgetSilentPeer();
-  ReportChange();
-  bool needed = mZone.NeedsStore(now);
-  Millis wait = needed ? std::min(mListWait, kNeededListInterval) : mListWait;
+  LogChange();
+  bool needed = mZoneMembers.NeedsStore(now);
+  Millis wait =
+    needed ? std::min(mListInterval, kNeededListInterval) : mListInterval;
   if (!mListing && (mFreshListDue || mState.AgeOf(mListedAt) >= wait)) {
     List();
   }
@@ -94,7 +95,7 @@
 void
 Membership::FillHeartbeat(Json::Value& aHeartbeat) const
 {
-  MemberHeartbeat heartbeat = mZone.Pulse(mState.Now());
+  MemberHeartbeat heartbeat = mZoneMembers.Pulse(mState.Now());
   aHeartbeat["counted"] = heartbeat.mCounted;
   for (const std::string& peer : heartbeat.mSilent) {
     aHeartbeat["silent"].append(peer);
@@ -110,7 +111,7 @@
   for (const Json::Value& peer : aHeartbeat["silent"]) {
     heartbeat.mSilent.insert(peer.asString());
   }
-  mZone.OnHeartbeat(aZonePeer, heartbeat, mState.Now());
+  mZoneMembers.OnHeartbeat(aZonePeer, heartbeat, mState.Now());
 }
 
 void
@@ -120,7 +121,7 @@
   std::string zone = aParams["zone"].asString();
   mPeers.AddPeer(name, zone, aParams["address"].asString());
   if (!name.empty() && zone == mState.mSettings.mZone) {
-    mZone.OnNewcomer(name, mState.Now());
+    mZoneMembers.OnNewcomer(name, mState.Now());
     mOnChange(); // before the answer, after which the newcomer may spend
   }
 }
@@ -178,7 +179,7 @@
                 mJoining = false;
                 mRevision = object->mRevision;
                 mRecordedCounted = aCounted;
-                mZone.OnJoined(aCounted, requestedAt);
+                mZoneMembers.OnJoined(aCounted, requestedAt);
                 List();
               });
 }
@@ -215,7 +216,7 @@
 Membership::Leave()
 {
   mPeers.Leave();
-  mZone.Leave();
+  mZoneMembers.Leave();
   mOnChange();
   if (mRevision == 0 || mJoining) {
     return;
@@ -241,7 +242,7 @@
   uint64_t round = ++mListRound;
   mListing = true;
   TimePoint requestedAt = mState.Now();
-  bool fresh = mFreshListDue || mZone.NeedsStore(requestedAt);
+  bool fresh = mFreshListDue || mZoneMembers.NeedsStore(requestedAt);
   mFreshListDue = false;
   mStore.Call("list_instances",
               wire::ListCall(kKind, "", !fresh),
@@ -257,14 +258,15 @@
                   return;
                 }
                 mListedAt = mState.Now();
-                mListWait = page ? std::min(mListWait * 2, kMaxListInterval)
-                                 : kRetryInterval;
+                mListInterval =
+                  page ? std::min(mListInterval * 2, kMaxListInterval)
+                       : kRetryInterval;
                 mListing = false;
               });
 }
 
 void
-Membership::OnList(const StorePage& aPage, bool aFresh, TimePoint aAskedAt)
+Membership::OnList(const StorePage& aPage, bool aFresh, TimePoint aRequestedAt)
 {
   std::vector<MemberEntry> zone;
   std::set<std::string> listed;
@@ -291,10 +293,10 @@
     }
   }
   if (aFresh) {
-    mZone.OnListed(zone, aAskedAt, mState.Now());
+    mZoneMembers.OnListed(zone, aRequestedAt, mState.Now());
   }
   if (aFresh && readable) {
-    mOnZoneCounts(counts, aAskedAt);
+    mOnZoneCounts(counts, aRequestedAt);
   }
   DropSilentPeers(listed);
   mOnChange();
@@ -324,7 +326,7 @@
   params["name"] = mState.mSettings.mName;
   params["zone"] = mState.mSettings.mZone;
   params["address"] = mState.mSettings.mPeers;
-  for (const std::string& peer : mZone.Unconfirmed()) {
+  for (const std::string& peer : mZoneMembers.Unconfirmed()) {
     if (!mConfirming.insert(peer).second) {
       continue;
     }
@@ -335,7 +337,7 @@
                 [this, peer](bool aGood, const Json::Value&) {
                   mConfirming.erase(peer);
                   if (aGood) {
-                    mZone.OnConfirmed(peer);
+                    mZoneMembers.OnConfirmed(peer);
                     mOnChange();
                   }
                 });
@@ -351,10 +353,11 @@
     return;
   }
   TimePoint now = mState.Now();
-  for (const std::string& peer : mZone.All()) {
-    bool mark = mZone.MayMark(peer, now);
+  for (const std::string& peer : mZoneMembers.All()) {
+    bool mark = mZoneMembers.MayMark(peer, now);
     auto entry = mEntries.find(peer);
-    if (entry == mEntries.end() || !(mark || mZone.MayRemove(peer, now))) {
+    if (entry == mEntries.end() ||
+        !(mark || mZoneMembers.MayRemove(peer, now))) {
       continue;
     }
     StoreObject object = entry->second;
@@ -376,7 +379,7 @@
 }
 
 void
-Membership::ReportChange()
+Membership::LogChange()
 {
   RecordCounted();
   bool spends = MaySpend();
@@ -384,7 +387,8 @@
     mReportedMaySpend = spends;
     mState.mLog.Line(spends ? "part_begun" : "part_ended")
       .Count("members", static_cast<int64_t>(CountedMembers().size()))
-      .Count("unconfirmed", static_cast<int64_t>(mZone.Unconfirmed().size()))
+      .Count("unconfirmed",
+             static_cast<int64_t>(mZoneMembers.Unconfirmed().size()))
       .Flag("store", mStore.Reachable());
     mOnChange();
   }
--- a/src/entry/Membership.h
+++ b/src/entry/Membership.h
@@ -33,8 +33,8 @@
     mOnChange = std::move(aChange);
   }
   // Called with the number of entries of each zone after each fresh list.
-  using ZoneCounts =
-    std::function<void(const std::map<std::string, int>&, TimePoint aAskedAt)>;
+  using ZoneCounts = std::function<void(const std::map<std::string, int>&,
+                                        TimePoint aRequestedAt)>;
   void OnZoneCounts(ZoneCounts aOnZoneCounts)
   {
     mOnZoneCounts = std::move(aOnZoneCounts);
@@ -43,10 +43,10 @@
   void RequestFreshList() { mFreshListDue = true; }
 
   // This instance may spend its part of the tenants' rate limits.
-  bool MaySpend() const { return mZone.MaySpend(mState.Now()); }
+  bool MaySpend() const { return mZoneMembers.MaySpend(mState.Now()); }
   // The instances of this zone among which the limits are divided, including
   // this one.
-  std::vector<std::string> CountedMembers() const { return mZone.All(); }
+  std::vector<std::string> CountedMembers() const { return mZoneMembers.All(); }
 
 private:
   StoreObject Entry(bool aCounted) const;
@@ -54,12 +54,12 @@
   void Write(int64_t aRevision, bool aCounted);
   void RecordCounted();
   void List();
-  void OnList(const StorePage& aPage, bool aFresh, TimePoint aAskedAt);
+  void OnList(const StorePage& aPage, bool aFresh, TimePoint aRequestedAt);
   void DropSilentPeers(const std::set<std::string>& aListed);
   void OnCountMe(const Json::Value& aParams);
   void RequestConfirmations();
   void ForgetSilentPeer();
-  void ReportChange();
+  void LogChange();
   void Check();
   void FillHeartbeat(Json::Value& aHeartbeat) const;
   void ReadHeartbeat(const std::string& aZonePeer,
@@ -68,10 +68,10 @@
   EntryState& mState;
   StoreClient& mStore;
   Peers& mPeers;
-  ZoneMembers mZone;
+  ZoneMembers mZoneMembers;
   std::function<void()> mOnChange = [] {};
   ZoneCounts mOnZoneCounts = [](const auto&, TimePoint) {};
-  Millis mListWait;
+  Millis mListInterval;
   uint64_t mListRound = 0;
   bool mListing = false;
   bool mFreshListDue = false;
--- a/src/entry/Peers.cpp
+++ b/src/entry/Peers.cpp
@@ -40,7 +40,7 @@
 
 Peers::Peers(EntryState& aState)
   : mState(aState)
-  , mReplies(
+  , mCallHandler(
       [this](const InboundRequest& aRequest) { return Answer(aRequest); })
 {
 }
@@ -56,7 +56,7 @@
     mSocket, std::shared_ptr<SocketHandler>(std::shared_ptr<void>(), this));
   constexpr size_t kMaxConnections = 512;
   mPort = ListenPort::Open(
-    mState.mReactor, mState.mSettings.mPeers, mReplies, kMaxConnections);
+    mState.mReactor, mState.mSettings.mPeers, mCallHandler, kMaxConnections);
   mIncarnation = ClockMillis();
   mState.mReactor.Every(kHeartbeatTick, [this] { SendHeartbeats(); });
   WatchLeaving();
--- a/src/entry/Peers.h
+++ b/src/entry/Peers.h
@@ -143,7 +143,7 @@
 
   EntryState& mState;
   Poco::Net::DatagramSocket mSocket;
-  ImmediateHandler mReplies;
+  ImmediateHandler mCallHandler;
   std::shared_ptr<ListenPort> mPort;
   std::map<std::string, Peer> mPeers; // by name, not this instance
   std::map<std::string, Method> mMethods;
--- a/src/entry/ServerInventories.cpp
+++ b/src/entry/ServerInventories.cpp
@@ -138,29 +138,31 @@
   request.mAddress = backend->mEntry.mAddress;
   request.mPeer = aServer;
   request.mHead = wire::WriteReportRequest(request.mAddress);
-  int64_t born = backend->mEntry.mStartTime;
+  int64_t startTime = backend->mEntry.mStartTime;
   StartBufferedCall(
     mState.mReactor,
     mState.mServerPool,
     std::move(request),
     kOrderTimeout,
-    [this, aServer, born, then = std::move(aThen)](BufferedAnswer& aAnswer) {
+    [this, aServer, startTime, then = std::move(aThen)](
+      BufferedAnswer& aAnswer) {
       auto found = mEntries.find(aServer);
       if (found != mEntries.end()) {
         found->second.mReportPending = false;
       }
       Backend* known = mState.mServers.Find(aServer);
-      if (!known || known->mEntry.mStartTime != born) {
+      if (!known || known->mEntry.mStartTime != startTime) {
         then(false);
         return;
       }
-      Entry& asked = EntryOf(aServer);
+      Entry& current = EntryOf(aServer);
       auto report = wire::ReadReport(aAnswer.mBody);
       HeldModels before = known->mModels;
-      bool confirmed = report && asked.mInventory.OnReport(*report);
+      bool confirmed = report && current.mInventory.OnReport(*report);
       bool loadPending =
-        report && !confirmed && asked.mInventory.OnLoadStillPending(*report);
-      asked.mLoadPending = !confirmed && (asked.mLoadPending || loadPending);
+        report && !confirmed && current.mInventory.OnLoadStillPending(*report);
+      current.mLoadPending =
+        !confirmed && (current.mLoadPending || loadPending);
       if (confirmed || loadPending) {
         ApplyAndSend(aServer);
       }
@@ -179,9 +181,9 @@
 ServerInventories::Recheck(const std::string& aServer)
 {
   Entry& entry = EntryOf(aServer);
-  if (mState.Now() - entry.mRechecked >= kRecheckInterval &&
+  if (mState.Now() - entry.mRecheckedAt >= kRecheckInterval &&
       !entry.mReportPending) {
-    entry.mRechecked = mState.Now();
+    entry.mRecheckedAt = mState.Now();
     RequestReport(aServer, [](bool) {});
   }
 }
--- a/src/entry/ServerInventories.h
+++ b/src/entry/ServerInventories.h
@@ -63,7 +63,7 @@
     bool mReportPending = false;
     bool mLoadPending = false; // a load assumed to be done is still in progress
     TimePoint mNextReportAt{};
-    TimePoint mRechecked{};
+    TimePoint mRecheckedAt{};
   };
   Entry& EntryOf(const std::string& aServer);
   void RequestMissingReports();
--- a/src/entry/TenantRateLimiter.cpp
+++ b/src/entry/TenantRateLimiter.cpp
@@ -146,7 +146,7 @@
     Call(aTenant, *step.mCall);
   }
   if (step.mNextStepAt) {
-    Arm(aTenant, *step.mNextStepAt);
+    ArmTimer(aTenant, *step.mNextStepAt);
   }
   for (const TokenPaid& paid : step.mPaid) {
     OnGranted(aTenant, paid);
@@ -157,7 +157,7 @@
 }
 
 void
-TenantRateLimiter::Arm(const std::string& aTenant, TimePoint aAt)
+TenantRateLimiter::ArmTimer(const std::string& aTenant, TimePoint aAt)
 {
   Tenant& tenant = mTenants[aTenant];
   TimePoint now = mState.Now();
@@ -168,9 +168,9 @@
   TimePoint at = now + std::max(wait, kMinTimer);
   tenant.mTimerAt = at;
   mState.mReactor.After(std::max(wait, kMinTimer), [this, aTenant, at] {
-    Tenant& armed = mTenants[aTenant];
-    if (armed.mTimerAt == at) {
-      armed.mTimerAt = TimePoint();
+    Tenant& owner = mTenants[aTenant];
+    if (owner.mTimerAt == at) {
+      owner.mTimerAt = TimePoint();
       Step(aTenant);
     }
   });
--- a/src/entry/TenantRateLimiter.h
+++ b/src/entry/TenantRateLimiter.h
@@ -41,7 +41,7 @@
   void Refresh();
   std::vector<std::string> LendersOf(const TenantLimit& aLimit) const;
   void Step(const std::string& aTenant);
-  void Arm(const std::string& aTenant, TimePoint aAt);
+  void ArmTimer(const std::string& aTenant, TimePoint aAt);
   void Call(const std::string& aTenant, const TokenLoanCall& aCall);
   void OnGranted(const std::string& aTenant, const TokenPaid& aPaid);
   void OnRefused(const TokenRefused& aRefused);
--- a/src/entry/ZoneSchedulers.cpp
+++ b/src/entry/ZoneSchedulers.cpp
@@ -199,12 +199,12 @@
 {
   TimePoint now = mState.Now();
   RequestState& request = mRequests[KeyOf(aRequest)];
-  bool lately =
-    request.mAt != TimePoint() && now - request.mAt < kRequestInterval;
-  if (request.mRequestPending || lately) {
+  bool recent =
+    request.mSentAt != TimePoint() && now - request.mSentAt < kRequestInterval;
+  if (request.mRequestPending || recent) {
     return;
   }
-  request.mAt = now;
+  request.mSentAt = now;
   std::string zone = ZoneFor(aRequest);
   if (zone.empty()) {
     return;
--- a/src/entry/ZoneSchedulers.h
+++ b/src/entry/ZoneSchedulers.h
@@ -52,7 +52,7 @@
   // A load request of this instance and its last reply.
   struct RequestState
   {
-    TimePoint mAt{};
+    TimePoint mSentAt{};
     TimePoint mExpected{}; // end of the load; zero = not known
     bool mRequestPending = false;
   };
--- a/src/entry/ZoneSchedulersTakeover.cpp
+++ b/src/entry/ZoneSchedulersTakeover.cpp
@@ -34,11 +34,11 @@
     OnHeartbeat(aPeer, aHeartbeat);
   });
   mMembers.OnZoneCounts(
-    [this](const std::map<std::string, int>& aByZone, TimePoint aAskedAt) {
+    [this](const std::map<std::string, int>& aByZone, TimePoint aRequestedAt) {
       for (auto& [zone, other] : mOtherZones) {
         auto found = aByZone.find(zone);
         other->mTakeover.OnListed(found == aByZone.end() ? 0 : found->second,
-                                  aAskedAt);
+                                  aRequestedAt);
       }
     });
   for (auto& [zone, other] : mOtherZones) {
@@ -99,13 +99,13 @@
 int
 ZoneSchedulers::RankFor(const std::string& aZone) const
 {
-  std::vector<std::string> outsiders{ mState.mSettings.mName };
+  std::vector<std::string> candidates{ mState.mSettings.mName };
   for (const auto& [name, peer] : mPeers.All()) {
     if (peer.mZone != aZone && mPeers.Alive(peer) && !mLeaving.count(name)) {
-      outsiders.push_back(name);
+      candidates.push_back(name);
     }
   }
-  auto ranked = RendezvousFirst(outsiders, aZone, outsiders.size());
+  auto ranked = RendezvousFirst(candidates, aZone, candidates.size());
   auto self = std::find(ranked.begin(), ranked.end(), mState.mSettings.mName);
   return static_cast<int>(self - ranked.begin());
 }
