--- a/src/entry/TenantRateLimiter.cpp
+++ b/src/entry/TenantRateLimiter.cpp
@@ -168,9 +168,9 @@
   TimePoint at = now + std::max(wait, kMinTimer);
   tenant.mTimerAt = at;
   mState.mReactor.After(std::max(wait, kMinTimer), [this, aTenant, at] {
-    Tenant& owner = mTenants[aTenant];
-    if (owner.mTimerAt == at) {
-      owner.mTimerAt = TimePoint();
+    Tenant& current = mTenants[aTenant];
+    if (current.mTimerAt == at) {
+      current.mTimerAt = TimePoint();
       Step(aTenant);
     }
   });
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -14,7 +14,9 @@
 #include "platform/SettingsFile.h"
 #include "platform/WireNames.h"
 
-DEFINE_string(settings, "", "settings file; default: the platform's");
+DEFINE_string(settings,
+              "",
+              "settings file; default: the path that the platform sets");
 DEFINE_bool(check_config, false, "check the settings file and exit");
 
 namespace {
