--- a/src/entry/EntryDaemon.h
+++ b/src/entry/EntryDaemon.h
@@ -30,8 +30,8 @@
   // Waits for events for at most aMaxWait and handles them; called until
   // Gone().
   void RunPass(Millis aMaxWait);
-  // Starts the shutdown: the instance is no longer ready, and ends once no
-  // request is in flight, within the grace time of the platform.
+  // Starts the shutdown: the instance is no longer ready, and exits when no
+  // request is in flight, within the platform's grace time.
   void Leave();
   bool Gone() const { return mGone; }
   bool Ready() const;
@@ -56,20 +56,20 @@
   ConfigFeed mFeed;
   Peers mPeers;
   Membership mMembers;
-  FeedRelay mRelay;
-  UsageRelay mUse;
+  FeedRelay mFeedRelay;
+  UsageRelay mUsageRelay;
   LeaseLoop mZoneLease;
-  TenantRateLimiter mTokens;
-  ZoneSchedulers mOrders;
-  RequestDispatcher mFront;
-  ImmediateHandler mReadyReplies;
-  ImmediateHandler mMetricsReplies;
+  TenantRateLimiter mRateLimiter;
+  ZoneSchedulers mSchedulers;
+  RequestDispatcher mDispatcher;
+  ImmediateHandler mReadinessHandler;
+  ImmediateHandler mMetricsHandler;
   std::shared_ptr<ListenPort> mCallers;
   std::shared_ptr<ListenPort> mReadiness;
   std::shared_ptr<ListenPort> mMetricsPort;
   TimePoint mLeavingSince{};
   bool mLeftZone = false;
-  bool mAnsweredAll = false;
+  bool mFinishedAll = false;
   bool mGone = false;
 };
 
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -6,27 +6,28 @@
 
 constexpr char kKind[] = "caraway-instances";
 
-// The call of an instance to be counted, and the message that it has stopped
-// spending.
+// Call by which an instance asks to be counted, and message by which it reports
+// that it has stopped spending tokens.
 constexpr char kCountMeMethod[] = "count_me";
 constexpr char kLeftMessage[] = "left_zone";
 
-// An entry was marked or removed; receivers read a fresh list.
+// Message that an entry was marked or removed; its receivers read a fresh list.
 constexpr char kListChangedMessage[] = "list_news";
 
-// The interval of the list doubles from the first of these to the second:
-// instances that start together may each read it before the others are on it.
+// Interval between two reads of the list. It starts short and doubles up to the
+// maximum: instances that start together may each read the list before the
+// others are on it.
 constexpr Millis kMinListInterval{ 300 };
 constexpr Millis kMaxListInterval{ 10000 };
 
-// Interval while ZoneMembers::NeedsStore().
+// Longest interval while ZoneMembers::NeedsStore().
 constexpr Millis kNeededListInterval{ 1000 };
 
 constexpr Millis kRetryInterval{ 300 };
 
 constexpr Millis kCheckInterval{ 200 };
 
-// An answer takes milliseconds; a peer that does not answer is called again.
+// A peer answers within milliseconds; one that does not is called again.
 constexpr Millis kCallTimeout{ 300 };
 
 bool
@@ -41,8 +42,8 @@
   : mState(aState)
   , mStore(aStore)
   , mPeers(aPeers)
-  , mZone(aState.mSettings.mName)
-  , mListWait(kMinListInterval)
+  , mZoneMembers(aState.mSettings.mName)
+  , mListInterval(kMinListInterval)
 {
 }
 
@@ -54,7 +55,7 @@
     return Json::Value(Json::objectValue);
   });
   mPeers.OnMessage(kLeftMessage, [this](const Json::Value& aMessage) {
-    mZone.OnLeft(aMessage["name"].asString());
+    mZoneMembers.OnLeft(aMessage["name"].asString());
     mOnChange();
   });
   mPeers.OnMessage(kListChangedMessage,
@@ -75,16 +76,17 @@
 Membership::Check()
 {
   TimePoint now = mState.Now();
-  mZone.SetHeartbeatInterval(mPeers.HeartbeatInterval());
-  mZone.Tick(now);
-  if (mZone.MustJoin() && !mJoining && !mState.mLeave.Leaving()) {
+  mZoneMembers.SetHeartbeatInterval(mPeers.HeartbeatInterval());
+  mZoneMembers.Tick(now);
+  if (mZoneMembers.MustJoin() && !mJoining && !mState.mLeave.Leaving()) {
     Join();
   }
   RequestConfirmations();
   ForgetSilentPeer();
-  ReportChange();
-  bool needed = mZone.NeedsStore(now);
-  Millis wait = needed ? std::min(mListWait, kNeededListInterval) : mListWait;
+  LogChange();
+  bool needed = mZoneMembers.NeedsStore(now);
+  Millis wait =
+    needed ? std::min(mListInterval, kNeededListInterval) : mListInterval;
   if (!mListing && (mFreshListDue || mState.AgeOf(mListedAt) >= wait)) {
     List();
   }
@@ -93,7 +95,7 @@
 void
 Membership::FillHeartbeat(Json::Value& aHeartbeat) const
 {
-  MemberHeartbeat heartbeat = mZone.Pulse(mState.Now());
+  MemberHeartbeat heartbeat = mZoneMembers.Pulse(mState.Now());
   aHeartbeat["counted"] = heartbeat.mCounted;
   for (const std::string& peer : heartbeat.mSilent) {
     aHeartbeat["silent"].append(peer);
@@ -109,7 +111,7 @@
   for (const Json::Value& peer : aHeartbeat["silent"]) {
     heartbeat.mSilent.insert(peer.asString());
   }
-  mZone.OnHeartbeat(aZonePeer, heartbeat, mState.Now());
+  mZoneMembers.OnHeartbeat(aZonePeer, heartbeat, mState.Now());
 }
 
 void
@@ -119,7 +121,7 @@
   std::string zone = aParams["zone"].asString();
   mPeers.AddPeer(name, zone, aParams["address"].asString());
   if (!name.empty() && zone == mState.mSettings.mZone) {
-    mZone.OnNewcomer(name, mState.Now());
+    mZoneMembers.OnNewcomer(name, mState.Now());
     mOnChange(); // before the answer, after which the newcomer may spend
   }
 }
@@ -155,8 +157,8 @@
               });
 }
 
-// aRevision 0: there is no entry yet. aCounted: the entry to be replaced was
-// counted by all, and no instance stops counting it before the entry is
+// aRevision 0: there is no entry yet. aCounted: by the entry that is replaced,
+// all instances of the zone count this one; none stops before the entry is
 // removed.
 void
 Membership::Write(int64_t aRevision, bool aCounted)
@@ -177,7 +179,7 @@
                 mJoining = false;
                 mRevision = object->mRevision;
                 mRecordedCounted = aCounted;
-                mZone.OnJoined(aCounted, requestedAt);
+                mZoneMembers.OnJoined(aCounted, requestedAt);
                 List();
               });
 }
@@ -208,13 +210,13 @@
               });
 }
 
-// The zone is notified only after the entry has been removed: a restarted
-// instance that still found the entry would assume that it is counted.
+// The zone is notified only after the entry has been removed: an instance that
+// restarts and still finds its entry assumes that it is counted.
 void
 Membership::Leave()
 {
   mPeers.Leave();
-  mZone.Leave();
+  mZoneMembers.Leave();
   mOnChange();
   if (mRevision == 0 || mJoining) {
     return;
@@ -240,7 +242,7 @@
   uint64_t round = ++mListRound;
   mListing = true;
   TimePoint requestedAt = mState.Now();
-  bool fresh = mFreshListDue || mZone.NeedsStore(requestedAt);
+  bool fresh = mFreshListDue || mZoneMembers.NeedsStore(requestedAt);
   mFreshListDue = false;
   mStore.Call("list_instances",
               wire::ListCall(kKind, "", !fresh),
@@ -256,14 +258,15 @@
                   return;
                 }
                 mListedAt = mState.Now();
-                mListWait = page ? std::min(mListWait * 2, kMaxListInterval)
-                                 : kRetryInterval;
+                mListInterval =
+                  page ? std::min(mListInterval * 2, kMaxListInterval)
+                       : kRetryInterval;
                 mListing = false;
               });
 }
 
 void
-Membership::OnList(const StorePage& aPage, bool aFresh, TimePoint aAskedAt)
+Membership::OnList(const StorePage& aPage, bool aFresh, TimePoint aRequestedAt)
 {
   std::vector<MemberEntry> zone;
   std::set<std::string> listed;
@@ -290,10 +293,10 @@
     }
   }
   if (aFresh) {
-    mZone.OnListed(zone, aAskedAt, mState.Now());
+    mZoneMembers.OnListed(zone, aRequestedAt, mState.Now());
   }
   if (aFresh && readable) {
-    mOnZoneCounts(counts, aAskedAt);
+    mOnZoneCounts(counts, aRequestedAt);
   }
   DropSilentPeers(listed);
   mOnChange();
@@ -323,7 +326,7 @@
   params["name"] = mState.mSettings.mName;
   params["zone"] = mState.mSettings.mZone;
   params["address"] = mState.mSettings.mPeers;
-  for (const std::string& peer : mZone.Unconfirmed()) {
+  for (const std::string& peer : mZoneMembers.Unconfirmed()) {
     if (!mConfirming.insert(peer).second) {
       continue;
     }
@@ -334,15 +337,15 @@
                 [this, peer](bool aGood, const Json::Value&) {
                   mConfirming.erase(peer);
                   if (aGood) {
-                    mZone.OnConfirmed(peer);
+                    mZoneMembers.OnConfirmed(peer);
                     mOnChange();
                   }
                 });
   }
 }
 
-// Marks the entry of a silent zone peer and later removes it, so that its part
-// of the limits is divided among the others.
+// Marks the entry of a silent zone peer and removes it later, so that the
+// peer's part of the limits is divided among the others.
 void
 Membership::ForgetSilentPeer()
 {
@@ -350,10 +353,11 @@
     return;
   }
   TimePoint now = mState.Now();
-  for (const std::string& peer : mZone.All()) {
-    bool mark = mZone.MayMark(peer, now);
+  for (const std::string& peer : mZoneMembers.All()) {
+    bool mark = mZoneMembers.MayMark(peer, now);
     auto entry = mEntries.find(peer);
-    if (entry == mEntries.end() || !(mark || mZone.MayRemove(peer, now))) {
+    if (entry == mEntries.end() ||
+        !(mark || mZoneMembers.MayRemove(peer, now))) {
       continue;
     }
     StoreObject object = entry->second;
@@ -375,7 +379,7 @@
 }
 
 void
-Membership::ReportChange()
+Membership::LogChange()
 {
   RecordCounted();
   bool spends = MaySpend();
@@ -383,7 +387,8 @@
     mReportedMaySpend = spends;
     mState.mLog.Line(spends ? "part_begun" : "part_ended")
       .Count("members", static_cast<int64_t>(CountedMembers().size()))
-      .Count("unconfirmed", static_cast<int64_t>(mZone.Unconfirmed().size()))
+      .Count("unconfirmed",
+             static_cast<int64_t>(mZoneMembers.Unconfirmed().size()))
       .Flag("store", mStore.Reachable());
     mOnChange();
   }
