--- a/src/entry/ConfigFeed.cpp
+++ b/src/entry/ConfigFeed.cpp
@@ -19,13 +19,14 @@
 // for requests meanwhile.
 constexpr Millis kReregistrationGrace{ 2000 };
 
-// When the watch's connection has died silently, a change must be in force
-// within three seconds of that, and within two seconds of the time when the
-// fault counts as mended.
+// Limits how long a silently dead connection of the watch goes unnoticed. A
+// change must be in force within three seconds of the connection's death, and
+// within two seconds of the time when the fault counts as mended.
 constexpr Millis kConfigWatchTime{ 2000 };
 
-// Instances that follow this one rely on an update for little longer than this.
-// While nothing changes, only the end of a watch confirms the list.
+// Instances that follow this one rely on an update for little longer than this
+// (WatchStep::kMaxUpdateAge). While nothing changes, only the end of a watch
+// confirms the list.
 constexpr Millis kServersWatchTime{ 1000 };
 
 // When another instance has seen a newer revision and this instance's watch has
@@ -33,7 +34,9 @@
 // than a second.
 constexpr Millis kDeadWatchTimeout{ 1200 };
 
-// Updates from other instances repeat a change for a shorter time than this.
+// How long a removal is remembered, so that a repeated earlier change doesn't
+// list the server again. Updates from other instances repeat a change for a
+// shorter time.
 constexpr Millis kRemovalRetention{ 10000 };
 
 // A list and a configuration confirmed within this time show that the feed
--- a/src/entry/ConfigFeed.h
+++ b/src/entry/ConfigFeed.h
@@ -26,8 +26,9 @@
   void Pause();
   void Resume();
   bool Paused() const { return mPaused; }
-  // aOnUpdate is called after each answer of the store. aOnApplied is called
-  // for each applied change to the list that matters to requests.
+  // aOnUpdate is called after each answer of the store and for each new
+  // configuration. aOnApplied is called for each applied change to the list
+  // that matters to requests.
   void OnUpdate(std::function<void()> aOnUpdate)
   {
     mOnUpdate = std::move(aOnUpdate);
--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -23,9 +23,9 @@
 
 constexpr Millis kMinTokenWait{ 50 };
 
-// Requests in flight per slot of a server. An engine admits as many as it has
-// slots; requests to a plain service are short, so a few can queue there and
-// still be answered in time.
+// Limits of requests in flight per slot of a server. An engine admits as many
+// as it has slots; requests to a plain service are short, so a few can queue
+// there and still be answered in time.
 constexpr double kEngineRequestsPerSlot = 1.1;
 
 constexpr double kServiceRequestsPerSlot = 3.0;
@@ -291,7 +291,7 @@
                                 mState.mRunTimes.UsualTime(mRoute->mName));
 }
 
-// Another instance can still serve the request.
+// Another instance can serve the request, so the retry-after time is short.
 void
 Exchange::RefuseShuttingDown()
 {
--- a/src/entry/Exchange.h
+++ b/src/entry/Exchange.h
@@ -41,8 +41,8 @@
   // Looks for a server again; returns true when the request no longer waits.
   bool TryDispatch();
   void OnCallerDisconnected();
-  // The process exits: sends a final answer, or "outcome unknown" when the
-  // request may have run.
+  // Called before the process exits. Sends the final answer, "outcome unknown"
+  // if the request may have run, or aborts a stream.
   void OnInstanceExit();
 
   const std::string& Id() const { return mFacts.mId; }
@@ -112,14 +112,14 @@
   int mPriority = 5;
   TimePoint mArrived;
   TimePoint mFinalAnswerBy{};
-  TimePoint mFirstByteBy{}; // caller gives up without a first byte
+  TimePoint mFirstByteBy{}; // if later, the caller has given up
   Reactor::TimerId mTimer{};
 
   std::set<std::string> mTriedServers; // may have received the request
   std::set<std::string> mBadServers;   // not used again for this request
-  std::optional<TokenGrant> mGrant;    // until a server has run the request
+  std::optional<TokenGrant> mGrant;    // until a server runs the request
   int mSends = 0;
-  int mPossibleRuns = 0; // sends without proof that it did not run
+  int mPossibleRuns = 0; // ended sends without proof that it did not run
   bool mMayHaveRun = false;
   std::shared_ptr<OutboundCall> mCall;
   std::string mServer; // of mCall
--- a/src/entry/ExchangeEnd.cpp
+++ b/src/entry/ExchangeEnd.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Sends of one request. Retries cost the servers work, and more than a few
-// seldom succeed.
+// Limit of sends of one request. Retries cost the servers work, and more than a
+// few seldom succeed.
 constexpr int kMaxSends = 6;
 
 // Delay between a server's proof that it did not run a request and the next
--- a/src/entry/ExchangeSend.cpp
+++ b/src/entry/ExchangeSend.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-// Idle connections are reused until this share of the server's keep-alive time.
-// A server may close an older one just as a request is sent on it, and a
-// non-repeatable request can't be sent again then; its share is smaller.
+// Connections are reused until they have been idle for this share of the
+// server's idle timeout. A server may close an older one just as a request is
+// sent on it. A non-repeatable request can't be sent again then, so its share
+// is smaller.
 constexpr double kIdleShareNonRepeatable = 0.4;
 
 constexpr double kIdleShareRepeatable = 0.7;
@@ -133,11 +134,12 @@
     return;
   }
   mGrant.reset(); // the request runs, so its tokens are spent
-  // A success without the mark of a server, or in a content coding that was not
-  // requested, was made or altered by something between here and the server.
+  // Servers mark their own answers. A success without the mark, or in a content
+  // coding that was not requested, was made or altered by something between
+  // here and the server.
   bool altered =
     success && (!mAnswerFacts.mFromServer || mAnswerFacts.mEncoded);
-  // A resumed stream must be answered by a stream.
+  // Only a success can continue the stream that the caller is receiving.
   if (altered || (mStreaming && !success)) {
     mCall->Cancel();
     OnCallDone(CallOutcome::Malformed);
@@ -211,7 +213,7 @@
     mState.mServers.Ended(mServer, FullName());
   }
   mServer.clear();
-  // The call may be running one of its event callbacks: destroyed later.
+  // Destroyed later: the call may be running one of its callbacks.
   mState.mReactor.After(Millis(0), [call = std::move(mCall)] {});
   mCall.reset();
 }
--- a/src/entry/FeedRelay.cpp
+++ b/src/entry/FeedRelay.cpp
@@ -15,16 +15,16 @@
 constexpr char kStartReadingMessage[] = "read_news";
 
 // Transit time assumed for an update until the round trip to its sender is
-// known. When all instances start at once and none follows another yet, the
-// updates of all of them fill the links.
+// known. It is long, because the updates of all instances fill the links when
+// they start at once and none follows another yet.
 constexpr Millis kUnknownTransitTime{ 500 };
 
 // When the reader leaves, the first instance by rank reads the store at once;
 // the others wait this long for its update.
 constexpr Millis kSuccessorGrace{ 300 };
 
-// Interval of requests to a peer to read the store. A peer that can do so
-// starts within milliseconds.
+// Shortest time between two requests to a peer to read the store. A peer that
+// can do so starts within milliseconds.
 constexpr Millis kHandOverInterval{ 5000 };
 
 // Updates are sent at once, and repeated at this interval because datagrams get
--- a/src/entry/FeedRelay.h
+++ b/src/entry/FeedRelay.h
@@ -46,8 +46,7 @@
 
   std::string Rank() const;
   // Asks the first peer by rank to read the store, if this instance leads the
-  // zone: the leader
-  // already has the zone's orders to send.
+  // zone: the leader already sends the zone's orders.
   void HandOverReading();
   // The first by rank among the zone's instances that are not leaving; null if
   // it is this instance.
--- a/src/entry/FeedRelayFetch.cpp
+++ b/src/entry/FeedRelayFetch.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// Shortest time between two fetches of the same thing.
+// Shortest time between two fetches of the configuration, or of the list of
+// servers.
 constexpr Millis kFetchInterval{ 200 };
 
 constexpr Millis kFetchTimeout{ 500 };
--- a/src/entry/ImmediateHandler.h
+++ b/src/entry/ImmediateHandler.h
@@ -1,5 +1,5 @@
-// ImmediateHandler.h: answers requests from a function, at once: readiness,
-// metrics, calls from other instances.
+// ImmediateHandler.h: handler that answers each request at once by calling a
+// function. Used for readiness, metrics and calls from other instances.
 #ifndef caraway_entry_ImmediateHandler_h
 #define caraway_entry_ImmediateHandler_h
 
--- a/src/entry/InboundConnection.h
+++ b/src/entry/InboundConnection.h
@@ -114,10 +114,10 @@
   bool mBusy = false; // a request is being answered
   bool mStreaming = false;
   bool mClosing = false;         // queued output is still sent
-  bool mCallerKeepsAlive = true; // as the last request said
+  bool mCallerKeepsAlive = true; // by the head of the last request
   int mRequests = 0;
   ConnectionCloseReason mCloseReason =
-    ConnectionCloseReason::AnswerWithClose; // when the last answer closes
+    ConnectionCloseReason::AnswerWithClose; // if an answer closes it
   // The widest limits since the connection was last idle: the caller may rely
   // on any limits that were in force since then.
   CallerLimits mLimits;
--- a/src/entry/RequestDispatcher.h
+++ b/src/entry/RequestDispatcher.h
@@ -23,7 +23,8 @@
   // waiting requests, the most urgent first, after the current event.
   void OnServersChanged();
 
-  // The process exits: sends a final answer to every request without one.
+  // Called before the process exits. Sends a final answer to every request that
+  // has none.
   void FinishAll();
 
   size_t RequestsInFlight() const { return mExchanges.size(); }
