--- a/src/net/BodyReader.cpp
+++ b/src/net/BodyReader.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Longer size lines, trailers and chunks are rejected; no real sender makes
-// any.
+// Longer size lines, trailer lines and chunks are rejected; real senders make
+// none.
 constexpr size_t kMaxLineBytes = 256;
 constexpr size_t kMaxChunkBytes = 1u << 30;
 
--- a/src/net/Channel.cpp
+++ b/src/net/Channel.cpp
@@ -315,7 +315,7 @@
   if (!mConnecting) {
     Flush();
   }
-  // The time is limited also for a peer that has stopped reading.
+  // A peer that has stopped reading is given up after this time too.
   LingerFor(mOutput.empty() ? kLinger : kLinger * 10);
 }
 
--- a/src/net/HttpConnection.cpp
+++ b/src/net/HttpConnection.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// For a connection accepted while the port ends: its request is in transit.
+// Wait for the first request of a connection that was accepted while the port
+// ends: the request is in transit.
 constexpr Millis kFinalRequestWait{ 100 };
 
 // Discards what the handler has not read of the body, which would be taken for
--- a/src/net/HttpPool.cpp
+++ b/src/net/HttpPool.cpp
@@ -71,8 +71,8 @@
   }
   auto session = std::make_unique<Poco::Net::HTTPClientSession>(socket);
   session->setKeepAlive(true);
-  // POCO reconnects by itself after this time. A pooled session is tried
-  // instead.
+  // POCO silently reconnects a session that has been idle for longer than this.
+  // The pool tries the idle connection instead, and retries in Call().
   session->setKeepAliveTimeout(Poco::Timespan(3600, 0));
   reply = HttpExchange(*session, aCall, true);
   if (reply.mStage == HttpStage::Answered) {
--- a/src/net/OutboundCall.cpp
+++ b/src/net/OutboundCall.cpp
@@ -13,7 +13,7 @@
 // Longer answer heads are rejected.
 constexpr size_t kMaxHeadBytes = 65536;
 
-// Late answers to other requests that may precede the expected answer on one
+// Limit of late answers to other requests that precede the expected answer on a
 // connection.
 constexpr int kMaxForeignAnswers = 2;
 
@@ -245,7 +245,7 @@
       pending->mAnswer.mStatus = 0;
     }
     pending->mDone(pending->mAnswer);
-    // The call may be running one of its own callbacks: released later.
+    // Released later: the call may be running one of its callbacks.
     aReactor.After(Millis(0), [call = std::move(pending->mCall)] {});
   };
   OutboundCall::Events events;
--- a/src/net/OutboundCall.h
+++ b/src/net/OutboundCall.h
@@ -24,7 +24,7 @@
 struct OutboundRequest
 {
   std::string mAddress;
-  std::string mPeer; // the server's identity, for the pool; "" = any
+  std::string mPeer; // the server's identity, for the pool; "" = none
   std::string mHead; // request line to blank line
   std::string mBody;
   Millis mConnectLimit{ 700 }; // connect timeout
--- a/src/net/Reactor.h
+++ b/src/net/Reactor.h
@@ -1,4 +1,5 @@
 // Reactor.h: single-threaded event loop for sockets and timers.
+//
 // All connections and state of an entry instance are used by this thread only,
 // so that no locks are needed. A handler must not block: it would delay every
 // request of the instance.
@@ -35,7 +36,7 @@
   ~Reactor();
 
   // Releases all sockets and timers for good. Handlers and tasks refer to each
-  // other and to their owners, so an owner calls this while those still exist.
+  // other and to their owners, so this must be called while those still exist.
   void Drop();
 
   // Holds a reference to aHandler while the socket is watched.
