--- a/tests/platform/AnswersTest.cpp
+++ b/tests/platform/AnswersTest.cpp
@@ -173,8 +173,9 @@
   EXPECT_LE(fleet.mPlain[0]->mArrivals, 1);
 }
 
-// Guards against a server that never answers: the caller gets its final answer
-// at the route's timeout, and the server's connection is closed.
+// Guards against a request that hangs because its server never answers: the
+// caller gets its final answer at the route's timeout, and the server's
+// connection is closed.
 TEST(Answers, RequestEndsAtTheRoutesTimeout)
 {
   EntryTestFleet fleet;
--- a/tests/platform/CallersTest.cpp
+++ b/tests/platform/CallersTest.cpp
@@ -81,7 +81,7 @@
   EXPECT_EQ("answer to r1 of abcde", call->mBody);
 }
 
-// Guards against callers who send fields that only the system may set.
+// Guards against callers who set system fields: a server would obey them.
 TEST(Callers, SystemFieldsOfACallerAreDropped)
 {
   EntryTestFleet fleet;
@@ -195,7 +195,8 @@
       } catch (const Poco::Exception&) {
         // No data yet.
       }
-      return answer.find("caraway_store_age_ms") != std::string::npos; // last
+      // The last metric of the answer.
+      return answer.find("caraway_store_age_ms") != std::string::npos;
     },
     Seconds(3));
   EXPECT_NE(std::string::npos, answer.find("caraway_list_age_ms"));
--- a/tests/platform/FreshnessTest.cpp
+++ b/tests/platform/FreshnessTest.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Specified for all of these changes, from the store's answer on.
+// Specified limit for all of these changes: from the store's answer to the
+// change until the change is in force.
 constexpr Millis kMaxDelay{ 2000 };
 
 EntryFleetOptions
@@ -94,7 +95,8 @@
     fleet.Until([&] { return VersionAt(fleet, 1) == version; }, kMaxDelay));
 }
 
-// Watches get no answer while changes are made, and the history is gone then.
+// Watches get no answer while changes are made, and afterwards the store no
+// longer has the history that they ask for.
 TEST(Freshness, ListIsReadAgainWhenTheHistoryIsGone)
 {
   EntryTestFleet fleet;
--- a/tests/platform/LeavingEntryTest.cpp
+++ b/tests/platform/LeavingEntryTest.cpp
@@ -152,8 +152,8 @@
   EXPECT_EQ(0, fleet.RunsOf("r2"));
 }
 
-// Guards against a request that is sent as the stream before it ends, and that
-// is read and dropped.
+// Guards against a request that is sent just as the stream before it on the
+// connection ends, and is read but not answered.
 TEST(LeavingEntry, RequestSentAtTheEndOfAStreamIsAnswered)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -176,8 +176,8 @@
   EXPECT_EQ(503, SecondAnswerStatus(*call));
 }
 
-// Guards against a request whose body arrives slowly and which is therefore
-// started long after the last time for a start.
+// Guards against starting a request too late to finish before the exit because
+// its body arrives slowly.
 TEST(LeavingEntry, RequestReceivedTooLateIsRefused)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -253,8 +253,8 @@
   EXPECT_TRUE(call->mWhole);
 }
 
-// Guards against a closed connection without a trace: the log line names the
-// request in flight.
+// Guards against a close that can't be explained afterwards: the log line names
+// the reason and the request in flight.
 TEST(LeavingEntry, CloseOfABusyConnectionIsLogged)
 {
   EntryTestFleet fleet;
--- a/tests/platform/OpenConnectionsTest.cpp
+++ b/tests/platform/OpenConnectionsTest.cpp
@@ -51,7 +51,7 @@
   fleet.Until([&] { return fleet.RunsOf("r2") > 0 && !call->mOver.empty(); },
               Seconds(2));
   EXPECT_EQ(0u, call->mOver.find("HTTP/1.1 200"));
-  // The new idle time is judged by the new limit.
+  // The idle period that begins now is subject to the new limit.
   EXPECT_TRUE(fleet.Until([&] { return call->mClosed; }, Seconds(3)));
 }
 
--- a/tests/support/StandInStore.h
+++ b/tests/support/StandInStore.h
@@ -35,7 +35,7 @@
   void SetFaultMode(size_t aPort, FaultMode aMode);
   void SetFaultModeOfAll(FaultMode aMode);
 
-  // Changes by the operator or a server.
+  // Put and Remove make changes as the operator or a server would.
   int64_t Put(const std::string& aKind,
               const std::string& aName,
               const Json::Value& aSpec);
--- a/tests/unit/HttpPortTest.cpp
+++ b/tests/unit/HttpPortTest.cpp
@@ -67,9 +67,8 @@
   aOut.sendBuffer("ok", 2);
 }
 
-constexpr Millis kAcceptTime{
-  150
-}; // until a connection is in the port's queue
+// Time until a connection is in the port's queue.
+constexpr Millis kAcceptTime{ 150 };
 
 } // namespace
 
