--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -187,13 +187,16 @@
   }
   auto facts = wire::ReadRequestFacts(mRequest.mHead);
   if (!facts || facts->mId.empty()) {
-    Refuse(ErrorKind::BadRequest, Millis(0), "invalid header field");
+    Refuse(ErrorKind::BadRequest,
+           Millis(0),
+           "request id missing, or a header field is invalid");
     return false;
   }
   mFacts = std::move(*facts);
   mRoute = mConfig->Match(mFacts.mHost, mFacts.mPath);
   if (!mRoute) {
-    Refuse(ErrorKind::NotFound, Millis(0), "no route");
+    Refuse(
+      ErrorKind::NotFound, Millis(0), "no route matches the host and path");
     return false;
   }
   mPriority = mRoute->mPriority;
@@ -226,7 +229,8 @@
     return;
   }
   if (!mGrant) {
-    Refuse(ErrorKind::RateExceeded, aAnswer.mAfter, "tenant's rate");
+    Refuse(
+      ErrorKind::RateExceeded, aAnswer.mAfter, "tenant's rate limit reached");
     return;
   }
   Dispatch();
--- a/src/entry/ExchangeEnd.cpp
+++ b/src/entry/ExchangeEnd.cpp
@@ -112,7 +112,9 @@
       End(0, "resumed stream was refused");
       return;
     }
-    Refuse(ErrorKind::NoCapacity, kRetryAfterDefault, "server refused");
+    Refuse(ErrorKind::NoCapacity,
+           kRetryAfterDefault,
+           "server refused the request and no retry is allowed");
     return;
   }
   DispatchLater(kNotRunRetryDelay);
--- a/src/entry/FeedRelay.cpp
+++ b/src/entry/FeedRelay.cpp
@@ -76,7 +76,7 @@
   });
   mPeers.OnMessage(kStartReadingMessage, [this](const Json::Value&) {
     if (mFeed.Paused() && !mState.mLeave.Leaving()) {
-      ResumeReading("lease holder asked for it");
+      ResumeReading("requested by the lease holder");
     }
   });
   mPeers.OnLeaving([this](const std::string& aPeer) { OnLeaving(aPeer); });
--- a/src/entry/InboundConnection.cpp
+++ b/src/entry/InboundConnection.cpp
@@ -143,7 +143,7 @@
   }
   if (state == HeadState::Partial ? input.size() > limits.mHeadBytes
                                   : used > limits.mHeadBytes) {
-    Reject(431, "head size");
+    Reject(431, "request head exceeds the size limit");
     return false;
   }
   if (state == HeadState::Partial) {
@@ -151,7 +151,7 @@
   }
   if (mRequest.mHead.mFraming == BodyFraming::Length &&
       mRequest.mHead.mLength > limits.mBodyBytes) {
-    Reject(413, "body size");
+    Reject(413, "request body exceeds the size limit");
     return false;
   }
   input.erase(0, used);
@@ -172,7 +172,7 @@
     return false;
   }
   if (mRequest.mBody.size() > Limits().mBodyBytes) {
-    Reject(413, "body size");
+    Reject(413, "request body exceeds the size limit");
     return false;
   }
   return mReader->Done();
