--- a/src/net/HttpConnection.cpp
+++ b/src/net/HttpConnection.cpp
@@ -19,11 +19,11 @@
 bool
 DiscardInput(Poco::Net::HTTPServerRequest& aRequest)
 {
-  constexpr std::streamsize kMost = 64 * 1024;
+  constexpr std::streamsize kMaxDiscardedBytes = 64 * 1024;
   if (!aRequest.hasContentLength() && !aRequest.getChunkedTransferEncoding()) {
     return true;
   }
-  aRequest.stream().ignore(kMost);
+  aRequest.stream().ignore(kMaxDiscardedBytes);
   return aRequest.stream().eof();
 }
 
--- a/src/net/HttpHead.cpp
+++ b/src/net/HttpHead.cpp
@@ -169,7 +169,7 @@
 ReadHead(std::string_view aBytes,
          HttpHead& aHead,
          size_t& aUsed,
-         bool (*aFirstLine)(std::string_view, HttpHead&))
+         bool (*aReadFirstLine)(std::string_view, HttpHead&))
 {
   size_t end = aBytes.find(kEndOfHead);
   if (end == std::string_view::npos) {
@@ -182,7 +182,7 @@
   while (!rest.empty()) {
     size_t stop = rest.find("\r\n");
     std::string_view line = rest.substr(0, stop);
-    bool valid = first ? aFirstLine(line, aHead) : ReadField(line, aHead);
+    bool valid = first ? aReadFirstLine(line, aHead) : ReadField(line, aHead);
     if (!valid || line.find('\n') != std::string_view::npos) {
       return HeadState::Bad;
     }
--- a/src/net/HttpShutdown.cpp
+++ b/src/net/HttpShutdown.cpp
@@ -35,14 +35,14 @@
 HttpShutdown::WaitForInput(const Poco::Net::Socket& aSocket,
                            Millis aWithin) const
 {
-  pollfd ends[] = { { aSocket.impl()->sockfd(), POLLIN, 0 },
-                    { mWake, POLLIN, 0 } };
+  pollfd fds[] = { { aSocket.impl()->sockfd(), POLLIN, 0 },
+                   { mWake, POLLIN, 0 } };
   nfds_t count = mEnded ? 1 : 2;
   int ready = 0;
   do {
-    ready = poll(ends, count, static_cast<int>(aWithin.count()));
+    ready = poll(fds, count, static_cast<int>(aWithin.count()));
   } while (ready < 0 && errno == EINTR);
-  return ready > 0 && ends[0].revents != 0;
+  return ready > 0 && fds[0].revents != 0;
 }
 
 void
--- a/src/net/LingeringCloser.cpp
+++ b/src/net/LingeringCloser.cpp
@@ -84,22 +84,22 @@
 bool
 LingeringCloser::DiscardInput(std::vector<ClosingSocket>& aClosing) const
 {
-  std::vector<pollfd> ends;
-  ends.push_back({ mWake, POLLIN, 0 });
+  std::vector<pollfd> fds;
+  fds.push_back({ mWake, POLLIN, 0 });
   for (const ClosingSocket& closing : aClosing) {
-    ends.push_back({ closing.mSocket.impl()->sockfd(), POLLIN, 0 });
+    fds.push_back({ closing.mSocket.impl()->sockfd(), POLLIN, 0 });
   }
   int wait = aClosing.empty() ? -1 : static_cast<int>(kPollInterval.count());
-  poll(ends.data(), ends.size(), wait);
+  poll(fds.data(), fds.size(), wait);
   auto now = SteadyClock::now();
   size_t at = 0;
-  auto over = [&](ClosingSocket& aOne) {
-    bool readable = ends[++at].revents != 0;
+  auto finished = [&](ClosingSocket& aOne) {
+    bool readable = fds[++at].revents != 0;
     return now > aOne.mUntil || (readable && !Discard(aOne.mSocket));
   };
-  aClosing.erase(std::remove_if(aClosing.begin(), aClosing.end(), over),
+  aClosing.erase(std::remove_if(aClosing.begin(), aClosing.end(), finished),
                  aClosing.end());
-  return ends[0].revents != 0;
+  return fds[0].revents != 0;
 }
 
 void
--- a/tests/platform/FreshnessTest.cpp
+++ b/tests/platform/FreshnessTest.cpp
@@ -69,10 +69,10 @@
     fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
     fleet.For(kMaxDelay);
     EXPECT_EQ(401, fleet.Call(0, "/order/x", "r1")->mStatus);
-    const Backend* leaving =
+    const Backend* draining =
       fleet.mInstances[0]->State().mServers.Find(fleet.mPlain[0]->Id());
-    ASSERT_TRUE(leaving);
-    EXPECT_TRUE(leaving->mEntry.mDraining);
+    ASSERT_TRUE(draining);
+    EXPECT_TRUE(draining->mEntry.mDraining);
   }
 }
 
--- a/tests/platform/LeavingEntryTest.cpp
+++ b/tests/platform/LeavingEntryTest.cpp
@@ -39,13 +39,13 @@
 
 // Starts a stream of four seconds at the first instance, then stops it.
 TestCallPtr
-LeaveDuringStream(EntryTestFleet& aFleet, const std::string& aBehind = "")
+LeaveDuringStream(EntryTestFleet& aFleet, const std::string& aPipelined = "")
 {
   SetLongRouteTimeouts(aFleet);
   aFleet.mEngines[0]->mEventGap = Millis(800);
   aFleet.AwaitReady();
   TestCallPtr call = aFleet.SendRaw(
-    0, aFleet.RequestText("/stream/stream", "r1", kLong) + aBehind);
+    0, aFleet.RequestText("/stream/stream", "r1", kLong) + aPipelined);
   EXPECT_TRUE(aFleet.Until([&] { return call->mStatus == 200; }, Seconds(2)));
   aFleet.mInstances[0]->Leave();
   return call;
@@ -144,8 +144,8 @@
   for (auto& server : fleet.mPlain) {
     server->mWork = Seconds(5);
   }
-  std::string behind = fleet.RequestText("/order/x", "r2", kLongPlain);
-  TestCallPtr call = LeaveDuringStream(fleet, behind);
+  std::string pipelined = fleet.RequestText("/order/x", "r2", kLongPlain);
+  TestCallPtr call = LeaveDuringStream(fleet, pipelined);
   ASSERT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(6)));
   EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(503, SecondAnswerStatus(*call));
@@ -170,8 +170,8 @@
 TEST(LeavingEntry, LastInstanceDoesNotRefuseForTheRate)
 {
   EntryTestFleet fleet;
-  std::string behind = fleet.RequestText("/order/x", "r2", kLongPlain);
-  TestCallPtr call = LeaveDuringStream(fleet, behind);
+  std::string pipelined = fleet.RequestText("/order/x", "r2", kLongPlain);
+  TestCallPtr call = LeaveDuringStream(fleet, pipelined);
   EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(503, SecondAnswerStatus(*call));
 }
--- a/tests/platform/OpenConnectionsTest.cpp
+++ b/tests/platform/OpenConnectionsTest.cpp
@@ -104,11 +104,12 @@
   fleet.mConfig["limits"]["maxBodyBytes"] = 2000;
   TestCallPtr call = BeginStream(fleet);
   std::string body(1500, 'x');
-  std::string ahead;
+  std::string pipelined;
   for (int i = 0; i < 6; ++i) {
-    ahead += fleet.RequestText("/order/x", "a" + std::to_string(i), {}, body);
+    pipelined +=
+      fleet.RequestText("/order/x", "a" + std::to_string(i), {}, body);
   }
-  call->mChannel->Write(ahead);
+  call->mChannel->Write(pipelined);
   ASSERT_TRUE(
     fleet.Until([&] { return call->mWhole || call->mClosed; }, Seconds(5)));
   EXPECT_TRUE(call->mWhole);
@@ -251,8 +252,9 @@
   fleet.Configure();
   fleet.Until(
     [&] {
-      bool behind = stream->mOver.find("HTTP/1.1 ") == 0;
-      return (stream->mWhole && behind && waiting->mWhole) || stream->mClosed;
+      bool nextAnswered = stream->mOver.find("HTTP/1.1 ") == 0;
+      return (stream->mWhole && nextAnswered && waiting->mWhole) ||
+             stream->mClosed;
     },
     Seconds(8));
   EXPECT_TRUE(stream->mWhole);
--- a/tests/support/StandInStore.cpp
+++ b/tests/support/StandInStore.cpp
@@ -312,12 +312,12 @@
   if (aPort.mFaultMode == FaultMode::Loses) {
     return;
   }
-  bool there = objects.count(name) > 0;
+  bool exists = objects.count(name) > 0;
   Answer(aPort,
          aConn,
          status,
-         there ? ObjectJson(name, objects[name])
-               : Json::Value(Json::objectValue));
+         exists ? ObjectJson(name, objects[name])
+                : Json::Value(Json::objectValue));
 }
 
 } // namespace caraway
--- a/tests/unit/HttpPortTest.cpp
+++ b/tests/unit/HttpPortTest.cpp
@@ -152,12 +152,11 @@
     aOut.setContentLength(0);
     aOut.send();
   });
-  constexpr size_t kBody = 8 * 1024 * 1024;
+  constexpr size_t kBodyBytes = 8 * 1024 * 1024;
   RawCaller caller(port);
-  std::string head =
-    "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(kBody) +
-    "\r\n\r\n";
-  EXPECT_NO_THROW(caller.Send(head + std::string(kBody, 'x')));
+  std::string head = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: " +
+                     std::to_string(kBodyBytes) + "\r\n\r\n";
+  EXPECT_NO_THROW(caller.Send(head + std::string(kBodyBytes, 'x')));
   EXPECT_NE(caller.Read().find("401"), std::string::npos);
 }
 
