--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -23,9 +23,9 @@
 
 constexpr Millis kMinTokenWait{ 50 };
 
-// Requests in flight per slot of a server. An engine admits as many as it has
-// slots; requests to a plain service are short, so a few can queue there and
-// still be answered in time.
+// Limits of requests in flight per slot of a server. An engine admits as many
+// as it has slots; requests to a plain service are short, so a few can queue
+// there and still be answered in time.
 constexpr double kEngineRequestsPerSlot = 1.1;
 
 constexpr double kServiceRequestsPerSlot = 3.0;
@@ -187,13 +187,16 @@
   }
   auto facts = wire::ReadRequestFacts(mRequest.mHead);
   if (!facts || facts->mId.empty()) {
-    Refuse(ErrorKind::BadRequest, Millis(0), "invalid header field");
+    Refuse(ErrorKind::BadRequest,
+           Millis(0),
+           "request id missing, or a header field is invalid");
     return false;
   }
   mFacts = std::move(*facts);
   mRoute = mConfig->Match(mFacts.mHost, mFacts.mPath);
   if (!mRoute) {
-    Refuse(ErrorKind::NotFound, Millis(0), "no route");
+    Refuse(
+      ErrorKind::NotFound, Millis(0), "no route matches the host and path");
     return false;
   }
   mPriority = mRoute->mPriority;
@@ -226,7 +229,8 @@
     return;
   }
   if (!mGrant) {
-    Refuse(ErrorKind::RateExceeded, aAnswer.mAfter, "tenant's rate");
+    Refuse(
+      ErrorKind::RateExceeded, aAnswer.mAfter, "tenant's rate limit reached");
     return;
   }
   Dispatch();
@@ -291,7 +295,7 @@
                                 mState.mRunTimes.UsualTime(mRoute->mName));
 }
 
-// Another instance can still serve the request.
+// Another instance can serve the request, so the retry-after time is short.
 void
 Exchange::RefuseShuttingDown()
 {
--- a/src/entry/ExchangeEnd.cpp
+++ b/src/entry/ExchangeEnd.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Sends of one request. Retries cost the servers work, and more than a few
-// seldom succeed.
+// Limit of sends of one request. Retries cost the servers work, and more than a
+// few seldom succeed.
 constexpr int kMaxSends = 6;
 
 // Delay between a server's proof that it did not run a request and the next
@@ -112,7 +112,9 @@
       End(0, "resumed stream was refused");
       return;
     }
-    Refuse(ErrorKind::NoCapacity, kRetryAfterDefault, "server refused");
+    Refuse(ErrorKind::NoCapacity,
+           kRetryAfterDefault,
+           "server refused the request and no retry is allowed");
     return;
   }
   DispatchLater(kNotRunRetryDelay);
--- a/src/net/HttpConnection.cpp
+++ b/src/net/HttpConnection.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// For a connection accepted while the port ends: its request is in transit.
+// Wait for the first request of a connection that was accepted while the port
+// ends: the request is in transit.
 constexpr Millis kFinalRequestWait{ 100 };
 
 // Discards what the handler has not read of the body, which would be taken for
@@ -18,11 +19,11 @@
 bool
 DiscardInput(Poco::Net::HTTPServerRequest& aRequest)
 {
-  constexpr std::streamsize kMost = 64 * 1024;
+  constexpr std::streamsize kMaxDiscardedBytes = 64 * 1024;
   if (!aRequest.hasContentLength() && !aRequest.getChunkedTransferEncoding()) {
     return true;
   }
-  aRequest.stream().ignore(kMost);
+  aRequest.stream().ignore(kMaxDiscardedBytes);
   return aRequest.stream().eof();
 }
 
--- a/tests/platform/FreshnessTest.cpp
+++ b/tests/platform/FreshnessTest.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Specified for all of these changes, from the store's answer on.
+// Specified limit for all of these changes: from the store's answer to the
+// change until the change is in force.
 constexpr Millis kMaxDelay{ 2000 };
 
 EntryFleetOptions
@@ -68,10 +69,10 @@
     fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
     fleet.For(kMaxDelay);
     EXPECT_EQ(401, fleet.Call(0, "/order/x", "r1")->mStatus);
-    const Backend* leaving =
+    const Backend* draining =
       fleet.mInstances[0]->State().mServers.Find(fleet.mPlain[0]->Id());
-    ASSERT_TRUE(leaving);
-    EXPECT_TRUE(leaving->mEntry.mDraining);
+    ASSERT_TRUE(draining);
+    EXPECT_TRUE(draining->mEntry.mDraining);
   }
 }
 
@@ -94,7 +95,8 @@
     fleet.Until([&] { return VersionAt(fleet, 1) == version; }, kMaxDelay));
 }
 
-// Watches get no answer while changes are made, and the history is gone then.
+// Watches get no answer while changes are made, and afterwards the store no
+// longer has the history that they ask for.
 TEST(Freshness, ListIsReadAgainWhenTheHistoryIsGone)
 {
   EntryTestFleet fleet;
--- a/tests/platform/LeavingEntryTest.cpp
+++ b/tests/platform/LeavingEntryTest.cpp
@@ -39,13 +39,13 @@
 
 // Starts a stream of four seconds at the first instance, then stops it.
 TestCallPtr
-LeaveDuringStream(EntryTestFleet& aFleet, const std::string& aBehind = "")
+LeaveDuringStream(EntryTestFleet& aFleet, const std::string& aPipelined = "")
 {
   SetLongRouteTimeouts(aFleet);
   aFleet.mEngines[0]->mEventGap = Millis(800);
   aFleet.AwaitReady();
   TestCallPtr call = aFleet.SendRaw(
-    0, aFleet.RequestText("/stream/stream", "r1", kLong) + aBehind);
+    0, aFleet.RequestText("/stream/stream", "r1", kLong) + aPipelined);
   EXPECT_TRUE(aFleet.Until([&] { return call->mStatus == 200; }, Seconds(2)));
   aFleet.mInstances[0]->Leave();
   return call;
@@ -144,16 +144,16 @@
   for (auto& server : fleet.mPlain) {
     server->mWork = Seconds(5);
   }
-  std::string behind = fleet.RequestText("/order/x", "r2", kLongPlain);
-  TestCallPtr call = LeaveDuringStream(fleet, behind);
+  std::string pipelined = fleet.RequestText("/order/x", "r2", kLongPlain);
+  TestCallPtr call = LeaveDuringStream(fleet, pipelined);
   ASSERT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(6)));
   EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(503, SecondAnswerStatus(*call));
   EXPECT_EQ(0, fleet.RunsOf("r2"));
 }
 
-// Guards against a request that is sent as the stream before it ends, and that
-// is read and dropped.
+// Guards against a request that is sent just as the stream before it on the
+// connection ends, and is read but not answered.
 TEST(LeavingEntry, RequestSentAtTheEndOfAStreamIsAnswered)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -170,14 +170,14 @@
 TEST(LeavingEntry, LastInstanceDoesNotRefuseForTheRate)
 {
   EntryTestFleet fleet;
-  std::string behind = fleet.RequestText("/order/x", "r2", kLongPlain);
-  TestCallPtr call = LeaveDuringStream(fleet, behind);
+  std::string pipelined = fleet.RequestText("/order/x", "r2", kLongPlain);
+  TestCallPtr call = LeaveDuringStream(fleet, pipelined);
   EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(503, SecondAnswerStatus(*call));
 }
 
-// Guards against a request whose body arrives slowly and which is therefore
-// started long after the last time for a start.
+// Guards against starting a request too late to finish before the exit because
+// its body arrives slowly.
 TEST(LeavingEntry, RequestReceivedTooLateIsRefused)
 {
   EntryTestFleet fleet(TwoInstances());
@@ -253,8 +253,8 @@
   EXPECT_TRUE(call->mWhole);
 }
 
-// Guards against a closed connection without a trace: the log line names the
-// request in flight.
+// Guards against a close that can't be explained afterwards: the log line names
+// the reason and the request in flight.
 TEST(LeavingEntry, CloseOfABusyConnectionIsLogged)
 {
   EntryTestFleet fleet;
