--- a/bench/PlaceBench.cpp
+++ b/bench/PlaceBench.cpp
@@ -47,7 +47,8 @@
       }
       mServers.Put(entry, kNow);
       for (int k = 0; k < 6; ++k) {
-        mServers.Began(entry.mId, ModelName((i * 3 + k % 3) % kModels));
+        mServers.OnRequestBegan(entry.mId,
+                                ModelName((i * 3 + k % 3) % kModels));
       }
     }
   }
--- a/src/decide/ModelOrder.h
+++ b/src/decide/ModelOrder.h
@@ -17,7 +17,7 @@
   std::string mModel;
   std::string mAdapter; // "" = the model itself
   // Orders that the server has accepted so far; it refuses another count.
-  int64_t mOrders = 0;
+  int64_t mOrderCount = 0;
   std::string mHolder; // instance that sends the order
   int64_t mToken = 0;  // fencing token of the lease
 };
@@ -25,7 +25,7 @@
 enum class OrderAnswer
 {
   Accepted,    // in progress
-  Holds,       // no change needed, or done at once
+  AlreadyDone, // no change needed, or done at once
   Busy,        // another order is in progress, or the count of orders differs
   Fenced,      // the server has seen a higher fencing token
   WrongServer, // another server answers at the address
@@ -37,7 +37,7 @@
 {
   HeldModels mModels;
   bool mBusy = false; // an order is in progress
-  int64_t mOrders = 0;
+  int64_t mOrderCount = 0;
   // The server's start time, Unix ms, if reported.
   std::optional<int64_t> mStartTime;
 };
--- a/src/decide/PlacementPlan.cpp
+++ b/src/decide/PlacementPlan.cpp
@@ -150,7 +150,7 @@
   if (aChoice.mSource == WeightSource::Store) {
     aChoice.mWait = std::max(aChoice.mWait, aFacts.mStoreWait);
   }
-  return static_cast<double>(aChoice.Whole().count()) / 1000.0 +
+  return static_cast<double>(aChoice.TotalTime().count()) / 1000.0 +
          kEvictWeight * lost;
 }
 
--- a/src/decide/PlacementPlan.h
+++ b/src/decide/PlacementPlan.h
@@ -53,7 +53,7 @@
   Millis mUnload{ 0 }; // duration of all evictions
   Millis mLoad{ 0 };   // duration of the load itself
 
-  Millis Whole() const { return mWait + mUnload + mLoad; }
+  Millis TotalTime() const { return mWait + mUnload + mLoad; }
 };
 
 // Time that a server needs to unload an unused model; it accepts no other order
--- a/src/decide/ServerInventory.cpp
+++ b/src/decide/ServerInventory.cpp
@@ -13,7 +13,7 @@
   mHeld.clear();
   mPendingLoads.clear();
   mPendingUnloads.clear();
-  Forget();
+  MarkUnknown();
 }
 
 HeldModels
@@ -49,7 +49,8 @@
   HeldModels bound = mHeld;
   for (const LateOrder& late : mLateOrders) {
     const ModelOrder& order = late.mOrder;
-    if (!order.mLoad || aNow >= late.mUntil || order.mOrders < mOrders) {
+    if (!order.mLoad || aNow >= late.mUntil ||
+        order.mOrderCount < mOrderCount) {
       continue;
     }
     std::set<std::string>& adapters = bound[order.mModel];
@@ -73,14 +74,14 @@
 ServerInventory::OnReport(const ServerReport& aReport)
 {
   bool sameStart = !aReport.mStartTime || *aReport.mStartTime == mStartTime;
-  if (!sameStart || aReport.mBusy || aReport.mOrders < 0 ||
-      aReport.mOrders < mOrders) {
+  if (!sameStart || aReport.mBusy || aReport.mOrderCount < 0 ||
+      aReport.mOrderCount < mOrderCount) {
     return false;
   }
-  if (aReport.mOrders != mOrders) {
+  if (aReport.mOrderCount != mOrderCount) {
     mLastLoad = {};
   }
-  mOrders = aReport.mOrders;
+  mOrderCount = aReport.mOrderCount;
   mHeld = aReport.mModels;
   mPendingLoads.clear();
   mPendingUnloads.clear();
@@ -90,10 +91,10 @@
 void
 ServerInventory::OnAccepted(const ModelOrder& aOrder, bool aDone)
 {
-  if (mOrders != aOrder.mOrders) {
+  if (mOrderCount != aOrder.mOrderCount) {
     return; // a report that includes the order arrived first
   }
-  ++mOrders;
+  ++mOrderCount;
   std::pair<std::string, std::string> name{ aOrder.mModel, aOrder.mAdapter };
   if (aOrder.mLoad) {
     std::set<std::string>& adapters = mHeld[aOrder.mModel];
@@ -134,7 +135,8 @@
 {
   bool sameStart = !aReport.mStartTime || *aReport.mStartTime == mStartTime;
   bool model = !mLastLoad.first.empty() && mLastLoad.second.empty();
-  if (!sameStart || !model || !aReport.mBusy || aReport.mOrders != mOrders) {
+  if (!sameStart || !model || !aReport.mBusy ||
+      aReport.mOrderCount != mOrderCount) {
     return false;
   }
   return mPendingLoads.insert(mLastLoad).second;
--- a/src/decide/ServerInventory.h
+++ b/src/decide/ServerInventory.h
@@ -4,10 +4,10 @@
 // A server that is ordered to load more than fits in its memory fails as a
 // whole. A server accepts an order only under the exact count of orders
 // accepted so far, so an order is safe if the content after that count is
-// known. Invariant: while Known(), the server's content after Orders() accepted
-// orders is within UpperBound(), whoever sent the orders and however late they
-// are carried out. Only a report of an idle server, and own orders accepted
-// after it, establish that content.
+// known. Invariant: while Known(), the server's content after OrderCount()
+// accepted orders is within UpperBound(), whoever sent the orders and however
+// late they are carried out. Only a report of an idle server, and own orders
+// accepted after it, establish that content.
 #ifndef caraway_decide_ServerInventory_h
 #define caraway_decide_ServerInventory_h
 
@@ -35,12 +35,13 @@
   // still reach it.
   void Restart(int64_t aStartTime);
   // Marks the content as unknown until the next report.
-  void Forget() { mOrders = -1; }
+  void MarkUnknown() { mOrderCount = -1; }
 
-  bool Known() const { return mOrders >= 0; }
-  int64_t Orders() const { return mOrders; } // accepted; negative = unknown
+  bool Known() const { return mOrderCount >= 0; }
+  // Accepted; negative = unknown.
+  int64_t OrderCount() const { return mOrderCount; }
   // Start time of the server, Unix ms.
-  int64_t Born() const { return mStartTime; }
+  int64_t StartTime() const { return mStartTime; }
   // Content that requests may use: without pending loads and unloads.
   HeldModels Usable() const;
   bool Holds(const std::string& aModel, const std::string& aAdapter) const;
@@ -53,7 +54,7 @@
   // Returns true if the report establishes the content: it has the same start
   // time, comes from an idle server, and isn't older than an accepted order.
   bool OnReport(const ServerReport& aReport);
-  // The server accepted aOrder under the count Orders(). aDone: it has been
+  // The server accepted aOrder under the count OrderCount(). aDone: it has been
   // carried out already.
   void OnAccepted(const ModelOrder& aOrder, bool aDone);
   void OnUnanswered(const ModelOrder& aOrder, TimePoint aNow);
@@ -72,7 +73,7 @@
   };
 
   int64_t mStartTime = 0;
-  int64_t mOrders = -1;
+  int64_t mOrderCount = -1;
   HeldModels mHeld; // including pending loads and unloads
   // Subsets of mHeld.
   std::set<std::pair<std::string, std::string>> mPendingLoads;
--- a/src/decide/ServerView.cpp
+++ b/src/decide/ServerView.cpp
@@ -116,13 +116,13 @@
 int
 Backend::RequestsInFlight() const
 {
-  return Total(mMine) + Total(mPeerRequests);
+  return Total(mOwnRequests) + Total(mPeerRequests);
 }
 
 int
 Backend::RequestsInFlight(const std::string& aName) const
 {
-  return CountOf(mMine, aName) + CountOf(mPeerRequests, aName);
+  return CountOf(mOwnRequests, aName) + CountOf(mPeerRequests, aName);
 }
 
 bool
@@ -171,7 +171,7 @@
   }
   if (added || before.mStartTime != aEntry.mStartTime) {
     backend.mModels = aEntry.mModels;
-    backend.mOrders = -1;
+    backend.mOrderCount = -1;
     backend.mReportedAt = TimePoint();
     backend.mSuspectedMissing.clear();
     backend.mConsecutiveFailures = 0;
@@ -196,17 +196,17 @@
 bool
 ServerView::PutContent(const std::string& aId,
                        int64_t aStartTime,
-                       int64_t aOrders,
+                       int64_t aOrderCount,
                        const HeldModels& aModels,
                        TimePoint aNow)
 {
   Backend* backend = Find(aId);
   if (!backend || backend->mEntry.mStartTime != aStartTime ||
-      aOrders < backend->mOrders) {
+      aOrderCount < backend->mOrderCount) {
     return false;
   }
   bool changed = aModels != backend->mModels;
-  backend->mOrders = aOrders;
+  backend->mOrderCount = aOrderCount;
   backend->mModels = aModels;
   backend->mReportedAt = aNow;
   return changed;
@@ -261,30 +261,30 @@
 }
 
 void
-ServerView::Began(const std::string& aId, const std::string& aName)
+ServerView::OnRequestBegan(const std::string& aId, const std::string& aName)
 {
   if (Backend* backend = Find(aId)) {
-    ++backend->mMine[aName];
+    ++backend->mOwnRequests[aName];
   }
 }
 
 void
-ServerView::Ended(const std::string& aId, const std::string& aName)
+ServerView::OnRequestEnded(const std::string& aId, const std::string& aName)
 {
   Backend* backend = Find(aId);
   if (!backend) {
     return;
   }
-  auto found = backend->mMine.find(aName);
-  if (found != backend->mMine.end() && --found->second <= 0) {
-    backend->mMine.erase(found);
+  auto found = backend->mOwnRequests.find(aName);
+  if (found != backend->mOwnRequests.end() && --found->second <= 0) {
+    backend->mOwnRequests.erase(found);
   }
 }
 
 void
-ServerView::Heard(const std::string& aId,
-                  ServerOutcome aOutcome,
-                  TimePoint aNow)
+ServerView::RecordOutcome(const std::string& aId,
+                          ServerOutcome aOutcome,
+                          TimePoint aNow)
 {
   Backend* backend = Find(aId);
   if (!backend) {
@@ -301,7 +301,7 @@
 }
 
 void
-ServerView::Elsewhere(const std::string& aId, Millis aFor, TimePoint aNow)
+ServerView::OnAddressReused(const std::string& aId, Millis aFor, TimePoint aNow)
 {
   if (Backend* backend = Find(aId)) {
     backend->mAddressReusedUntil = aNow + aFor;
--- a/src/decide/ServerView.h
+++ b/src/decide/ServerView.h
@@ -16,14 +16,14 @@
 struct Backend
 {
   BackendEntry mEntry;
-  HeldModels mModels;   // newest known, from the entry or from the lease holder
-  int64_t mOrders = -1; // accepted since mStartTime; negative = unknown
-  TimePoint mReportedAt{}; // time of the lease holder's last report of mModels
+  HeldModels mModels; // newest known, from the entry or from the lease holder
+  int64_t mOrderCount = -1; // accepted since mStartTime; negative = unknown
+  TimePoint mReportedAt{};  // time of the lease holder's last report of mModels
   // Models and adapters that a request found missing, and until when that is
   // assumed, whatever mModels says.
   std::map<std::pair<std::string, std::string>, TimePoint> mSuspectedMissing;
   // Own requests in flight, by MODEL or MODEL/ADAPTER.
-  std::map<std::string, int> mMine;
+  std::map<std::string, int> mOwnRequests;
   // In flight from other instances, as reported.
   std::map<std::string, int> mPeerRequests;
   int mConsecutiveFailures = 0; // connection failures since the last answer
@@ -84,7 +84,7 @@
   // Ignored if a later start time or order count is known already.
   bool PutContent(const std::string& aId,
                   int64_t aStartTime,
-                  int64_t aOrders,
+                  int64_t aOrderCount,
                   const HeldModels& aModels,
                   TimePoint aNow);
   // A request found that the server doesn't hold this. Requests for it skip the
@@ -103,14 +103,16 @@
                       std::mt19937& aRandom);
 
   // Begin and end of an own request; aName is MODEL or MODEL/ADAPTER.
-  void Began(const std::string& aId, const std::string& aName);
-  void Ended(const std::string& aId, const std::string& aName);
-  void Heard(const std::string& aId, ServerOutcome aOutcome, TimePoint aNow);
+  void OnRequestBegan(const std::string& aId, const std::string& aName);
+  void OnRequestEnded(const std::string& aId, const std::string& aName);
+  void RecordOutcome(const std::string& aId,
+                     ServerOutcome aOutcome,
+                     TimePoint aNow);
   // Another server answered at its address: an address is assigned again after
   // its server ends. The server gets no requests for aFor, within which its
   // entry is removed; each request sent there would be refused and need a
   // retry.
-  void Elsewhere(const std::string& aId, Millis aFor, TimePoint aNow);
+  void OnAddressReused(const std::string& aId, Millis aFor, TimePoint aNow);
 
   // Replaces all counts that aPeer reported before.
   void PutPeerRequests(const std::string& aPeer, InFlightCounts aCounts);
--- a/src/entry/ExchangeEnd.cpp
+++ b/src/entry/ExchangeEnd.cpp
@@ -62,7 +62,7 @@
 Exchange::OnNotSent()
 {
   std::string server = mServer;
-  mState.mServers.Heard(server, ServerOutcome::Broken, mState.Now());
+  mState.mServers.RecordOutcome(server, ServerOutcome::Broken, mState.Now());
   mTriedServers.erase(server); // it has not received the request
   mBadServers.insert(server);
   ReleaseCall();
@@ -93,10 +93,10 @@
   const std::string& answered = mAnswerFacts.mServer;
   if (status == 421 && !answered.empty() && answered != server) {
     constexpr int kLostHeartbeats = 3; // an entry lapses after this many
-    mState.mServers.Elsewhere(server,
-                              mState.mSettings.mServerHeartbeatInterval *
-                                kLostHeartbeats,
-                              mState.Now());
+    mState.mServers.OnAddressReused(server,
+                                    mState.mSettings.mServerHeartbeatInterval *
+                                      kLostHeartbeats,
+                                    mState.Now());
     mState.mLog.Line("server_elsewhere")
       .Text("server", server)
       .Text("answered", answered);
@@ -126,7 +126,7 @@
   mMayHaveRun = true;
   mGrant.reset();
   ++mPossibleRuns;
-  mState.mServers.Heard(server, ServerOutcome::Broken, mState.Now());
+  mState.mServers.RecordOutcome(server, ServerOutcome::Broken, mState.Now());
   mBadServers.insert(server);
   ReleaseCall();
   mEvents.clear();
--- a/src/entry/ExchangeSend.cpp
+++ b/src/entry/ExchangeSend.cpp
@@ -95,7 +95,7 @@
   request.mHead = ServerRequestHead(aBackend);
   request.mBody = mRequest.mBody;
   request.mIdleShare = again ? kIdleShareRepeatable : kIdleShareNonRepeatable;
-  mState.mServers.Began(mServer, FullName());
+  mState.mServers.OnRequestBegan(mServer, FullName());
   std::weak_ptr<Exchange> weak = weak_from_this();
   OutboundCall::Events events;
   events.mMatchesRequest = [weak](const HttpHead& aHead) {
@@ -208,7 +208,7 @@
 Exchange::ReleaseCall()
 {
   if (!mServer.empty()) {
-    mState.mServers.Ended(mServer, FullName());
+    mState.mServers.OnRequestEnded(mServer, FullName());
   }
   mServer.clear();
   // The call may be running one of its event callbacks: destroyed later.
@@ -237,9 +237,10 @@
 Exchange::OnCompleteAnswer()
 {
   bool failed = mAnswer.mStatus >= 500;
-  mState.mServers.Heard(mServer,
-                        failed ? ServerOutcome::Failed : ServerOutcome::Good,
-                        mState.Now());
+  mState.mServers.RecordOutcome(mServer,
+                                failed ? ServerOutcome::Failed
+                                       : ServerOutcome::Good,
+                                mState.Now());
   if (!failed && mSends == 1) {
     mState.mRunTimes.Note(mRoute->mName, mState.AgeOf(mSentAt));
   }
--- a/src/entry/LoadMessages.cpp
+++ b/src/entry/LoadMessages.cpp
@@ -30,7 +30,7 @@
   Json::Value content;
   content["id"] = aBackend.mEntry.mId;
   content["born"] = Json::Int64(aBackend.mEntry.mStartTime);
-  content["orders"] = Json::Int64(aBackend.mOrders);
+  content["orders"] = Json::Int64(aBackend.mOrderCount);
   content["loading_ms"] = Json::Int64(aLoading.count());
   content["models"] = Json::Value(Json::objectValue);
   for (const auto& [model, adapters] : aBackend.mModels) {
--- a/src/entry/LoadSchedulerBegin.cpp
+++ b/src/entry/LoadSchedulerBegin.cpp
@@ -77,8 +77,8 @@
   ModelOrder load;
   load.mModel = aRequest.mModel;
   job.mSteps.push_back(load);
-  aFacts.mBusy[job.mServer] = choice->Whole();
-  SendClaim(aRequest, true, choice->Whole());
+  aFacts.mBusy[job.mServer] = choice->TotalTime();
+  SendClaim(aRequest, true, choice->TotalTime());
   StartJob(std::move(job));
   return aRequest.mAdapter.empty();
 }
--- a/src/entry/LoadSchedulerDecide.cpp
+++ b/src/entry/LoadSchedulerDecide.cpp
@@ -108,7 +108,7 @@
   if (!choice) {
     return std::nullopt;
   }
-  return choice->Whole();
+  return choice->TotalTime();
 }
 
 PlacementFacts&
--- a/src/entry/LoadSchedulerSend.cpp
+++ b/src/entry/LoadSchedulerSend.cpp
@@ -71,7 +71,7 @@
     .Text("adapter", aJob.mRequest.mAdapter)
     .Text("evict", first.mLoad ? "" : first.mModel + "/" + first.mAdapter)
     .Count("source", static_cast<int>(aJob.mSource))
-    .Count("orders", mInventories.Of(aJob.mServer).Orders())
+    .Count("orders", mInventories.Of(aJob.mServer).OrderCount())
     .Number("rate", mState.mDemand.Rate(aJob.mRequest.mModel, now))
     .Count("priority", aJob.mRequest.mPriority)
     .Ms("expected_ms", aJob.mUnload + aJob.mLoad);
@@ -132,7 +132,7 @@
     EndJob(aServer, "model or adapter no longer fits on the server");
     return;
   }
-  order.mOrders = inventory.Orders();
+  order.mOrderCount = inventory.OrderCount();
   order.mHolder = mState.mSettings.mName;
   order.mToken = mLease.Token();
   wire::OrderCall call =
@@ -170,13 +170,13 @@
     case OrderAnswer::Accepted:
       OnAccepted(*job, false);
       break;
-    case OrderAnswer::Holds:
+    case OrderAnswer::AlreadyDone:
       // The unload of an idle adapter is done at once and counts as an order;
       // an order that found nothing to do does not.
       if (!step.mLoad && !step.mAdapter.empty()) {
         OnAccepted(*job, true);
       } else {
-        inventory.Forget();
+        inventory.MarkUnknown();
         Resync(*job);
       }
       break;
@@ -185,7 +185,7 @@
       // Either an unload of this job still waits for the model's requests, or
       // an order of another sender was accepted or is in progress.
       if (!job->mOnlyOwnOrders) {
-        inventory.Forget();
+        inventory.MarkUnknown();
       }
       Retry(*job, BusyDelay(job->mBusyAnswers));
       break;
@@ -197,7 +197,8 @@
         .Count("try", job->mAttempts);
       job->mOnlyOwnOrders = false;
       inventory.OnUnanswered(step, mState.Now());
-      mState.mServers.Heard(aServer, ServerOutcome::Broken, mState.Now());
+      mState.mServers.RecordOutcome(
+        aServer, ServerOutcome::Broken, mState.Now());
       if (++job->mUnanswered >= kMaxUnanswered) {
         EndJob(aServer, "server did not answer orders");
       } else {
@@ -241,7 +242,7 @@
   // rejects other orders.
   bool adapter = !step.mAdapter.empty();
   if (adapter && !aDone) {
-    mInventories.Of(server).Forget();
+    mInventories.Of(server).MarkUnknown();
   }
   Retry(*job, adapter ? Millis(0) : kUnloadTime);
 }
@@ -347,7 +348,7 @@
   }
   // An order may still be in progress, or arrive late.
   if (backend && !held) {
-    mInventories.Of(aServer).Forget();
+    mInventories.Of(aServer).MarkUnknown();
   }
   if (held && job.mRequest.mAdapter.empty()) {
     MarkRecentlyLoaded(aServer, job.mRequest.mModel);
--- a/src/entry/ServerInventories.cpp
+++ b/src/entry/ServerInventories.cpp
@@ -60,12 +60,12 @@
   if (mToken != mLease.Token()) {
     mToken = mLease.Token();
     for (auto& [server, entry] : mEntries) {
-      entry.mInventory.Forget();
+      entry.mInventory.MarkUnknown();
     }
   }
   Entry& entry = mEntries[aServer];
   const Backend* backend = mState.mServers.Find(aServer);
-  if (backend && backend->mEntry.mStartTime != entry.mInventory.Born()) {
+  if (backend && backend->mEntry.mStartTime != entry.mInventory.StartTime()) {
     entry.mInventory.Restart(backend->mEntry.mStartTime);
     entry.mNextReportAt = TimePoint();
   }
@@ -137,19 +137,20 @@
   request.mAddress = backend->mEntry.mAddress;
   request.mPeer = aServer;
   request.mHead = wire::WriteReportRequest(request.mAddress);
-  int64_t born = backend->mEntry.mStartTime;
+  int64_t startTime = backend->mEntry.mStartTime;
   StartBufferedCall(
     mState.mReactor,
     mState.mServerPool,
     std::move(request),
     kOrderTimeout,
-    [this, aServer, born, then = std::move(aThen)](BufferedAnswer& aAnswer) {
+    [this, aServer, startTime, then = std::move(aThen)](
+      BufferedAnswer& aAnswer) {
       auto found = mEntries.find(aServer);
       if (found != mEntries.end()) {
         found->second.mReportPending = false;
       }
       Backend* known = mState.mServers.Find(aServer);
-      if (!known || known->mEntry.mStartTime != born) {
+      if (!known || known->mEntry.mStartTime != startTime) {
         then(false);
         return;
       }
@@ -166,7 +167,7 @@
       if (known->mModels != before) {
         mState.mLog.Line("content_corrected")
           .Text("server", aServer)
-          .Count("orders", report->mOrders)
+          .Count("orders", report->mOrderCount)
           .Flag("still_loading", loadPending);
         mChanged();
       }
@@ -193,8 +194,8 @@
   const ServerInventory& inventory = Of(aServer);
   if (inventory.Known()) {
     mState.mServers.PutContent(aServer,
-                               inventory.Born(),
-                               inventory.Orders(),
+                               inventory.StartTime(),
+                               inventory.OrderCount(),
                                inventory.Usable(),
                                mState.Now());
   }
--- a/src/entry/UsageRelay.cpp
+++ b/src/entry/UsageRelay.cpp
@@ -49,7 +49,7 @@
     if (!aZone.empty() && backend.mEntry.mZone != aZone) {
       continue;
     }
-    for (const auto& [model, count] : backend.mMine) {
+    for (const auto& [model, count] : backend.mOwnRequests) {
       usage[id][model] = count;
     }
   }
--- a/tests/platform/OrdersTest.cpp
+++ b/tests/platform/OrdersTest.cpp
@@ -158,7 +158,7 @@
   fleet.Until([&] { return engine.mOrdersSeen >= 2; }, Seconds(2));
   engine.mDropsOrderAnswers = false;
   EXPECT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(4)));
-  EXPECT_EQ(1, engine.mOrders);
+  EXPECT_EQ(1, engine.mOrderCount);
 }
 
 // The instance is killed while a load that it ordered is in progress. After its
@@ -304,10 +304,10 @@
 {
   EntryTestFleet fleet;
   StandInServer& engine = *fleet.mEngines[0];
-  engine.mOrders = 5;
+  engine.mOrderCount = 5;
   fleet.AwaitReady();
   EXPECT_EQ(200, Stream(fleet, "m1", "r1")->mStatus);
-  EXPECT_EQ(6, engine.mOrders);
+  EXPECT_EQ(6, engine.mOrderCount);
 }
 
 } // namespace caraway
--- a/tests/property/EntryDecisionsProperty.cpp
+++ b/tests/property/EntryDecisionsProperty.cpp
@@ -180,13 +180,13 @@
   ServerView servers;
   servers.Put(Entry("s1", "a", { "m1", "m2", "m3" }), kStart);
   for (const char* model : { "m1", "m2/a1", "m3" }) {
-    servers.Began("s1", model);
+    servers.OnRequestBegan("s1", model);
   }
   PlacementFacts facts;
   facts.mService = "e";
   facts.mZone = "a";
   EXPECT_FALSE(ChoosePlacement(Engine(), "m9", servers, facts));
-  servers.Ended("s1", "m2/a1");
+  servers.OnRequestEnded("s1", "m2/a1");
   EXPECT_TRUE(ChoosePlacement(Engine(), "m9", servers, facts));
 }
 
@@ -272,7 +272,7 @@
   };
   EXPECT_EQ(ReplicaNeed::None, need("b", 3));
   for (int i = 0; i < 32; ++i) {
-    servers.Began("s1", i < 10 ? "m1" : "m2");
+    servers.OnRequestBegan("s1", i < 10 ? "m1" : "m2");
   }
   EXPECT_EQ(ReplicaNeed::Now, need("b", 3));
   // The other zone has fewer replicas.
@@ -290,7 +290,7 @@
   servers.Put(Entry("s2", "b", { "m3" }), kStart);
   servers.Put(Entry("s3", "c", { "m4" }, { "m1" }), kStart);
   for (int i = 0; i < 20; ++i) {
-    servers.Began("s1", "m1");
+    servers.OnRequestBegan("s1", "m1");
   }
   auto need = [&](const std::string& aHere) {
     return EvaluateReplicaNeed("e", "m1", servers, { "a", "b", "c" }, aHere, 3);
@@ -345,7 +345,7 @@
   servers.Put(Entry("s1", "a", {}), kStart);
   servers.Put(Entry("s2", "a", {}), kStart);
   std::mt19937 random(1);
-  servers.Heard("s1", ServerOutcome::Broken, kStart);
+  servers.RecordOutcome("s1", ServerOutcome::Broken, kStart);
   ServerRequirements requirements;
   requirements.mService = "e";
   requirements.mZone = "a";
@@ -431,7 +431,7 @@
   entry.mModels.clear();
   servers.Put(entry, kStart);
   EXPECT_FALSE(servers.Find("s1")->Holds("m1", ""));
-  EXPECT_EQ(-1, servers.Find("s1")->mOrders);
+  EXPECT_EQ(-1, servers.Find("s1")->mOrderCount);
   EXPECT_FALSE(servers.PutContent("s1", 0, 8, { { "m1", {} } }, kStart));
 }
 
--- a/tests/property/ServerInventoryProperty.cpp
+++ b/tests/property/ServerInventoryProperty.cpp
@@ -121,7 +121,7 @@
                                   }),
                    mDelayed.end());
     ++mStartTime;
-    mOrders = 0;
+    mOrderCount = 0;
     mHeld.clear();
     mLoadingModel.clear();
     mPendingUnloads.clear();
@@ -133,10 +133,10 @@
   // Returns whether the order is accepted, and whether it is finished at once.
   std::pair<bool, bool> CarryOut(const ModelOrder& aOrder)
   {
-    if (mBusy || aOrder.mOrders != mOrders) {
+    if (mBusy || aOrder.mOrderCount != mOrderCount) {
       return { false, false };
     }
-    ++mOrders;
+    ++mOrderCount;
     if (aOrder.mLoad) {
       size_t models = mHeld.size();
       bool full = aOrder.mAdapter.empty() ? models >= kModelCapacity
@@ -168,7 +168,7 @@
   void Snapshot()
   {
     ServerReport report;
-    report.mOrders = mOrders;
+    report.mOrderCount = mOrderCount;
     report.mBusy = mBusy;
     report.mModels = mHeld;
     report.mStartTime = mStartTime;
@@ -183,7 +183,7 @@
   void Act()
   {
     if (Chance(60)) {
-      mInventory.Forget(); // a new holder
+      mInventory.MarkUnknown(); // a new holder
     } else if (Chance(60)) {
       LoseHolder();
     }
@@ -195,7 +195,7 @@
     if (order.mModel.empty()) {
       return;
     }
-    order.mOrders = mInventory.Orders();
+    order.mOrderCount = mInventory.OrderCount();
     if (order.mLoad && !mInventory.Fits(Engine(), order, mNow)) {
       return;
     }
@@ -207,12 +207,12 @@
   {
     ServerInventory other(mStartTime);
     if (!mReports.empty() && other.OnReport(mReports.back())) {
-      ModelOrder order{ true, AnyModel(), "", other.Orders(), "", 0 };
+      ModelOrder order{ true, AnyModel(), "", other.OrderCount(), "", 0 };
       if (!mHeld.count(order.mModel) && other.Fits(Engine(), order, mNow)) {
         mDelayed.push_back({ mNow + Millis(mRandom() % 2000), order, true });
       }
     }
-    mInventory.Forget();
+    mInventory.MarkUnknown();
   }
 
   void ReadReport()
@@ -254,7 +254,7 @@
     }
     auto [accepted, done] = CarryOut(aOrder);
     if (!accepted) {
-      mInventory.Forget();
+      mInventory.MarkUnknown();
       return;
     }
     bool unload = !aOrder.mLoad && !aOrder.mAdapter.empty();
@@ -270,7 +270,7 @@
   OmittedSafeguard mOmitted;
   TimePoint mNow{ Seconds(1000) };
   int64_t mStartTime = 1;
-  int64_t mOrders = 0;
+  int64_t mOrderCount = 0;
   HeldModels mHeld;
   std::string mLoadingModel;
   std::set<std::pair<std::string, std::string>> mPendingUnloads;
@@ -314,7 +314,7 @@
 {
   ServerInventory inventory(1);
   ServerReport report;
-  report.mOrders = 4;
+  report.mOrderCount = 4;
   report.mModels = { { "m0", {} } };
   report.mStartTime = 1;
   ASSERT_TRUE(inventory.OnReport(report));
@@ -323,7 +323,7 @@
   EXPECT_EQ(2u, inventory.UpperBound(TimePoint()).size());
   EXPECT_EQ(1u, inventory.Usable().size());
   report.mStartTime = 2;
-  report.mOrders = 9;
+  report.mOrderCount = 9;
   EXPECT_FALSE(inventory.OnReport(report));
 }
 
@@ -334,12 +334,12 @@
   ServerInventory inventory(1);
   ServerReport report;
   report.mStartTime = 1;
-  report.mOrders = 1;
+  report.mOrderCount = 1;
   ASSERT_TRUE(inventory.OnReport(report));
   inventory.OnUnanswered({ true, "m7", "", 1, "", 0 }, TimePoint());
   inventory.Restart(2);
   report.mStartTime = 2;
-  report.mOrders = 0;
+  report.mOrderCount = 0;
   report.mModels = { { "m0", {} }, { "m1", {} } };
   ASSERT_TRUE(inventory.OnReport(report));
   ModelOrder third{ true, "m2", "", 0, "", 0 };
@@ -361,7 +361,7 @@
   inventory.OnAccepted({ true, "m1", "", 0, "", 0 }, false);
   inventory.OnLoadFinished();
   EXPECT_TRUE(inventory.Usable().count("m1"));
-  report.mOrders = 1;
+  report.mOrderCount = 1;
   report.mBusy = true;
   EXPECT_TRUE(inventory.OnLoadStillPending(report));
   EXPECT_FALSE(inventory.Usable().count("m1"));
--- a/tests/support/StandInServer.cpp
+++ b/tests/support/StandInServer.cpp
@@ -343,13 +343,13 @@
 int
 StandInServer::CarryOut(const Json::Value& aOrder)
 {
-  if (mBusy || aOrder["precondition"].asInt64() != mOrders) {
+  if (mBusy || aOrder["precondition"].asInt64() != mOrderCount) {
     return 409;
   }
   std::string model = aOrder["model"].asString();
   std::string adapter = aOrder["adapter"].asString();
   bool load = aOrder["operation"].asString() == "load";
-  ++mOrders;
+  ++mOrderCount;
   if (!load && adapter.empty()) {
     mModels.erase(model);
     mBusy = mUnloadTime > Millis(0);
@@ -392,7 +392,7 @@
   Json::Value report;
   report["stage"] = "both";
   report["busy"] = mBusy || !mNotYetReported.empty();
-  report["sequence"] = Json::Int64(mOrders);
+  report["sequence"] = Json::Int64(mOrderCount);
   report["models"] = Json::Value(Json::arrayValue);
   Json::Value entry = Entry("", "");
   for (const Json::Value& model : entry["models"]) {
--- a/tests/support/StandInServer.h
+++ b/tests/support/StandInServer.h
@@ -78,7 +78,7 @@
   std::string mExpectedId; // a request for another id is answered by 421
   HeldModels mModels;
   std::set<std::string> mOnDisk;
-  int64_t mOrders = 0;
+  int64_t mOrderCount = 0;
   bool mBusy = false;
   int mModelCapacity = 3; // models that fit
   int mAdapterCapacity = 8;
--- a/tests/unit/WireMessagesTest.cpp
+++ b/tests/unit/WireMessagesTest.cpp
@@ -211,7 +211,7 @@
   ModelOrder order;
   order.mModel = "m";
   order.mAdapter = "a3";
-  order.mOrders = 2;
+  order.mOrderCount = 2;
   order.mHolder = "node-7";
   order.mToken = 41;
   OrderCall call = WriteOrder(order, "1.2.3.4:5", "i-1");
