--- a/src/decide/LoadPriority.h
+++ b/src/decide/LoadPriority.h
@@ -19,10 +19,10 @@
 
 struct LoadPriorityFacts
 {
-  double mRate = 0;   // requests per second for the model
-  int mPriority = 5;  // 0 = most urgent
-  bool mAsked = true; // requests wait for it; else an extra replica
-  TimePoint mSince{}; // time of the first request
+  double mRate = 0;        // requests per second for the model
+  int mPriority = 5;       // 0 = most urgent
+  bool mHasWaiters = true; // requests wait for it; else an extra replica
+  TimePoint mSince{};      // time of the first request
   // The newest request's answer is late if it starts after this.
   TimePoint mNeedBy{};
   Millis mLoad{ 0 }; // usual load time
--- a/src/decide/RequestFacts.h
+++ b/src/decide/RequestFacts.h
@@ -15,8 +15,8 @@
 {
   std::string mId; // of this attempt of the caller
   std::string mHost;
-  std::string mPath; // without the query
-  std::string mKey;  // "" = none given
+  std::string mPath;      // without the query
+  std::string mTenantKey; // "" = none given
   std::string mModel;
   std::string mAdapter; // of mModel; "" = none
   std::optional<double> mPromptTokens;
--- a/src/decide/RunTimeEstimates.cpp
+++ b/src/decide/RunTimeEstimates.cpp
@@ -20,7 +20,7 @@
 } // namespace
 
 void
-RunTimeEstimates::Note(const std::string& aRoute, Millis aTook)
+RunTimeEstimates::Record(const std::string& aRoute, Millis aTook)
 {
   if (mRoutes.size() >= kMaxRoutes && mRoutes.count(aRoute) == 0) {
     mRoutes.clear();
--- a/src/decide/RunTimeEstimates.h
+++ b/src/decide/RunTimeEstimates.h
@@ -15,7 +15,7 @@
 {
 public:
   // Records a complete answer on aRoute, aTook after the request was sent.
-  void Note(const std::string& aRoute, Millis aTook);
+  void Record(const std::string& aRoute, Millis aTook);
   // Duration that few runs exceed; 0 = aRoute is unknown.
   Millis UsualTime(const std::string& aRoute) const;
   size_t Size() const { return mRoutes.size(); }
--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -200,9 +200,9 @@
   if (mConfig->mTenants.empty() || mRoute->mAnonymous) {
     return true;
   }
-  auto tenant = mConfig->mTenantOfKey.find(mFacts.mKey);
+  auto tenant = mConfig->mTenantOfKey.find(mFacts.mTenantKey);
   if (tenant == mConfig->mTenantOfKey.end()) {
-    bool hasKey = !mFacts.mKey.empty();
+    bool hasKey = !mFacts.mTenantKey.empty();
     Refuse(
       hasKey ? ErrorKind::KeyUnknown : ErrorKind::KeyMissing, Millis(0), "key");
     return false;
--- a/src/entry/ExchangeSend.cpp
+++ b/src/entry/ExchangeSend.cpp
@@ -242,7 +242,7 @@
                                        : ServerOutcome::Good,
                                 mState.Now());
   if (!failed && mSends == 1) {
-    mState.mRunTimes.Note(mRoute->mName, mState.AgeOf(mSentAt));
+    mState.mRunTimes.Record(mRoute->mName, mState.AgeOf(mSentAt));
   }
   ReleaseCall();
   if (mStreaming) {
--- a/src/entry/LoadSchedulerDecide.cpp
+++ b/src/entry/LoadSchedulerDecide.cpp
@@ -198,7 +198,7 @@
   facts.mRate = mState.mDemand.Rate(aPending.mRequest.mModel, mState.Now());
   facts.mPriority = aPending.mRequest.mPriority;
   // The lowest priority is that of a replica that no request waits for.
-  facts.mAsked = aPending.mRequest.mPriority < kLowestPriority;
+  facts.mHasWaiters = aPending.mRequest.mPriority < kLowestPriority;
   facts.mSince = aPending.mSince;
   facts.mNeedBy = aPending.mNeedBy;
   facts.mLoad = ShortestLoadTime(aPending.mRequest);
--- a/tests/property/EntryDecisionsProperty.cpp
+++ b/tests/property/EntryDecisionsProperty.cpp
@@ -318,7 +318,7 @@
   EXPECT_LT(RankLoad(popular, now), RankLoad(rare, now));
   // An extra replica of it can wait, and so can a rare model that is late.
   LoadPriorityFacts replica = popular;
-  replica.mAsked = false;
+  replica.mHasWaiters = false;
   EXPECT_LT(RankLoad(rare, now), RankLoad(replica, now));
   LoadPriorityFacts late = rare;
   late.mNeedBy = now;
--- a/tests/unit/RunTimeEstimatesTest.cpp
+++ b/tests/unit/RunTimeEstimatesTest.cpp
@@ -18,7 +18,7 @@
 TEST(RunTimeEstimates, UnknownRouteIsZero)
 {
   RunTimeEstimates times;
-  times.Note("other", Seconds(9));
+  times.Record("other", Seconds(9));
   EXPECT_EQ(Millis(0), times.UsualTime(kRoute));
 }
 
@@ -26,7 +26,7 @@
 TEST(RunTimeEstimates, FirstRunAlreadyCounts)
 {
   RunTimeEstimates times;
-  times.Note(kRoute, Millis(1000));
+  times.Record(kRoute, Millis(1000));
   EXPECT_LE(Millis(1000), times.UsualTime(kRoute));
 }
 
@@ -36,7 +36,7 @@
 {
   RunTimeEstimates times;
   for (int i = 0; i < 100; ++i) {
-    times.Note(kRoute, Millis(1000));
+    times.Record(kRoute, Millis(1000));
   }
   EXPECT_LE(Millis(999), times.UsualTime(kRoute));
   EXPECT_GE(Millis(1001), times.UsualTime(kRoute));
@@ -51,7 +51,7 @@
   for (int i = 0; i < kRuns; ++i) {
     Millis took(1000 + (i * 7919) % 3000); // spread evenly over 1 s to 4 s
     over += i > 0 && took > times.UsualTime(kRoute) ? 1 : 0;
-    times.Note(kRoute, took);
+    times.Record(kRoute, took);
   }
   EXPECT_GE(kRuns / 10, over);
 }
@@ -61,10 +61,10 @@
 {
   RunTimeEstimates times;
   for (int i = 0; i < 100; ++i) {
-    times.Note(kRoute, Millis(100));
+    times.Record(kRoute, Millis(100));
   }
   for (int i = 0; i < 10; ++i) {
-    times.Note(kRoute, Millis(5000));
+    times.Record(kRoute, Millis(5000));
   }
   EXPECT_LE(Millis(5000), times.UsualTime(kRoute));
 }
@@ -75,11 +75,11 @@
 {
   RunTimeEstimates times;
   for (int i = 0; i < 100; ++i) {
-    times.Note(kRoute, Millis(100));
+    times.Record(kRoute, Millis(100));
   }
-  times.Note(kRoute, Seconds(20));
+  times.Record(kRoute, Seconds(20));
   for (int i = 0; i < 10; ++i) {
-    times.Note(kRoute, Millis(100));
+    times.Record(kRoute, Millis(100));
   }
   EXPECT_GE(Millis(5000), times.UsualTime(kRoute));
 }
@@ -89,7 +89,7 @@
 {
   RunTimeEstimates times;
   for (int i = 0; i < 20000; ++i) {
-    times.Note("route-" + std::to_string(i), Millis(100));
+    times.Record("route-" + std::to_string(i), Millis(100));
   }
   EXPECT_GE(4096u, times.Size());
   EXPECT_NE(Millis(0), times.UsualTime("route-19999"));
--- a/tests/unit/WireMessagesTest.cpp
+++ b/tests/unit/WireMessagesTest.cpp
@@ -247,7 +247,7 @@
   EXPECT_EQ("a1", facts->mAdapter);
   EXPECT_EQ(1460, *facts->mPromptTokens);
   EXPECT_EQ(Millis(120), *facts->mDeadline);
-  EXPECT_EQ("k", facts->mKey);
+  EXPECT_EQ("k", facts->mTenantKey);
   for (const char* bad : { "Token-Count: x\r\n",
                            "Token-Count: 1\r\n",
                            "Token-Count: -1,2\r\n",
