--- a/src/decide/LeaseStep.cpp
+++ b/src/decide/LeaseStep.cpp
@@ -171,7 +171,7 @@
 }
 
 void
-LeaseStep::OnClaim(const std::string& aHolder, TimePoint aNow)
+LeaseStep::OnHolderAnnounced(const std::string& aHolder, TimePoint aNow)
 {
   if (aHolder != mSelf) {
     mHolderHeard = true;
@@ -190,7 +190,7 @@
 }
 
 void
-LeaseStep::LookAgain(TimePoint aNow)
+LeaseStep::RequestReread(TimePoint aNow)
 {
   if (mToken == 0 && !mCallPending) {
     mRereadNeeded = true;
--- a/src/decide/LeaseStep.h
+++ b/src/decide/LeaseStep.h
@@ -63,7 +63,7 @@
   // No answer or an error: a write may or may not have been carried out.
   void OnFailed(TimePoint aNow);
   // Another instance announces that it holds the lease.
-  void OnClaim(const std::string& aHolder, TimePoint aNow);
+  void OnHolderAnnounced(const std::string& aHolder, TimePoint aNow);
 
   // That instance is alive and no longer announces it: what was read before is
   // outdated.
@@ -71,7 +71,7 @@
 
   // The record may have changed and is read again. The time since which its
   // holder was seen is kept.
-  void LookAgain(TimePoint aNow);
+  void RequestReread(TimePoint aNow);
 
   // Whether this instance may acquire and keep the lease. If not, it stops
   // acting, releases a held lease with a last write, and makes no calls.
--- a/src/decide/LoadClaims.cpp
+++ b/src/decide/LoadClaims.cpp
@@ -20,20 +20,21 @@
                     const std::string& aZone,
                     bool aBegun,
                     TimePoint aExpected,
-                    Mine aMine)
+                    OwnProgress aOwn)
 {
   // Both zones may have queued the model at the same moment. Each receives the
   // other's claim, and the zone whose name sorts first keeps the load.
-  bool yields =
-    aMine == Mine::None || (aMine == Mine::Queued && (aBegun || aZone < mZone));
+  bool yields = aOwn == OwnProgress::None ||
+                (aOwn == OwnProgress::Queued && (aBegun || aZone < mZone));
   if (yields) {
     mExpected[aModel] = aExpected;
   }
-  return yields && aMine == Mine::Queued;
+  return yields && aOwn == OwnProgress::Queued;
 }
 
 std::optional<TimePoint>
-LoadClaims::Elsewhere(const std::string& aModel, TimePoint aNow) const
+LoadClaims::ExpectedFromOtherZone(const std::string& aModel,
+                                  TimePoint aNow) const
 {
   auto found = mExpected.find(aModel);
   if (found == mExpected.end() || aNow > found->second + kOverdue) {
--- a/src/decide/LoadClaims.h
+++ b/src/decide/LoadClaims.h
@@ -22,7 +22,7 @@
 {
 public:
   // This zone's own progress with a model.
-  enum class Mine
+  enum class OwnProgress
   {
     None,
     Queued,
@@ -37,10 +37,10 @@
                const std::string& aZone,
                bool aBegun,
                TimePoint aExpected,
-               Mine aMine);
+               OwnProgress aOwn);
   // Time at which another zone expects aModel to be loaded, if one does.
-  std::optional<TimePoint> Elsewhere(const std::string& aModel,
-                                     TimePoint aNow) const;
+  std::optional<TimePoint> ExpectedFromOtherZone(const std::string& aModel,
+                                                 TimePoint aNow) const;
   // Drops claims whose loads are overdue.
   void Forget(TimePoint aNow);
 
--- a/src/decide/WatchStep.cpp
+++ b/src/decide/WatchStep.cpp
@@ -24,25 +24,25 @@
 } // namespace
 
 WatchStep::WatchStep(std::string aRank)
-  : mSelf(std::move(aRank))
+  : mRank(std::move(aRank))
 {
 }
 
 bool
-WatchStep::OnTold(const std::string& aFrom,
-                  TimePoint aUpdateAt,
-                  TimePoint aOwnUpdateAt,
-                  TimePoint aNow)
+WatchStep::OnUpdate(const std::string& aFrom,
+                    TimePoint aUpdateAt,
+                    TimePoint aOwnUpdateAt,
+                    TimePoint aNow)
 {
   bool same = NameOf(aFrom) == NameOf(mFollowed);
-  if (aNow - aUpdateAt >= kMaxUpdateAge || NameOf(aFrom) == NameOf(mSelf)) {
+  if (aNow - aUpdateAt >= kMaxUpdateAge || NameOf(aFrom) == NameOf(mRank)) {
     return false;
   }
   if (Follows(aNow)) {
     if (aFrom > mFollowed && !same) {
       return false;
     }
-  } else if (aNow - aOwnUpdateAt < kMaxUpdateAge && aFrom > mSelf) {
+  } else if (aNow - aOwnUpdateAt < kMaxUpdateAge && aFrom > mRank) {
     return false;
   }
   mUpdateAt = same ? std::max(mUpdateAt, aUpdateAt) : aUpdateAt;
--- a/src/decide/WatchStep.h
+++ b/src/decide/WatchStep.h
@@ -37,19 +37,19 @@
   // if this instance now follows it. aOwnUpdateAt: time of this instance's own
   // last read, zero while it follows another. kMaxUpdateAge applies to own
   // reads as well.
-  bool OnTold(const std::string& aFrom,
-              TimePoint aUpdateAt,
-              TimePoint aOwnUpdateAt,
-              TimePoint aNow);
+  bool OnUpdate(const std::string& aFrom,
+                TimePoint aUpdateAt,
+                TimePoint aOwnUpdateAt,
+                TimePoint aNow);
   // If false, this instance reads the store itself.
   bool Follows(TimePoint aNow) const;
   const std::string& Followed() const { return mFollowed; }
   // Changes this instance's rank.
-  void SetSelf(const std::string& aRank) { mSelf = aRank; }
+  void SetRank(const std::string& aRank) { mRank = aRank; }
   void Forget() { mFollowed.clear(); }
 
 private:
-  std::string mSelf;     // rank
+  std::string mRank;     // rank
   std::string mFollowed; // rank of the reader that it follows; "" = none yet
   TimePoint mUpdateAt{}; // last update of mFollowed
 };
--- a/src/decide/ZoneMembers.cpp
+++ b/src/decide/ZoneMembers.cpp
@@ -260,7 +260,7 @@
 }
 
 MemberHeartbeat
-ZoneMembers::Pulse(TimePoint aNow) const
+ZoneMembers::OwnHeartbeat(TimePoint aNow) const
 {
   MemberHeartbeat heartbeat;
   heartbeat.mCounted = mCounted;
--- a/src/decide/ZoneMembers.h
+++ b/src/decide/ZoneMembers.h
@@ -93,7 +93,7 @@
   bool MustJoin() const { return mMissing || mMarked; }
   bool Missing() const { return mMissing; }
   // Membership part of this instance's next heartbeat.
-  MemberHeartbeat Pulse(TimePoint aNow) const;
+  MemberHeartbeat OwnHeartbeat(TimePoint aNow) const;
   // Peers that have yet to confirm this instance; none once it is counted.
   std::vector<std::string> Unconfirmed() const;
   // All that are counted or request it, this instance included, sorted.
--- a/src/entry/FeedRelay.cpp
+++ b/src/entry/FeedRelay.cpp
@@ -236,15 +236,15 @@
   TimePoint updateAt = now - transit - Millis(aUpdate["age_ms"].asInt64());
   Millis configAge = transit + Millis(aUpdate["config_age_ms"].asInt64());
   int64_t known = mFeed.ServersCompleteTo();
-  mStep.SetSelf(Rank());
+  mStep.SetRank(Rank());
   // An update that begins after the revision known here would leave a gap.
   if (known == 0 || aUpdate["since"].asInt64() > known ||
       configAge >= kConfigMaxAge ||
-      !mStep.OnTold(aUpdate["rank"].asString(),
-                    updateAt,
-                    !mFeed.Paused() && mFeed.Fresh() ? mFeed.ListConfirmedAt()
-                                                     : TimePoint(),
-                    now)) {
+      !mStep.OnUpdate(aUpdate["rank"].asString(),
+                      updateAt,
+                      !mFeed.Paused() && mFeed.Fresh() ? mFeed.ListConfirmedAt()
+                                                       : TimePoint(),
+                      now)) {
     return;
   }
   if (!mFeed.Paused()) {
--- a/src/entry/LeaseLoop.cpp
+++ b/src/entry/LeaseLoop.cpp
@@ -132,7 +132,7 @@
 {
   std::string claimant = mPeers.HolderOf(mName);
   if (!claimant.empty()) {
-    mStep.OnClaim(claimant, aNow);
+    mStep.OnHolderAnnounced(claimant, aNow);
     mLastClaimant = claimant;
   } else if (mPeers.Alive(mLastClaimant)) {
     mStep.OnHolderReleased(aNow); // alive, but no longer claims it
@@ -140,7 +140,7 @@
   } else if (aNow >= mRecheckAt && mPeers.Alive(mStep.SeenHolder())) {
     // The holder may have released the lease before any of its claims arrived.
     mRecheckAt = aNow + mPeers.HeartbeatInterval() * kClaimHeartbeats;
-    mStep.LookAgain(aNow);
+    mStep.RequestReread(aNow);
   }
 }
 
--- a/src/entry/LoadSchedulerClaims.cpp
+++ b/src/entry/LoadSchedulerClaims.cpp
@@ -48,11 +48,11 @@
   std::string service = aMessage["service"].asString();
   std::string model = aMessage["model"].asString();
   Key key{ service, model, "" };
-  auto mine =
-    mQueue.count(key) ? LoadClaims::Mine::Queued : LoadClaims::Mine::None;
+  auto own = mQueue.count(key) ? LoadClaims::OwnProgress::Queued
+                               : LoadClaims::OwnProgress::None;
   for (const auto& [server, job] : mJobs) {
     if (job.mRequest.mService == service && job.mRequest.mModel == model) {
-      mine = LoadClaims::Mine::Begun;
+      own = LoadClaims::OwnProgress::Begun;
     }
   }
   TimePoint expected = mState.Now() + Millis(aMessage["expected_ms"].asInt64());
@@ -60,7 +60,7 @@
                       aMessage["zone"].asString(),
                       aMessage["begun"].asBool(),
                       expected,
-                      mine)) {
+                      own)) {
     mState.mLog.Line("place_left_to_zone")
       .Text("model", model)
       .Text("zone", aMessage["zone"].asString());
--- a/src/entry/LoadSchedulerDecide.cpp
+++ b/src/entry/LoadSchedulerDecide.cpp
@@ -80,7 +80,7 @@
   TimePoint now = mState.Now();
   auto elsewhere = aRequest.mExtraReplica || !aRequest.mAdapter.empty()
                      ? std::nullopt
-                     : mClaims.Elsewhere(aRequest.mModel, now);
+                     : mClaims.ExpectedFromOtherZone(aRequest.mModel, now);
   if (!elsewhere) {
     return std::nullopt;
   }
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -93,7 +93,7 @@
 void
 Membership::FillHeartbeat(Json::Value& aHeartbeat) const
 {
-  MemberHeartbeat heartbeat = mZone.Pulse(mState.Now());
+  MemberHeartbeat heartbeat = mZone.OwnHeartbeat(mState.Now());
   aHeartbeat["counted"] = heartbeat.mCounted;
   for (const std::string& peer : heartbeat.mSilent) {
     aHeartbeat["silent"].append(peer);
--- a/tests/property/EmptyZoneProperty.cpp
+++ b/tests/property/EmptyZoneProperty.cpp
@@ -284,7 +284,7 @@
       }
     }
     if (!claimant.empty()) {
-      aOne.mLease.OnClaim(claimant, mNow);
+      aOne.mLease.OnHolderAnnounced(claimant, mNow);
       aOne.mLastClaimant = claimant;
     } else if (Hears(aOne, aOne.mLastClaimant)) {
       aOne.mLease.OnHolderReleased(mNow);
@@ -292,7 +292,7 @@
     } else if (mNow >= aOne.mRecheckAt &&
                Hears(aOne, aOne.mLease.SeenHolder())) {
       aOne.mRecheckAt = mNow + Millis(500);
-      aOne.mLease.LookAgain(mNow);
+      aOne.mLease.RequestReread(mNow);
     }
   }
 
--- a/tests/property/EntryDecisionsProperty.cpp
+++ b/tests/property/EntryDecisionsProperty.cpp
@@ -243,21 +243,21 @@
 // the load, and only if both have started do both load.
 TEST(LoadClaims, TwoZonesNeverBothDropALoad)
 {
-  using Mine = LoadClaims::Mine;
+  using OwnProgress = LoadClaims::OwnProgress;
   TimePoint expected = kStart + Seconds(1);
   LoadClaims a("a");
   LoadClaims b("b");
-  EXPECT_FALSE(a.OnClaim("m", "b", false, expected, Mine::Queued));
-  EXPECT_TRUE(b.OnClaim("m", "a", false, expected, Mine::Queued));
-  EXPECT_FALSE(a.Elsewhere("m", kStart));
-  EXPECT_TRUE(b.Elsewhere("m", kStart));
+  EXPECT_FALSE(a.OnClaim("m", "b", false, expected, OwnProgress::Queued));
+  EXPECT_TRUE(b.OnClaim("m", "a", false, expected, OwnProgress::Queued));
+  EXPECT_FALSE(a.ExpectedFromOtherZone("m", kStart));
+  EXPECT_TRUE(b.ExpectedFromOtherZone("m", kStart));
   // The load is overdue: any zone that is asked may load the model.
-  EXPECT_FALSE(b.Elsewhere("m", expected + Seconds(1)));
+  EXPECT_FALSE(b.ExpectedFromOtherZone("m", expected + Seconds(1)));
   // The zone that sorts second has started; the first, which hasn't, drops its
   // load.
-  EXPECT_TRUE(a.OnClaim("n", "b", true, expected, Mine::Queued));
-  EXPECT_FALSE(b.OnClaim("n", "a", false, expected, Mine::Begun));
-  EXPECT_FALSE(a.OnClaim("o", "b", true, expected, Mine::Begun));
+  EXPECT_TRUE(a.OnClaim("n", "b", true, expected, OwnProgress::Queued));
+  EXPECT_FALSE(b.OnClaim("n", "a", false, expected, OwnProgress::Begun));
+  EXPECT_FALSE(a.OnClaim("o", "b", true, expected, OwnProgress::Begun));
 }
 
 // Guards against requests refused by the full server of a popular model, which
--- a/tests/property/LeaseStepProperty.cpp
+++ b/tests/property/LeaseStepProperty.cpp
@@ -165,7 +165,7 @@
   ASSERT_TRUE(first.Holds(now));
   CarryOutDue(second, object, now); // reads it, and waits
   CarryOutDue(second, object, now);
-  second.OnClaim("a", now);
+  second.OnHolderAnnounced("a", now);
   now += Millis(300);
   first.Release(now);
   CarryOutDue(first, object, now);
@@ -234,7 +234,7 @@
   EXPECT_EQ(LeaseAction::Read, weak.Due(now));
   weak.OnRead(std::nullopt, now);
   EXPECT_EQ(LeaseAction::None, weak.Due(now + Millis(300)));
-  weak.OnClaim("s", now + Millis(350));
+  weak.OnHolderAnnounced("s", now + Millis(350));
   EXPECT_EQ(LeaseAction::None, weak.Due(now + Millis(500)));
   LeaseStep alone("w", times);
   alone.Due(now);
--- a/tests/property/WatchStepProperty.cpp
+++ b/tests/property/WatchStepProperty.cpp
@@ -53,7 +53,7 @@
           *rc::gen::inRange(0, 100) < aLost) {
         continue;
       }
-      if (other.mStep.OnTold(
+      if (other.mStep.OnUpdate(
             reader.mName, aNow, other.OwnUpdateAt(aNow), aNow)) {
         other.mUpdateAt = aNow;
       }
@@ -122,9 +122,9 @@
 {
   TimePoint now{ Seconds(1000) };
   WatchStep step(WatchRank(0.25, "b"));
-  EXPECT_TRUE(step.OnTold(WatchRank(0.25, "a"), now, TimePoint(), now));
-  EXPECT_TRUE(step.OnTold(WatchRank(0.25, "a", true), now, TimePoint(), now));
-  EXPECT_FALSE(step.OnTold(WatchRank(0.25, "b", true), now, now, now));
+  EXPECT_TRUE(step.OnUpdate(WatchRank(0.25, "a"), now, TimePoint(), now));
+  EXPECT_TRUE(step.OnUpdate(WatchRank(0.25, "a", true), now, TimePoint(), now));
+  EXPECT_FALSE(step.OnUpdate(WatchRank(0.25, "b", true), now, now, now));
 }
 
 // Guards against two readers that receive each other's updates at the same
@@ -134,12 +134,12 @@
   TimePoint now{ Seconds(1000) };
   WatchStep first("a");
   WatchStep second("b");
-  EXPECT_FALSE(first.OnTold("b", now, now, now));
-  EXPECT_TRUE(second.OnTold("a", now, now, now));
+  EXPECT_FALSE(first.OnUpdate("b", now, now, now));
+  EXPECT_TRUE(second.OnUpdate("a", now, now, now));
   EXPECT_FALSE(first.Follows(now));
   EXPECT_TRUE(second.Follows(now));
   // An update sent before the second one stopped arrives late.
-  EXPECT_FALSE(first.OnTold("b", now - Millis(50), now, now));
+  EXPECT_FALSE(first.OnUpdate("b", now - Millis(50), now, now));
 }
 
 // Guards against a reader that can't keep up and prefers its own outdated
@@ -148,7 +148,7 @@
 {
   TimePoint now{ Seconds(1000) };
   WatchStep first("a");
-  EXPECT_TRUE(first.OnTold("b", now, now - WatchStep::kMaxUpdateAge, now));
+  EXPECT_TRUE(first.OnUpdate("b", now, now - WatchStep::kMaxUpdateAge, now));
   EXPECT_TRUE(first.Follows(now));
 }
 
--- a/tests/property/ZoneTokensProperty.cpp
+++ b/tests/property/ZoneTokensProperty.cpp
@@ -203,7 +203,8 @@
   {
     for (auto& peer : mNodes) {
       if (Hears(*peer, aNode) && !Chance(10)) {
-        peer->mZone.OnHeartbeat(aNode.mName, aNode.mZone.Pulse(mNow), mNow);
+        peer->mZone.OnHeartbeat(
+          aNode.mName, aNode.mZone.OwnHeartbeat(mNow), mNow);
       }
     }
   }
