--- a/src/decide/ClaimStep.cpp
+++ b/src/decide/ClaimStep.cpp
@@ -123,7 +123,7 @@
   switch (aEvent.mKind) {
     case ClaimEventKind::Written:
       return OnClaimHeld(aState, aEvent.mVersion, aNow);
-    case ClaimEventKind::Standing:
+    case ClaimEventKind::RecordPresent:
       return OnCurrentRecord(aState, aEvent, aNow);
     case ClaimEventKind::Absent:
       // The first create may still be in flight. A second one with the same
@@ -162,7 +162,7 @@
       aState.mAnswer = aEvent.mRecord.mAnswer;
       aState.mPhase = ClaimPhase::StoringAnswer;
       return Make(ClaimActionKind::StoreAnswer, aState.mVersion);
-    case ClaimEventKind::NotOffered:
+    case ClaimEventKind::NotForwarded:
       if (aEvent.mEndpointsLeft) {
         return ForwardOrder(aState, aNow);
       }
--- a/src/decide/ClaimStep.h
+++ b/src/decide/ClaimStep.h
@@ -46,18 +46,18 @@
 enum class ClaimEventKind
 {
   Start,
-  Written,      // the attempt's conditional write took effect at mVersion
-  Standing,     // stored: mRecord at mVersion; may be the attempt's own
-  Absent,       // no record is stored
-  NoPlatform,   // platform did not answer; a write may take effect, even later
-  PeerRunning,  // the creator is still working on the order
-  PeerGaveUp,   // the creator will never forward it
-  PeerAnswered, // the creator has the answer: mRecord.mAnswer
-  PeerLost,     // the creator forwarded it and doesn't know the outcome
-  PeerUnknown,  // unreachable, or restarted since
-  NotOffered,   // no byte was sent; mEndpointsLeft: others can be tried
-  Answered,     // complete answer in mRecord.mAnswer
-  AnswerLost,   // sent, but no complete answer arrived
+  Written,       // the attempt's conditional write took effect at mVersion
+  RecordPresent, // stored: mRecord at mVersion; may be the attempt's own
+  Absent,        // no record is stored
+  NoPlatform,    // platform did not answer; a write may take effect, even later
+  PeerRunning,   // the creator is still working on the order
+  PeerGaveUp,    // the creator will never forward it
+  PeerAnswered,  // the creator has the answer: mRecord.mAnswer
+  PeerLost,      // the creator forwarded it and doesn't know the outcome
+  PeerUnknown,   // unreachable, or restarted since
+  NotForwarded,  // no byte was sent; mEndpointsLeft: others can be tried
+  Answered,      // complete answer in mRecord.mAnswer
+  AnswerLost,    // sent, but no complete answer arrived
 };
 
 struct ClaimEvent
--- a/src/serve/ClaimDriver.cpp
+++ b/src/serve/ClaimDriver.cpp
@@ -162,8 +162,9 @@
       event.mKind = ClaimEventKind::Written;
       break;
     case WriteOutcome::Conflict:
-      event.mKind = result.mObject.mVersion == 0 ? ClaimEventKind::Absent
-                                                 : ClaimEventKind::Standing;
+      event.mKind = result.mObject.mVersion == 0
+                      ? ClaimEventKind::Absent
+                      : ClaimEventKind::RecordPresent;
       event.mRecord = ClaimParse(result.mObject.mValue);
       break;
     default:
@@ -184,7 +185,7 @@
                      : ClaimEventKind::NoPlatform);
   }
   const PlatformObject& object = std::get<PlatformObject>(read);
-  ClaimEvent event = EventOf(ClaimEventKind::Standing);
+  ClaimEvent event = EventOf(ClaimEventKind::RecordPresent);
   event.mVersion = object.mVersion;
   event.mRecord = ClaimParse(object.mValue);
   return event;
--- a/src/serve/ClaimDriver.h
+++ b/src/serve/ClaimDriver.h
@@ -49,8 +49,8 @@
               const Clock& aClock);
 
   // aSendOrder sends the order to one endpoint and reports the outcome:
-  // NotOffered, Answered or AnswerLost. It is called again only after
-  // NotOffered with mEndpointsLeft.
+  // NotForwarded, Answered or AnswerLost. It is called again only after
+  // NotForwarded with mEndpointsLeft.
   Result<OrderAnswer> Run(const Order& aOrder,
                           const std::function<ClaimEvent()>& aSendOrder);
 
--- a/src/serve/ServiceCalls.cpp
+++ b/src/serve/ServiceCalls.cpp
@@ -135,7 +135,7 @@
   }
   return mClaims.Run(order, [] {
     ClaimEvent event;
-    event.mKind = ClaimEventKind::NotOffered;
+    event.mKind = ClaimEventKind::NotForwarded;
     return event;
   });
 }
@@ -148,7 +148,7 @@
   Order order = OrderOf(aCall, aDeadline);
   return mClaims.Run(order, [&] {
     ClaimEvent event;
-    event.mKind = ClaimEventKind::NotOffered;
+    event.mKind = ClaimEventKind::NotForwarded;
     auto late = FailureIn([&] { return mLeave.MayStart(aDeadline); });
     if (next >= endpoints.size() || late) {
       return event;
--- a/tests/property/ClaimProperty.cpp
+++ b/tests/property/ClaimProperty.cpp
@@ -22,8 +22,8 @@
   ClaimAction mAction;
   bool mStarted = false;
   bool mDone = false;
-  bool mDead = false;    // its instance was killed
-  bool mOffered = false; // as recorded by ClaimDriver
+  bool mDead = false;      // its instance was killed
+  bool mForwarded = false; // as recorded by ClaimDriver
   int mRuns = 0;
 };
 
@@ -63,7 +63,7 @@
   {
     ClaimEvent event;
     event.mKind =
-      mVersion == 0 ? ClaimEventKind::Absent : ClaimEventKind::Standing;
+      mVersion == 0 ? ClaimEventKind::Absent : ClaimEventKind::RecordPresent;
     event.mVersion = mVersion;
     event.mRecord = mRecord;
     return event;
@@ -114,7 +114,7 @@
     }
     if (!other.mDone) {
       event.mKind = ClaimEventKind::PeerRunning;
-    } else if (!other.mOffered) {
+    } else if (!other.mForwarded) {
       event.mKind = ClaimEventKind::PeerGaveUp;
     } else if (other.mAction.mKind == ClaimActionKind::FinishAnswer) {
       event.mKind = ClaimEventKind::PeerAnswered;
@@ -130,7 +130,7 @@
     ClaimEvent event;
     int outcome = aChoices.Below(6);
     if (outcome == 0) {
-      event.mKind = ClaimEventKind::NotOffered;
+      event.mKind = ClaimEventKind::NotForwarded;
       event.mEndpointsLeft = aChoices.Below(2) == 0;
       return event;
     }
@@ -185,9 +185,9 @@
     ClaimEvent event;
     if (aAttempt.mStarted) {
       event = Perform(aAttempt, aChoices);
-      aAttempt.mOffered = aAttempt.mOffered ||
-                          event.mKind == ClaimEventKind::Answered ||
-                          event.mKind == ClaimEventKind::AnswerLost;
+      aAttempt.mForwarded = aAttempt.mForwarded ||
+                            event.mKind == ClaimEventKind::Answered ||
+                            event.mKind == ClaimEventKind::AnswerLost;
     }
     aAttempt.mStarted = true;
     aAttempt.mAction = ClaimStep(aAttempt.mState, event, aNow);
@@ -267,7 +267,7 @@
   second.mDeadline = now + Seconds(1);
   ClaimStep(second, {}, now);
   ClaimEvent stored;
-  stored.mKind = ClaimEventKind::Standing;
+  stored.mKind = ClaimEventKind::RecordPresent;
   stored.mVersion = 1;
   stored.mRecord.mNonce = "n0";
   stored.mRecord.mCreator = "i0";
