--- a/bench/DecideBench.cpp
+++ b/bench/DecideBench.cpp
@@ -42,7 +42,7 @@
   for (auto _ : aState) {
     now += Micros(100);
     bucket.Take(10, now);
-    benchmark::DoNotOptimize(bucket.GiveBack(5, now, now));
+    benchmark::DoNotOptimize(bucket.Refund(5, now, now));
   }
 }
 BENCHMARK(BucketTakeAndGiveBack);
--- a/bench/RateBench.cpp
+++ b/bench/RateBench.cpp
@@ -121,7 +121,7 @@
       return true;
     }
     for (const auto& part : taken) {
-      mBuckets[part.first].GiveBack(part.second, aNow, aNow);
+      mBuckets[part.first].Refund(part.second, aNow, aNow);
     }
     return false;
   }
--- a/src/decide/TenantTokenBucket.cpp
+++ b/src/decide/TenantTokenBucket.cpp
@@ -331,11 +331,11 @@
     mBorrowedTokens.push_back({ aHolder, aLoan.mTokens, aAskedAt + kLoanLife });
   }
   mNextAskAt[aHolder] =
-    aNow + std::clamp(aLoan.mAfter, Millis(0), kMaxAskInterval);
+    aNow + std::clamp(aLoan.mRetryAfter, Millis(0), kMaxAskInterval);
 }
 
 void
-TenantTokenBucket::OnNoLoan(const std::string& aHolder, TimePoint aNow)
+TenantTokenBucket::OnLoanFailed(const std::string& aHolder, TimePoint aNow)
 {
   mLoanCallPending = false;
   mNextAskAt[aHolder] = aNow + kSilentHolderPause;
@@ -367,9 +367,9 @@
 }
 
 void
-TenantTokenBucket::GiveBack(double aTokens, TimePoint aTakenAt, TimePoint aNow)
+TenantTokenBucket::Refund(double aTokens, TimePoint aTakenAt, TimePoint aNow)
 {
-  mBucket.GiveBack(aTokens, aTakenAt, aNow);
+  mBucket.Refund(aTokens, aTakenAt, aNow);
 }
 
 void
@@ -379,7 +379,7 @@
 }
 
 double
-TenantTokenBucket::Empty(TimePoint aNow)
+TenantTokenBucket::TakeAll(TimePoint aNow)
 {
   double level = std::max(0.0, mBucket.Level(aNow));
   return level > 0 && mBucket.Take(level, aNow) ? level : 0;
--- a/src/decide/TenantTokenBucket.h
+++ b/src/decide/TenantTokenBucket.h
@@ -46,10 +46,10 @@
 struct TokenRefused
 {
   uint64_t mId = 0;
-  Millis mAfter{ 0 }; // retry-after time
+  Millis mRetryAfter{ 0 }; // retry-after time
 };
 
-// A loan to request from a holder; completed by OnLoan() or OnNoLoan().
+// A loan to request from a holder; completed by OnLoan() or OnLoanFailed().
 struct TokenLoanCall
 {
   std::string mHolder;
@@ -59,8 +59,8 @@
 
 struct TokenLoan
 {
-  double mTokens = 0; // 0 = none
-  Millis mAfter{ 0 }; // when the holder may have spare tokens
+  double mTokens = 0;      // 0 = none
+  Millis mRetryAfter{ 0 }; // when the holder may have spare tokens
 };
 
 struct TenantBucketStep
@@ -90,15 +90,15 @@
               const TokenLoan& aLoan,
               TimePoint aAskedAt,
               TimePoint aNow);
-  void OnNoLoan(const std::string& aHolder, TimePoint aNow);
+  void OnLoanFailed(const std::string& aHolder, TimePoint aNow);
 
   TokenLoan Lend(double aTokens, double aReserve, TimePoint aNow);
   // aTokens that were taken here at aTakenAt weren't used.
-  void GiveBack(double aTokens, TimePoint aTakenAt, TimePoint aNow);
+  void Refund(double aTokens, TimePoint aTakenAt, TimePoint aNow);
   // Adds tokens that another holder handed over.
   void Add(double aTokens, TimePoint aNow);
   // Takes all tokens, to hand them over: this holder stops spending.
-  double Empty(TimePoint aNow);
+  double TakeAll(TimePoint aNow);
 
   bool Waiting() const { return !mWaiting.empty(); }
   double Level(TimePoint aNow) const;
--- a/src/decide/TokenBucket.cpp
+++ b/src/decide/TokenBucket.cpp
@@ -57,7 +57,7 @@
 }
 
 double
-TokenBucket::GiveBack(double aTokens, TimePoint aTakenAt, TimePoint aNow)
+TokenBucket::Refund(double aTokens, TimePoint aTakenAt, TimePoint aNow)
 {
   Accrue(aNow);
   bool refundable = aTakenAt >= mStartTime && mAt - aTakenAt <= kRefundWindow;
--- a/src/decide/TokenBucket.h
+++ b/src/decide/TokenBucket.h
@@ -19,7 +19,7 @@
   bool Take(double aTokens, TimePoint aNow);
   // Refunds aTokens of those taken at aTakenAt, which weren't used. Returns how
   // many of them are credited; see HeadroomHistory.
-  double GiveBack(double aTokens, TimePoint aTakenAt, TimePoint aNow);
+  double Refund(double aTokens, TimePoint aTakenAt, TimePoint aNow);
   // Adds tokens from another bucket. Returns how many fit under the burst.
   double Add(double aTokens, TimePoint aNow);
   // Charges tokens used beyond those taken. The level may fall below zero and
--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -172,7 +172,7 @@
                        exchange->OnTokens(aAnswer);
                      } else if (aAnswer.mGrant) {
                        // The caller has disconnected meanwhile.
-                       limiter.GiveBack(*aAnswer.mGrant);
+                       limiter.Refund(*aAnswer.mGrant);
                      }
                    });
 }
@@ -226,7 +226,7 @@
     return;
   }
   if (!mGrant) {
-    Refuse(ErrorKind::RateExceeded, aAnswer.mAfter, "tenant's rate");
+    Refuse(ErrorKind::RateExceeded, aAnswer.mRetryAfter, "tenant's rate");
     return;
   }
   Dispatch();
--- a/src/entry/ExchangeEnd.cpp
+++ b/src/entry/ExchangeEnd.cpp
@@ -273,7 +273,7 @@
   mFinished = true;
   mState.mReactor.Cancel(mTimer);
   if (mGrant) {
-    mRateLimiter.GiveBack(*mGrant);
+    mRateLimiter.Refund(*mGrant);
   }
   Millis first =
     mFirstByteAt == TimePoint()
--- a/src/entry/RateLimiter.h
+++ b/src/entry/RateLimiter.h
@@ -31,7 +31,7 @@
 struct TokenAnswer
 {
   std::optional<TokenGrant> mGrant; // nothing = refused
-  Millis mAfter{ 0 };               // retry-after time when refused
+  Millis mRetryAfter{ 0 };          // retry-after time when refused
 };
 
 class RateLimiter
@@ -43,7 +43,7 @@
   // Calls aDone once, at the latest shortly after mMaxWait.
   virtual void Ask(const TokenRequest& aRequest, Done aDone) = 0;
   // Refunds the tokens of a request that did not run and never will.
-  virtual void GiveBack(const TokenGrant& aGrant) = 0;
+  virtual void Refund(const TokenGrant& aGrant) = 0;
 };
 
 } // namespace caraway
--- a/src/entry/TenantRateLimiter.cpp
+++ b/src/entry/TenantRateLimiter.cpp
@@ -198,7 +198,7 @@
                                   Millis(aResult["after_ms"].asInt64()) };
                   bucket.OnLoan(holder, loan, requestedAt, mState.Now());
                 } else {
-                  bucket.OnNoLoan(holder, mState.Now());
+                  bucket.OnLoanFailed(holder, mState.Now());
                 }
                 mState.mMetrics.Count("caraway_token_loans_total", "");
                 Step(aTenant);
@@ -244,8 +244,8 @@
     .Flag("holds_part", mMembers.MaySpend())
     .Count("members", static_cast<int64_t>(mMembers.CountedMembers().size()))
     .Count("instances", mState.mInstances)
-    .Ms("after_ms", aRefused.mAfter);
-  waiter.mDone({ std::nullopt, aRefused.mAfter });
+    .Ms("after_ms", aRefused.mRetryAfter);
+  waiter.mDone({ std::nullopt, aRefused.mRetryAfter });
 }
 
 // ---- Other instances
@@ -262,7 +262,7 @@
       tokens, aParams["reserve"].asDouble(), mState.Now());
   }
   result["tokens"] = loan.mTokens;
-  result["after_ms"] = Json::Int64(loan.mAfter.count());
+  result["after_ms"] = Json::Int64(loan.mRetryAfter.count());
   return result;
 }
 
@@ -274,7 +274,7 @@
   if (found != mTenants.end() && tokens > 0) {
     TimePoint now = mState.Now();
     TimePoint takenAt = now - Millis(aParams["age_ms"].asInt64());
-    found->second.mTokenBucket.GiveBack(tokens, takenAt, now);
+    found->second.mTokenBucket.Refund(tokens, takenAt, now);
   }
 }
 
@@ -294,7 +294,7 @@
 {
   Json::Value message(Json::objectValue);
   for (auto& [name, tenant] : mTenants) {
-    double level = tenant.mTokenBucket.Empty(mState.Now());
+    double level = tenant.mTokenBucket.TakeAll(mState.Now());
     if (level > 0) {
       message[name] = level;
     }
@@ -312,11 +312,11 @@
 // charged again. Without the refund, a tenant within its rate would be refused
 // by the rate limit while a model loads.
 void
-TenantRateLimiter::GiveBack(const TokenGrant& aGrant)
+TenantRateLimiter::Refund(const TokenGrant& aGrant)
 {
   for (const TokenSource& source : aGrant.mSources) {
     if (source.mHolder.empty()) {
-      mTenants[aGrant.mTenant].mTokenBucket.GiveBack(
+      mTenants[aGrant.mTenant].mTokenBucket.Refund(
         source.mTokens, aGrant.mAt, mState.Now());
       continue;
     }
--- a/src/entry/TenantRateLimiter.h
+++ b/src/entry/TenantRateLimiter.h
@@ -25,7 +25,7 @@
   void Leave();
 
   void Ask(const TokenRequest& aRequest, Done aDone) override;
-  void GiveBack(const TokenGrant& aGrant) override;
+  void Refund(const TokenGrant& aGrant) override;
 
 private:
   struct Waiter
--- a/src/share/ShareClient.cpp
+++ b/src/share/ShareClient.cpp
@@ -276,7 +276,7 @@
       continue;
     }
     if (refund.mAddress.empty()) {
-      mManager.GiveBack(aTicket.mTenant, refund);
+      mManager.Refund(aTicket.mTenant, refund);
       continue;
     }
     Json::Value params;
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -74,7 +74,7 @@
 }
 
 void
-ShareManager::GiveBack(const std::string& aTenant, const ShareGrant& aGrant)
+ShareManager::Refund(const std::string& aTenant, const ShareGrant& aGrant)
 {
   std::lock_guard<std::mutex> lock(mLock);
   TokenBucket* bucket = mBuckets.Find(aTenant, aGrant.mSlot);
@@ -83,7 +83,7 @@
   }
   TimePoint takenAt = TimePoint(std::chrono::duration_cast<TimePoint::duration>(
     std::chrono::nanoseconds(aGrant.mTakenAt)));
-  bucket->GiveBack(aGrant.mTokens, takenAt, mClock.Now());
+  bucket->Refund(aGrant.mTokens, takenAt, mClock.Now());
 }
 
 std::string
--- a/src/share/ShareManager.h
+++ b/src/share/ShareManager.h
@@ -44,7 +44,7 @@
   std::optional<TakeResult> Take(const std::string& aTenant,
                                  int aSlot,
                                  double aTokens);
-  void GiveBack(const std::string& aTenant, const ShareGrant& aGrant);
+  void Refund(const std::string& aTenant, const ShareGrant& aGrant);
 
   // Holder of a slot of this zone; "" = none.
   std::string HolderOf(int aSlot) const;
--- a/src/share/ShareManagerPeers.cpp
+++ b/src/share/ShareManagerPeers.cpp
@@ -117,7 +117,7 @@
   grant.mSlot = aParams["slot"].asInt();
   grant.mTokens = aParams["tokens"].asDouble();
   grant.mTakenAt = aParams["at"].asInt64();
-  GiveBack(aParams["tenant"].asString(), grant);
+  Refund(aParams["tenant"].asString(), grant);
   return Json::Value(Json::objectValue);
 }
 
--- a/tests/property/TokenBucketProperty.cpp
+++ b/tests/property/TokenBucketProperty.cpp
@@ -31,7 +31,7 @@
       Held was = held[which];
       held.erase(held.begin() + static_cast<long>(which));
       double used = was.mReserved * *rc::gen::inRange(0, 101) / 100;
-      bucket.GiveBack(was.mReserved - used, spends[was.mSpend].mAt, now);
+      bucket.Refund(was.mReserved - used, spends[was.mSpend].mAt, now);
       spends[was.mSpend].mTokens = used;
       continue;
     }
--- a/tests/property/ZoneTokensProperty.cpp
+++ b/tests/property/ZoneTokensProperty.cpp
@@ -438,7 +438,7 @@
       if (mNow < loan.mAt) {
         later.push_back(loan);
       } else if (loan.mLost) {
-        mBuckets[loan.mTo].OnNoLoan(loan.mHolder, mNow);
+        mBuckets[loan.mTo].OnLoanFailed(loan.mHolder, mNow);
       } else {
         mBuckets[loan.mTo].OnLoan(loan.mHolder, loan.mLoan, loan.mAsked, mNow);
       }
@@ -587,7 +587,7 @@
   request.mUntil = now;
   bucket.Wait(request, now);
   ASSERT_EQ(1u, bucket.Step(now).mPaid.size());
-  bucket.GiveBack(4000, now, now + Seconds(10));
+  bucket.Refund(4000, now, now + Seconds(10));
   EXPECT_LE(bucket.Level(now + Seconds(10)), SplitBurst(limit) + 1);
 }
 
@@ -607,7 +607,7 @@
     request.mUntil = now;
     bucket.Wait(request, now);
     for (const TokenRefused& refused : bucket.Step(now).mRefused) {
-      retryTimes.push_back(refused.mAfter);
+      retryTimes.push_back(refused.mRetryAfter);
     }
   }
   ASSERT_GT(retryTimes.size(), 10u);
