--- a/src/entry/EntryState.cpp
+++ b/src/entry/EntryState.cpp
@@ -10,7 +10,7 @@
   , mLog(aClock, mSettings.mName, aLogFile)
   , mServerPool(mReactor)
   , mPeerPool(mReactor)
-  , mRepeats(
+  , mRetryBudget(
       { mSettings.mRetryRatio, mSettings.mRetrySlack, mSettings.mRetryWindow })
   , mRandom(std::random_device{}())
 {
--- a/src/entry/EntryState.h
+++ b/src/entry/EntryState.h
@@ -41,7 +41,7 @@
   DemandTracker mDemand;      // at all instances
   // At this instance, by model.
   std::map<std::string, int> mRequestsSinceHeartbeat;
-  ServerRetryBudget mRepeats;
+  ServerRetryBudget mRetryBudget;
   int mInstances = 1; // that may be running, including this one
   RunTimeEstimates mRunTimes;
   LeavePlan mLeave;
--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -144,7 +144,7 @@
 void
 Exchange::CountDemand()
 {
-  mState.mRepeats.OnRequest(mService, mArrived);
+  mState.mRetryBudget.OnRequest(mService, mArrived);
   if (!mFacts.mModel.empty()) {
     mState.CountDemand(mFacts.mModel, mArrived);
   }
@@ -329,7 +329,7 @@
   }
   if (engine && !choice.mHeld && !mFacts.mModel.empty()) {
     mColdStart = true;
-    mLoadRequester.Want(ToLoadRequest());
+    mLoadRequester.RequestLoad(ToLoadRequest());
   }
   return RefuseIfUnmeetable(choice);
 }
--- a/src/entry/ExchangeEnd.cpp
+++ b/src/entry/ExchangeEnd.cpp
@@ -37,7 +37,7 @@
   if (mSends >= kMaxSends || mState.Now() + kServiceTime > mFinalAnswerBy) {
     return false;
   }
-  return mState.mRepeats.Spend(mService, mState.mInstances, mState.Now());
+  return mState.mRetryBudget.Spend(mService, mState.mInstances, mState.Now());
 }
 
 bool
--- a/src/entry/FeedRelay.cpp
+++ b/src/entry/FeedRelay.cpp
@@ -62,10 +62,10 @@
 void
 FeedRelay::Start()
 {
-  mPeers.Add("config", [this](const Json::Value&) {
+  mPeers.AddMethod("config", [this](const Json::Value&) {
     return Json::Value(mFeed.ConfigText());
   });
-  mPeers.Add("servers", [this](const Json::Value&) {
+  mPeers.AddMethod("servers", [this](const Json::Value&) {
     Json::Value result;
     result["revision"] = Json::Int64(mFeed.ServersRevision());
     result["entries"] = mFeed.ServersJson();
--- a/src/entry/LoadRequester.h
+++ b/src/entry/LoadRequester.h
@@ -30,7 +30,7 @@
   virtual ~LoadRequester() = default;
   // Sends a load request, repeated at a limited rate; a waiting request may
   // call this at any time.
-  virtual void Want(const LoadRequest& aRequest) = 0;
+  virtual void RequestLoad(const LoadRequest& aRequest) = 0;
   // Time until the load is expected to end; nothing while that is not known.
   virtual std::optional<Millis> Expected(const LoadRequest& aRequest) = 0;
 };
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -49,7 +49,7 @@
 void
 Membership::Start()
 {
-  mPeers.Add(kCountMeMethod, [this](const Json::Value& aParams) {
+  mPeers.AddMethod(kCountMeMethod, [this](const Json::Value& aParams) {
     OnCountMe(aParams);
     return Json::Value(Json::objectValue);
   });
--- a/src/entry/Peers.cpp
+++ b/src/entry/Peers.cpp
@@ -82,7 +82,7 @@
 }
 
 void
-Peers::Add(const std::string& aName, Method aMethod)
+Peers::AddMethod(const std::string& aName, Method aMethod)
 {
   mMethods[aName] = std::move(aMethod);
 }
--- a/src/entry/Peers.h
+++ b/src/entry/Peers.h
@@ -73,7 +73,7 @@
   void SendMessageInZone(const std::string& aKind, const Json::Value& aMessage);
 
   // Registers the method aName, which other instances may call.
-  void Add(const std::string& aName, Method aMethod);
+  void AddMethod(const std::string& aName, Method aMethod);
   void Call(const std::string& aPeer,
             const std::string& aMethod,
             const Json::Value& aParams,
--- a/src/entry/SettingsWatch.cpp
+++ b/src/entry/SettingsWatch.cpp
@@ -71,7 +71,7 @@
   EntrySettings& current = mState.mSettings;
   current.mGrace = aSettings.mGrace;
   current.mServerHeartbeatInterval = aSettings.mServerHeartbeatInterval;
-  mState.mRepeats.SetLimits(
+  mState.mRetryBudget.SetLimits(
     { aSettings.mRetryRatio, aSettings.mRetrySlack, aSettings.mRetryWindow });
 }
 
--- a/src/entry/TenantRateLimiter.cpp
+++ b/src/entry/TenantRateLimiter.cpp
@@ -37,9 +37,10 @@
 void
 TenantRateLimiter::Start()
 {
-  mPeers.Add(kLendMethod,
-             [this](const Json::Value& aParams) { return OnLend(aParams); });
-  mPeers.Add(kReturnMethod, [this](const Json::Value& aParams) {
+  mPeers.AddMethod(kLendMethod, [this](const Json::Value& aParams) {
+    return OnLend(aParams);
+  });
+  mPeers.AddMethod(kReturnMethod, [this](const Json::Value& aParams) {
     OnReturnedTokens(aParams);
     return Json::Value(Json::objectValue);
   });
--- a/src/entry/ZoneSchedulers.cpp
+++ b/src/entry/ZoneSchedulers.cpp
@@ -57,7 +57,7 @@
 void
 ZoneSchedulers::Start()
 {
-  mPeers.Add(kLoadRequestMethod, [this](const Json::Value& aParams) {
+  mPeers.AddMethod(kLoadRequestMethod, [this](const Json::Value& aParams) {
     return OnLoadRequestCall(aParams);
   });
   for (const char* kind : { kClaimMessage, kStoreLoadMessage }) {
@@ -194,7 +194,7 @@
 }
 
 void
-ZoneSchedulers::Want(const LoadRequest& aRequest)
+ZoneSchedulers::RequestLoad(const LoadRequest& aRequest)
 {
   TimePoint now = mState.Now();
   RequestState& request = mRequests[KeyOf(aRequest)];
--- a/src/entry/ZoneSchedulers.h
+++ b/src/entry/ZoneSchedulers.h
@@ -41,7 +41,7 @@
   // Number of zones whose lease this instance holds.
   size_t LedZones() const;
 
-  void Want(const LoadRequest& aRequest) override;
+  void RequestLoad(const LoadRequest& aRequest) override;
   std::optional<Millis> Expected(const LoadRequest& aRequest) override;
 
 private:
