--- a/src/entry/InboundConnection.cpp
+++ b/src/entry/InboundConnection.cpp
@@ -70,7 +70,7 @@
   events.mDropped = [&aHandler](size_t aBytes) {
     aHandler.OnInputDiscarded(aBytes);
   };
-  conn->mChannel->Listen(std::move(events));
+  conn->mChannel->SetEvents(std::move(events));
   return conn;
 }
 
@@ -267,7 +267,7 @@
   chunk.append(aBytes);
   chunk += "\r\n";
   mChannel->Write(chunk);
-  if (mChannel->Queued() > kMaxUnsentBytes) {
+  if (mChannel->QueuedBytes() > kMaxUnsentBytes) {
     bool wasBusy = mBusy;
     Abort(ConnectionCloseReason::SlowReader);
     if (wasBusy) {
@@ -314,7 +314,7 @@
 InboundConnection::Idle() const
 {
   return !mBusy && !mReader && mChannel->Input().empty() &&
-         mChannel->Queued() == 0;
+         mChannel->QueuedBytes() == 0;
 }
 
 void
--- a/src/entry/ListenPort.cpp
+++ b/src/entry/ListenPort.cpp
@@ -85,7 +85,7 @@
     mOpen = false;
     while (AcceptBatch()) {
     }
-    mReactor.Forget(mSocket);
+    mReactor.Unwatch(mSocket);
     mSocket.close();
   }
 }
--- a/src/net/Channel.cpp
+++ b/src/net/Channel.cpp
@@ -289,7 +289,7 @@
   }
   mOpen = false;
   mReactor.Cancel(mTimer);
-  mReactor.Forget(mSocket);
+  mReactor.Unwatch(mSocket);
   mSocket.close();
   mOutput.clear();
   // Destroyed later: this may run inside one of the callbacks.
--- a/src/net/Channel.h
+++ b/src/net/Channel.h
@@ -30,7 +30,7 @@
     // Once; the channel is closed then.
     std::function<void(ChannelCloseReason)> mEnd;
     std::function<void()> mConnected; // outgoing connections only
-    std::function<void()> mDrained;   // Queued() reached zero
+    std::function<void()> mDrained;   // QueuedBytes() reached zero
     // Once, after Finish(): the number of bytes received and discarded, if any.
     std::function<void(size_t)> mDropped;
   };
@@ -45,7 +45,7 @@
                                           Millis aTimeout);
   ~Channel() override;
 
-  void Listen(Events aEvents) { mEvents = std::move(aEvents); }
+  void SetEvents(Events aEvents) { mEvents = std::move(aEvents); }
   void Write(std::string_view aBytes);
   // Closes at once. No event follows.
   void Close();
@@ -66,7 +66,7 @@
   void CloseIfPeerClosed();
 
   std::string& Input() { return mInput; }
-  size_t Queued() const { return mOutput.size(); }
+  size_t QueuedBytes() const { return mOutput.size(); }
   bool Open() const { return mOpen; }
   bool Ready() const { return mOpen && !mConnecting; }
   // Whether bytes were handed to the network. A request of which none were
--- a/src/net/ChannelPool.cpp
+++ b/src/net/ChannelPool.cpp
@@ -52,7 +52,7 @@
   Channel* raw = aChannel.get();
   Channel::Events events;
   events.mData = [raw] { raw->Close(); };
-  aChannel->Listen(std::move(events));
+  aChannel->SetEvents(std::move(events));
   mIdle[{ aAddress, aPeer }].push_back(
     { std::move(aChannel), mReactor.Now(), aIdleTimeout });
 }
--- a/src/net/HttpHead.cpp
+++ b/src/net/HttpHead.cpp
@@ -189,7 +189,7 @@
     first = false;
     rest.remove_prefix(stop + 2);
   }
-  return HeadState::Whole;
+  return HeadState::Complete;
 }
 
 } // namespace
@@ -225,7 +225,7 @@
 ReadRequestHead(std::string_view aBytes, HttpHead& aHead, size_t& aUsed)
 {
   HeadState state = ReadHead(aBytes, aHead, aUsed, ReadRequestLine);
-  if (state != HeadState::Whole) {
+  if (state != HeadState::Complete) {
     return state;
   }
   return ReadFraming(aHead, BodyFraming::None) ? state : HeadState::Bad;
@@ -235,7 +235,7 @@
 ReadAnswerHead(std::string_view aBytes, HttpHead& aHead, size_t& aUsed)
 {
   HeadState state = ReadHead(aBytes, aHead, aUsed, ReadStatusLine);
-  if (state != HeadState::Whole) {
+  if (state != HeadState::Complete) {
     return state;
   }
   bool bodiless =
--- a/src/net/HttpHead.h
+++ b/src/net/HttpHead.h
@@ -44,7 +44,7 @@
 enum class HeadState
 {
   Partial,
-  Whole,
+  Complete,
   Bad,
 };
 
--- a/src/net/OutboundCall.cpp
+++ b/src/net/OutboundCall.cpp
@@ -60,7 +60,7 @@
 void
 OutboundCall::Open()
 {
-  if (!mRequest.mFresh) {
+  if (!mRequest.mNewConnection) {
     mChannel =
       mPool.Take(mRequest.mAddress, mRequest.mPeer, mRequest.mIdleShare);
   }
@@ -88,7 +88,7 @@
       call->OnEnd(aReason);
     }
   };
-  mChannel->Listen(std::move(events));
+  mChannel->SetEvents(std::move(events));
 }
 
 void
@@ -178,7 +178,7 @@
 {
   return mChannel->Open() && mAnswer && mAnswer->mKeepAlive &&
          mAnswer->mFraming != BodyFraming::UntilClose && mForeignAnswers == 0 &&
-         mChannel->Queued() == 0 && mChannel->Input().empty();
+         mChannel->QueuedBytes() == 0 && mChannel->Input().empty();
 }
 
 void
@@ -240,7 +240,7 @@
       return;
     }
     pending->mFinished = true;
-    pending->mAnswer.mEnd = aOutcome;
+    pending->mAnswer.mOutcome = aOutcome;
     if (aOutcome != CallOutcome::Complete) {
       pending->mAnswer.mStatus = 0;
     }
--- a/src/net/OutboundCall.h
+++ b/src/net/OutboundCall.h
@@ -29,7 +29,7 @@
   std::string mBody;
   Millis mConnectLimit{ 700 }; // connect timeout
   double mIdleShare = 0.6;     // aMaxShare of ChannelPool::Take
-  bool mFresh = false;         // never use a pooled connection
+  bool mNewConnection = false; // never use a pooled connection
 };
 
 class OutboundCall : public std::enable_shared_from_this<OutboundCall>
@@ -87,7 +87,7 @@
   int mStatus = 0;
   HttpHead mHead;
   std::string mBody;
-  CallOutcome mEnd = CallOutcome::Interrupted;
+  CallOutcome mOutcome = CallOutcome::Interrupted;
 };
 
 // Sends aRequest and calls aDone exactly once, with the complete answer or
--- a/src/net/Reactor.cpp
+++ b/src/net/Reactor.cpp
@@ -52,7 +52,7 @@
 }
 
 void
-Reactor::Forget(const Poco::Net::Socket& aSocket)
+Reactor::Unwatch(const Poco::Net::Socket& aSocket)
 {
   if (mHandlers.erase(aSocket.impl())) {
     mPollSet.remove(aSocket);
--- a/src/net/Reactor.h
+++ b/src/net/Reactor.h
@@ -44,7 +44,7 @@
              bool aWrite = false);
   // Errors are always reported, as readable.
   void SetInterest(const Poco::Net::Socket& aSocket, bool aRead, bool aWrite);
-  void Forget(const Poco::Net::Socket& aSocket);
+  void Unwatch(const Poco::Net::Socket& aSocket);
 
   TimerId After(Millis aDelay, Task aTask);
   // Runs aTask repeatedly, aEvery after the end of each run.
--- a/src/store/StoreClient.cpp
+++ b/src/store/StoreClient.cpp
@@ -82,7 +82,7 @@
     aWait + kLongPollMargin,
     [this, aWhat, startedAt = mReactor.Now(), done = std::move(aDone)](
       BufferedAnswer& aAnswer) {
-      StoreOutcome outcome = aAnswer.mEnd == CallOutcome::NotSent
+      StoreOutcome outcome = aAnswer.mOutcome == CallOutcome::NotSent
                                ? StoreOutcome::NotDone
                                : wire::ReadOutcome(aAnswer.mStatus);
       mMetrics.Time(
--- a/tests/platform/LeavingEntryTest.cpp
+++ b/tests/platform/LeavingEntryTest.cpp
@@ -57,7 +57,7 @@
 {
   HttpHead head;
   size_t used = 0;
-  bool whole = ReadAnswerHead(aCall.mOver, head, used) == HeadState::Whole;
+  bool whole = ReadAnswerHead(aCall.mOver, head, used) == HeadState::Complete;
   return whole ? head.mStatus : 0;
 }
 
--- a/tests/soak/SoakCaller.cpp
+++ b/tests/soak/SoakCaller.cpp
@@ -74,7 +74,7 @@
       self->OnEnd();
     }
   };
-  mChannel->Listen(std::move(events));
+  mChannel->SetEvents(std::move(events));
 }
 
 std::string
@@ -134,7 +134,7 @@
   if (!mHead) {
     HttpHead head;
     size_t used = 0;
-    if (ReadAnswerHead(input, head, used) != HeadState::Whole) {
+    if (ReadAnswerHead(input, head, used) != HeadState::Complete) {
       return;
     }
     input.erase(0, used);
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -105,7 +105,7 @@
   request.mHead =
     WriteHead(std::string("GET ") + wire::kReadyPath + " HTTP/1.1",
               { { "Host", "host" } });
-  request.mFresh = true;
+  request.mNewConnection = true;
   StartBufferedCall(mTestFleet->mReactor,
                     mPool,
                     std::move(request),
--- a/tests/support/EntryTestFleet.cpp
+++ b/tests/support/EntryTestFleet.cpp
@@ -260,7 +260,7 @@
       received->mClosed = true;
     }
   };
-  call->mChannel->Listen(std::move(events));
+  call->mChannel->SetEvents(std::move(events));
   call->mChannel->Write(aBytes);
   return call;
 }
@@ -270,7 +270,8 @@
 {
   size_t used = 0;
   if (aCall.mStatus == 0) {
-    if (ReadAnswerHead(aCall.mBytes, aCall.mHead, used) != HeadState::Whole) {
+    if (ReadAnswerHead(aCall.mBytes, aCall.mHead, used) !=
+        HeadState::Complete) {
       return;
     }
     aCall.mStatus = aCall.mHead.mStatus;
--- a/tests/support/StandInServer.cpp
+++ b/tests/support/StandInServer.cpp
@@ -79,7 +79,7 @@
 
 StandInServer::~StandInServer()
 {
-  mReactor.Forget(mListener->mSocket);
+  mReactor.Unwatch(mListener->mSocket);
 }
 
 std::string
@@ -130,7 +130,7 @@
     client->mClosed = true;
     mLeft += client->mWorking ? 1 : 0;
   };
-  client->mChannel->Listen(std::move(events));
+  client->mChannel->SetEvents(std::move(events));
 }
 
 void
@@ -140,7 +140,7 @@
   HttpHead head;
   size_t used = 0;
   if (aClient->mWorking ||
-      ReadRequestHead(input, head, used) != HeadState::Whole ||
+      ReadRequestHead(input, head, used) != HeadState::Complete ||
       input.size() < used + head.mLength) {
     return;
   }
--- a/tests/unit/ChannelTest.cpp
+++ b/tests/unit/ChannelTest.cpp
@@ -22,7 +22,7 @@
   auto writer = Channel::Accepted(reactor, listener.acceptConnection());
   constexpr size_t kBytes = 32u << 20; // more than any socket buffer holds
   writer->Write(std::string(kBytes, 'x'));
-  EXPECT_LT(0u, writer->Queued());
+  EXPECT_LT(0u, writer->QueuedBytes());
   TimePoint until = clock.Now() + Seconds(10);
   size_t got = 0;
   while (got < kBytes && clock.Now() < until) {
@@ -31,7 +31,7 @@
     reader->Input().clear();
   }
   EXPECT_EQ(kBytes, got);
-  EXPECT_EQ(0u, writer->Queued());
+  EXPECT_EQ(0u, writer->QueuedBytes());
 }
 
 // Guards against a final answer that is truncated while its slow reader still
--- a/tests/unit/HttpHeadTest.cpp
+++ b/tests/unit/HttpHeadTest.cpp
@@ -47,7 +47,7 @@
 
 TEST(HttpHead, CompleteAndPartialHeads)
 {
-  EXPECT_EQ(HeadState::Whole, StateOf("GET / HTTP/1.1\r\nHost: h\r\n\r\n"));
+  EXPECT_EQ(HeadState::Complete, StateOf("GET / HTTP/1.1\r\nHost: h\r\n\r\n"));
   EXPECT_EQ(HeadState::Partial, StateOf("GET / HTTP/1.1\r\nHost: h\r\n"));
   HttpHead head;
   size_t used = 0;
@@ -88,7 +88,7 @@
 {
   HttpHead head;
   size_t used = 0;
-  EXPECT_EQ(HeadState::Whole,
+  EXPECT_EQ(HeadState::Complete,
             ReadAnswerHead("HTTP/1.1 200 OK\r\n\r\n", head, used));
   EXPECT_EQ(BodyFraming::UntilClose, head.mFraming);
   BodyReader reader(head);
--- a/tests/unit/WireMessagesTest.cpp
+++ b/tests/unit/WireMessagesTest.cpp
@@ -59,7 +59,7 @@
 {
   HttpHead head;
   size_t used = 0;
-  EXPECT_EQ(HeadState::Whole, ReadRequestHead(aText, head, used));
+  EXPECT_EQ(HeadState::Complete, ReadRequestHead(aText, head, used));
   return head;
 }
 
