--- a/src/base/EventLog.h
+++ b/src/base/EventLog.h
@@ -54,7 +54,7 @@
 
   int64_t DroppedLines() const { return mDroppedLines; }
   size_t BufferedBytes() const { return mBuffer.size(); }
-  const std::string& Gathered() const { return mBuffer; }
+  const std::string& BufferedText() const { return mBuffer; }
 
 private:
   friend class EventLine;
--- a/src/daemon/ConfigWatcher.cpp
+++ b/src/daemon/ConfigWatcher.cpp
@@ -59,7 +59,7 @@
   Millis pause = kFirstPause;
   while (!mStopping) {
     TimePoint asked = mClock.Now();
-    auto failure = FailureIn([&] { return mFollower.Look(mWatch); });
+    auto failure = FailureIn([&] { return mFollower.Poll(mWatch); });
     if (!failure) {
       pause = kFirstPause;
       continue;
--- a/src/daemon/Heartbeat.cpp
+++ b/src/daemon/Heartbeat.cpp
@@ -41,7 +41,7 @@
   json["zone"] = self.mZone;
   json["peer"] = self.mPeerAddress;
   json["leaving"] = self.mLeaving;
-  ConfigFreshness fresh = mConfig.Fresh();
+  ConfigFreshness fresh = mConfig.Freshness();
   json["revision"] = Json::Int64(fresh.mRevision);
   json["age"] = Json::Int64(fresh.mAge.count());
   return json;
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -46,15 +46,15 @@
 PrintErrors(const std::string& aPath,
             const caraway::wire::SettingsResult& aReading)
 {
-  for (const auto& trouble : aReading.mTroubles) {
+  for (const auto& error : aReading.mErrors) {
     std::fprintf(stderr,
                  "%s:%d: %s: expected %s\n",
                  aPath.c_str(),
-                 trouble.mLine,
-                 trouble.mField.c_str(),
-                 trouble.mExpected.c_str());
+                 error.mLine,
+                 error.mField.c_str(),
+                 error.mExpected.c_str());
   }
-  return aReading.mTroubles.empty();
+  return aReading.mErrors.empty();
 }
 
 void
@@ -72,10 +72,10 @@
 ReloadSettings(const std::string& aPath, std::string& aError)
 {
   auto reading = caraway::wire::ReadSettingsFile(aPath);
-  if (reading.mTroubles.empty()) {
+  if (reading.mErrors.empty()) {
     return reading.mSettings;
   }
-  const auto& first = reading.mTroubles.front();
+  const auto& first = reading.mErrors.front();
   aError = first.mField + ": expected " + first.mExpected;
   return std::nullopt;
 }
--- a/src/own/PlacementStore.cpp
+++ b/src/own/PlacementStore.cpp
@@ -98,12 +98,12 @@
                                          aStored.mVersion,
                                          RandomId(),
                                          PlacementJson(aNext) });
-  bool known =
-    result.mEnd == WriteOutcome::Done || result.mEnd == WriteOutcome::Conflict;
+  bool known = result.mOutcome == WriteOutcome::Done ||
+               result.mOutcome == WriteOutcome::Conflict;
   if (known) {
     aStored = FromObject(aEndpoint, result.mObject, readAt);
   }
-  return result.mEnd;
+  return result.mOutcome;
 }
 
 bool
--- a/src/platform/ConfigFollower.cpp
+++ b/src/platform/ConfigFollower.cpp
@@ -14,7 +14,7 @@
 }
 
 Result<void>
-ConfigFollower::Look(Millis aWatch)
+ConfigFollower::Poll(Millis aWatch)
 {
   WatchPosition followed;
   {
--- a/src/platform/ConfigFollower.h
+++ b/src/platform/ConfigFollower.h
@@ -26,7 +26,7 @@
   // Polls the platform's index once: watches it for aWatch, or reads it if
   // there is no version to watch from. The result, a change or none, confirms
   // freshness as of the time of the call.
-  Result<void> Look(Millis aWatch);
+  Result<void> Poll(Millis aWatch);
   // Reads the index immediately.
   Result<void> Read();
   // Handles a peer's freshness report, made at some moment after aAsked. Calls
--- a/src/platform/ConfigHolder.cpp
+++ b/src/platform/ConfigHolder.cpp
@@ -52,7 +52,7 @@
 // Reads both under one lock: an older revision with the age of a newer one
 // would tell a peer that the older one is the newest.
 ConfigFreshness
-ConfigHolder::Fresh() const
+ConfigHolder::Freshness() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   return { mCurrent->mRevision,
--- a/src/platform/ConfigHolder.h
+++ b/src/platform/ConfigHolder.h
@@ -30,8 +30,8 @@
   // Records that aRevision was known to be the newest at aAt. Ignored if the
   // revision in force is older.
   void Confirm(int64_t aRevision, TimePoint aAt);
-  ConfigFreshness Fresh() const;
-  Millis Age() const { return Fresh().mAge; }
+  ConfigFreshness Freshness() const;
+  Millis Age() const { return Freshness().mAge; }
 
 private:
   const Clock& mClock;
--- a/src/platform/ConfigStore.cpp
+++ b/src/platform/ConfigStore.cpp
@@ -134,8 +134,8 @@
   WriteResult result =
     mPlatform.Write({ kPartKind, digest, 0, RandomId(), aPart });
   // An object that already exists under a digest has the same content.
-  bool stored =
-    result.mEnd == WriteOutcome::Done || result.mEnd == WriteOutcome::Conflict;
+  bool stored = result.mOutcome == WriteOutcome::Done ||
+                result.mOutcome == WriteOutcome::Conflict;
   if (!stored) {
     return Fail(ErrorKind::PlatformUnavailable,
                 "a configuration part could not be stored");
@@ -181,7 +181,7 @@
                                          index.mVersion,
                                          RandomId(),
                                          ConfigIndexJson(index) });
-  switch (result.mEnd) {
+  switch (result.mOutcome) {
     case WriteOutcome::Done:
       return index.mNow;
     case WriteOutcome::Conflict: {
@@ -191,8 +191,9 @@
       return Fail({ ErrorKind::PlatformUnavailable,
                     "it is unknown whether the change was accepted; read the "
                     "revision before retrying",
-                    result.mEnd == WriteOutcome::Refused ? RunState::NotRun
-                                                         : RunState::MayHaveRun,
+                    result.mOutcome == WriteOutcome::Refused
+                      ? RunState::NotRun
+                      : RunState::MayHaveRun,
                     Seconds(5) });
   }
 }
--- a/src/platform/PlatformWrite.h
+++ b/src/platform/PlatformWrite.h
@@ -28,7 +28,7 @@
 
 struct WriteResult
 {
-  WriteOutcome mEnd = WriteOutcome::Unknown;
+  WriteOutcome mOutcome = WriteOutcome::Unknown;
   PlatformObject mObject;
 };
 
--- a/src/serve/BriefingStore.cpp
+++ b/src/serve/BriefingStore.cpp
@@ -56,10 +56,10 @@
     }
     WriteResult result =
       mPlatform.Write({ kListKind, name, list.mVersion, RandomId(), next });
-    if (result.mEnd == WriteOutcome::Done) {
+    if (result.mOutcome == WriteOutcome::Done) {
       return {};
     }
-    if (result.mEnd != WriteOutcome::Conflict) {
+    if (result.mOutcome != WriteOutcome::Conflict) {
       break;
     }
     list = result.mObject;
@@ -77,8 +77,8 @@
   // The id is random, so an object found under it came from this write: its
   // answer was lost, and another instance may have updated the object since.
   bool kept =
-    result.mEnd == WriteOutcome::Done ||
-    (result.mEnd == WriteOutcome::Conflict && result.mObject.mVersion > 0);
+    result.mOutcome == WriteOutcome::Done ||
+    (result.mOutcome == WriteOutcome::Conflict && result.mObject.mVersion > 0);
   if (!kept) {
     Failure failure = FailureOf(ErrorKind::PlatformUnavailable,
                                 "the briefing could not be stored");
@@ -100,8 +100,8 @@
 {
   WriteResult result = mPlatform.Write(
     { kKind, aEnded.mId, aStored.mVersion, RandomId(), BriefingJson(aEnded) });
-  bool known =
-    result.mEnd == WriteOutcome::Done || result.mEnd == WriteOutcome::Conflict;
+  bool known = result.mOutcome == WriteOutcome::Done ||
+               result.mOutcome == WriteOutcome::Conflict;
   if (!known) {
     return Fail(ErrorKind::PlatformUnavailable,
                 "the briefing's result could not be stored");
--- a/src/serve/ClaimDriver.cpp
+++ b/src/serve/ClaimDriver.cpp
@@ -157,7 +157,7 @@
   WriteResult result = mPlatform.Write(
     { kKind, aAttempt.mName, aExpected, RandomId(), ClaimJson(aRecord) });
   ClaimEvent event;
-  switch (result.mEnd) {
+  switch (result.mOutcome) {
     case WriteOutcome::Done:
       event.mKind = ClaimEventKind::Written;
       break;
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -187,12 +187,12 @@
       { kKind, mSettings.mZone, version, RandomId(), ShareTableJson(table) });
     std::lock_guard<std::mutex> lock(mLock);
     TimePoint now = mClock.Now();
-    if (result.mEnd == WriteOutcome::Done) {
+    if (result.mOutcome == WriteOutcome::Done) {
       ShareLeaseRenewed(mLease, table, result.mObject.mVersion, begun, now);
       SyncBuckets();
       return true;
     }
-    if (result.mEnd != WriteOutcome::Conflict) {
+    if (result.mOutcome != WriteOutcome::Conflict) {
       return false;
     }
     ShareLeaseUpdate(mLease,
@@ -320,7 +320,7 @@
   WriteResult result = mPlatform.Write(
     { kKind, mSettings.mZone, version, RandomId(), ShareTableJson(table) });
   std::lock_guard<std::mutex> lock(mLock);
-  switch (result.mEnd) {
+  switch (result.mOutcome) {
     case WriteOutcome::Done:
       ShareLeaseUpdate(mLease, table, result.mObject.mVersion, mClock.Now());
       break;
@@ -338,7 +338,7 @@
     default:
       break; // outcome unknown: closed until a newer table arrives
   }
-  return result.mEnd;
+  return result.mOutcome;
 }
 
 Json::Value
--- a/tests/property/ConfigProperty.cpp
+++ b/tests/property/ConfigProperty.cpp
@@ -100,15 +100,16 @@
     }
   }
 
-  void Look(Follower& aFollower)
+  void Poll(Follower& aFollower)
   {
-    FailureIn([&] { return aFollower.mFollower.Look(Millis(0)); });
+    FailureIn([&] { return aFollower.mFollower.Poll(Millis(0)); });
   }
 
   void RequestConfig(size_t aFrom, size_t aTo)
   {
     ConfigHolder& peer = mFollowers[aFrom]->mHolder;
-    mReplies.push_back({ aTo, peer.Fresh(), mClock.Now(), *peer.Current() });
+    mReplies.push_back(
+      { aTo, peer.Freshness(), mClock.Now(), *peer.Current() });
   }
 
   void DeliverReply(RandomChoices& aChoices)
@@ -134,7 +135,7 @@
     if (what < 3) {
       Change(follower);
     } else if (what < 9) {
-      Look(follower);
+      Poll(follower);
     } else if (what < 12) {
       RequestConfig(at, static_cast<size_t>(aChoices.Below(3)));
     } else if (what < 15) {
@@ -191,8 +192,8 @@
   }
   model.mPlatform.mOnRead = nullptr;
   for (const auto& follower : model.mFollowers) {
-    model.Look(*follower);
-    model.Look(*follower);
+    model.Poll(*follower);
+    model.Poll(*follower);
   }
   model.CheckRevisions();
 
@@ -212,7 +213,7 @@
   while (!choices.Ended()) {
     model.Step(choices);
     for (const auto& follower : model.mFollowers) {
-      ConfigFreshness fresh = follower->mHolder.Fresh();
+      ConfigFreshness fresh = follower->mHolder.Freshness();
       TimePoint asOf = model.mClock.Now() - fresh.mAge;
       for (const auto& revision : model.mInForce) {
         bool wasInForce = revision.second < asOf;
--- a/tests/support/EntryTestFleet.cpp
+++ b/tests/support/EntryTestFleet.cpp
@@ -118,7 +118,7 @@
 EntryTestFleet::MakeInstance(size_t aIndex)
 {
   auto reading = wire::ReadSettings(SettingsText(aIndex));
-  EXPECT_TRUE(reading.mTroubles.empty());
+  EXPECT_TRUE(reading.mErrors.empty());
   return std::make_unique<EntryDaemon>(mClock, reading.mSettings, -1);
 }
 
@@ -356,7 +356,8 @@
 int
 EntryTestFleet::LogLines(size_t aInstance, const std::string& aText)
 {
-  const std::string& log = mInstances.at(aInstance)->State().mLog.Gathered();
+  const std::string& log =
+    mInstances.at(aInstance)->State().mLog.BufferedText();
   int count = 0;
   size_t at = log.find(aText);
   while (at != std::string::npos) {
--- a/tests/unit/EventLogTest.cpp
+++ b/tests/unit/EventLogTest.cpp
@@ -19,7 +19,7 @@
     .Text("id", "a\"b\n\xff")
     .Count("n", 7)
     .Flag("f", true);
-  Json::Value line = JsonParseOrEmpty(log.Gathered());
+  Json::Value line = JsonParseOrEmpty(log.BufferedText());
   EXPECT_EQ("request_sent", line["event"].asString());
   EXPECT_EQ("i1", line["instance"].asString());
   EXPECT_EQ(7, line["n"].asInt());
@@ -37,10 +37,10 @@
   }
   EXPECT_EQ(800, log.DroppedLines());
   log.Line("other");
-  EXPECT_NE(std::string::npos, log.Gathered().find("\"other\""));
+  EXPECT_NE(std::string::npos, log.BufferedText().find("\"other\""));
   clock.Advance(Seconds(1));
   log.Line("flood");
-  EXPECT_NE(std::string::npos, log.Gathered().find("\"lines\":800"));
+  EXPECT_NE(std::string::npos, log.BufferedText().find("\"lines\":800"));
 }
 
 // Guards against a pipe that nobody reads: writes must return at once, memory
--- a/tests/unit/SettingsWatchTest.cpp
+++ b/tests/unit/SettingsWatchTest.cpp
@@ -57,7 +57,7 @@
   Write(path, "nonsense");
   runFor(Millis(1300));
   EXPECT_EQ(Seconds(12), state.mSettings.mGrace);
-  EXPECT_NE(std::string::npos, state.mLog.Gathered().find("not a number"));
+  EXPECT_NE(std::string::npos, state.mLog.BufferedText().find("not a number"));
   std::remove(path.c_str());
 }
 
--- a/tests/unit/WireMessagesTest.cpp
+++ b/tests/unit/WireMessagesTest.cpp
@@ -68,7 +68,7 @@
 TEST(WireSettings, ReadsAllSettings)
 {
   SettingsResult result = ReadSettings(kSettings);
-  EXPECT_TRUE(result.mTroubles.empty());
+  EXPECT_TRUE(result.mErrors.empty());
   EXPECT_EQ("front-1", result.mSettings.mName);
   EXPECT_EQ("10.1.0.25:7600", result.mSettings.mPeers);
   EXPECT_EQ("10.1.0.25:7601", result.mSettings.mMetrics);
@@ -85,7 +85,7 @@
   text = Replaced(text, "graceS = 8", "graceS = true");
   SettingsResult result = ReadSettings(text);
   std::vector<std::string> fields;
-  for (const SettingsError& error : result.mTroubles) {
+  for (const SettingsError& error : result.mErrors) {
     fields.push_back(error.mField);
     EXPECT_FALSE(error.mExpected.empty());
   }
@@ -93,13 +93,13 @@
     "nodeName", "listen.front", "platform.address", "bounds.graceS"
   };
   EXPECT_EQ(expected, fields);
-  EXPECT_GT(result.mTroubles.back().mLine, 0);
+  EXPECT_GT(result.mErrors.back().mLine, 0);
 }
 
 TEST(WireSettings, InvalidTomlAndMissingFileAreErrors)
 {
-  EXPECT_EQ(1u, ReadSettings("a = [").mTroubles.size());
-  EXPECT_EQ(1u, ReadSettingsFile("/nowhere/at/all").mTroubles.size());
+  EXPECT_EQ(1u, ReadSettings("a = [").mErrors.size());
+  EXPECT_EQ(1u, ReadSettingsFile("/nowhere/at/all").mErrors.size());
 }
 
 TEST(WireConfig, ReadsRoutesServicesAndTenants)
