--- a/src/daemon/Instance.cpp
+++ b/src/daemon/Instance.cpp
@@ -73,8 +73,8 @@
 {
   StoreGateSettings settings;
   settings.mZones = static_cast<int>(aSettings.mZones.size());
-  settings.mAtOnce = static_cast<int>(aSettings.mStoreAtOnce);
-  settings.mStarts = static_cast<double>(aSettings.mStoreStartsPerSecond);
+  settings.mMaxLoads = static_cast<int>(aSettings.mStoreAtOnce);
+  settings.mLoadRate = static_cast<double>(aSettings.mStoreStartsPerSecond);
   settings.mMaxConcurrentAdapters =
     static_cast<int>(aSettings.mStoreAdaptersAtOnce);
   return settings;
@@ -214,7 +214,7 @@
   };
   addTicker(kHeartbeatInterval, [this] { mHeartbeat->Round(); });
   addTicker(kSweepInterval, [this] { mOwner.Sweep(); });
-  addTicker(kReconcileInterval, [this] { mReconciler->Round(); });
+  addTicker(kReconcileInterval, [this] { mReconciler->ReconcileAll(); });
   addTicker(kBriefingInterval, [this] {
     if (Ready()) {
       mBriefingRunner->Round();
@@ -291,7 +291,7 @@
   json["revision"] = Json::Int64(mConfig.Current()->mRevision);
   json["config_age_ms"] = Json::Int64(mConfig.Age().count());
   json["in_flight"] = mCallers->InFlight();
-  json["models_busy"] = Json::UInt64(mOwner.Busy());
+  json["models_busy"] = Json::UInt64(mOwner.ActiveRequests());
   json["share_slots"] = mShares->SlotsHeld();
   json["share_settled"] = mShares->Settled();
   json["fit_instances"] = mMembers->AvailableCount();
@@ -361,8 +361,8 @@
 Instance::Busy() const
 {
   return mCallers->InFlight() > 0 || mAdmin->InFlight() > 0 ||
-         mOwner.Busy() > 0 || !mClaimWorkers.Idle() || !mLoadWorkers.Idle() ||
-         !mBriefingWorkers.Idle();
+         mOwner.ActiveRequests() > 0 || !mClaimWorkers.Idle() ||
+         !mLoadWorkers.Idle() || !mBriefingWorkers.Idle();
 }
 
 int
@@ -385,7 +385,7 @@
   LogInfo("draining",
           { { "in_flight", std::to_string(mCallers->InFlight()) },
             { "admin", std::to_string(mAdmin->InFlight()) },
-            { "places", std::to_string(mOwner.Busy()) },
+            { "places", std::to_string(mOwner.ActiveRequests()) },
             { "claims_idle", mClaimWorkers.Idle() ? "yes" : "no" },
             { "loads_idle", mLoadWorkers.Idle() ? "yes" : "no" },
             { "briefings_idle", mBriefingWorkers.Idle() ? "yes" : "no" } });
--- a/src/own/EndpointReconciler.cpp
+++ b/src/own/EndpointReconciler.cpp
@@ -37,7 +37,7 @@
 }
 
 void
-EndpointReconciler::Round()
+EndpointReconciler::ReconcileAll()
 {
   ConfigPtr config = mConfig.Current();
   const InstanceInfo& self = mMembers.Self();
--- a/src/own/EndpointReconciler.h
+++ b/src/own/EndpointReconciler.h
@@ -42,7 +42,7 @@
                      const Clock& aClock);
 
   // Reconciles every engine that this instance owns.
-  void Round();
+  void ReconcileAll();
 
 private:
   struct EngineState
@@ -72,7 +72,8 @@
   EngineClient& mEngines;
   Loader& mLoader;
   const Clock& mClock;
-  std::map<std::string, EngineState> mEngineStates; // for Round()'s thread
+  // For ReconcileAll()'s thread.
+  std::map<std::string, EngineState> mEngineStates;
 };
 
 } // namespace caraway
--- a/src/own/EngineSlotRequest.cpp
+++ b/src/own/EngineSlotRequest.cpp
@@ -90,7 +90,7 @@
   Json::Value json;
   json["place"] = Json::UInt64(aRelease.mEngineSlotId);
   json["tokens"] = aRelease.mTokens;
-  json["gone"] = aRelease.mGone;
+  json["gone"] = aRelease.mModelMissing;
   json["failed"] = aRelease.mFailed;
   return json;
 }
@@ -101,7 +101,7 @@
   EngineSlotRelease release;
   release.mEngineSlotId = aJson["place"].asUInt64();
   release.mTokens = aJson["tokens"].asDouble();
-  release.mGone = aJson["gone"].asBool();
+  release.mModelMissing = aJson["gone"].asBool();
   release.mFailed = aJson["failed"].asBool();
   return release;
 }
--- a/src/own/EngineSlotRequest.h
+++ b/src/own/EngineSlotRequest.h
@@ -42,9 +42,9 @@
 struct EngineSlotRelease
 {
   uint64_t mEngineSlotId = 0;
-  double mTokens = 0;   // tokens generated
-  bool mGone = false;   // the engine doesn't have the model
-  bool mFailed = false; // the engine didn't answer
+  double mTokens = 0;         // tokens generated
+  bool mModelMissing = false; // the engine doesn't have the model
+  bool mFailed = false;       // the engine didn't answer
 };
 
 Json::Value
--- a/src/own/ModelOwner.cpp
+++ b/src/own/ModelOwner.cpp
@@ -313,7 +313,7 @@
       std::chrono::duration<double>(now - slot.mGrantedAt).count();
     ModelGroupRecordRate(group, *replica, aRelease.mTokens, seconds);
   }
-  if (replica && (aRelease.mGone || aRelease.mFailed)) {
+  if (replica && (aRelease.mModelMissing || aRelease.mFailed)) {
     DropReplica(shard, slot, now);
   }
   GrantWaiting(shard, slot.mGroup, now);
--- a/src/own/ModelOwner.h
+++ b/src/own/ModelOwner.h
@@ -47,7 +47,7 @@
   // no longer poll, and refuses requests past their deadline.
   void Sweep();
   // Requests waiting or in flight.
-  size_t Busy() const;
+  size_t ActiveRequests() const;
 
   static constexpr Millis kMaxPollWait{ 1000 };
   // Fronts poll at least every kMaxPollWait. After this long without a poll the
--- a/src/own/ModelOwnerUpkeep.cpp
+++ b/src/own/ModelOwnerUpkeep.cpp
@@ -178,7 +178,7 @@
 }
 
 size_t
-ModelOwner::Busy() const
+ModelOwner::ActiveRequests() const
 {
   size_t busy = 0;
   for (const Shard& shard : mShards) {
--- a/src/own/StoreGate.cpp
+++ b/src/own/StoreGate.cpp
@@ -47,8 +47,8 @@
   double part = static_cast<double>(std::min(aZones, zones)) / zones;
   LoadGateParameters limits;
   limits.mMaxConcurrent =
-    std::max(1, static_cast<int>(aSettings.mAtOnce * part));
-  limits.mStartsPerSecond = std::max(1.0, aSettings.mStarts * part);
+    std::max(1, static_cast<int>(aSettings.mMaxLoads * part));
+  limits.mStartsPerSecond = std::max(1.0, aSettings.mLoadRate * part);
   return limits;
 }
 
--- a/src/own/StoreGateSettings.h
+++ b/src/own/StoreGateSettings.h
@@ -8,9 +8,9 @@
 
 struct StoreGateSettings
 {
-  int mZones = 1;     // of the fleet
-  int mAtOnce = 4;    // loads at the store's full speed, all zones together
-  double mStarts = 5; // loads begun per second, all zones together
+  int mZones = 1;       // of the fleet
+  int mMaxLoads = 4;    // loads at the store's full speed, all zones together
+  double mLoadRate = 5; // loads begun per second, all zones together
   int mMaxConcurrentAdapters = 30; // adapter loads, all zones together
 };
 
--- a/src/serve/BriefingRunner.cpp
+++ b/src/serve/BriefingRunner.cpp
@@ -47,7 +47,7 @@
     if (mMembers.FleetOwner(key).mId != self) {
       continue;
     }
-    auto open = Outcome([&] { return mStore.Open(i); });
+    auto open = Outcome([&] { return mStore.OpenIds(i); });
     auto* ids = std::get_if<std::set<std::string>>(&open);
     if (!ids) {
       continue;
@@ -69,7 +69,7 @@
 void
 BriefingRunner::Run(const std::string& aId)
 {
-  bool ended = mSteps.Take(
+  bool ended = mSteps.Process(
     aId, [this](const Briefing& aBriefing) { return TryRun(aBriefing); });
   std::lock_guard<std::mutex> lock(mLock);
   mRunning.erase(aId);
--- a/src/serve/BriefingSteps.cpp
+++ b/src/serve/BriefingSteps.cpp
@@ -16,7 +16,7 @@
 }
 
 bool
-BriefingSteps::Take(const std::string& aId, const Attempt& aAttempt)
+BriefingSteps::Process(const std::string& aId, const Attempt& aAttempt)
 {
   auto stored = Outcome([&] { return mStore.Read(aId); });
   bool ended = false;
@@ -27,7 +27,7 @@
   }
   if (ended) {
     // If this fails, the next round finds the briefing finished and retries.
-    FailureIn([&] { return mStore.Close(aId); });
+    FailureIn([&] { return mStore.RemoveFromList(aId); });
   }
   return ended;
 }
@@ -42,7 +42,7 @@
   if (!finished) {
     return false;
   }
-  return !FailureIn([&] { return mStore.End(aStored, *finished); });
+  return !FailureIn([&] { return mStore.StoreResult(aStored, *finished); });
 }
 
 bool
--- a/src/serve/BriefingSteps.h
+++ b/src/serve/BriefingSteps.h
@@ -26,7 +26,7 @@
 
   // True if the briefing has finished, here or elsewhere; it is off the list,
   // or will be after a retry. False if it is still open.
-  bool Take(const std::string& aId, const Attempt& aAttempt);
+  bool Process(const std::string& aId, const Attempt& aAttempt);
 
 private:
   bool RunIfOpen(StoredBriefing& aStored, const Attempt& aAttempt);
--- a/src/serve/BriefingStore.cpp
+++ b/src/serve/BriefingStore.cpp
@@ -69,7 +69,7 @@
 }
 
 Result<void>
-BriefingStore::Keep(const Briefing& aBriefing)
+BriefingStore::Store(const Briefing& aBriefing)
 {
   BOOST_LEAF_CHECK(ChangeList(aBriefing.mId, true));
   WriteResult result = mPlatform.Write(
@@ -96,7 +96,7 @@
 }
 
 Result<void>
-BriefingStore::End(StoredBriefing& aStored, const Briefing& aEnded)
+BriefingStore::StoreResult(StoredBriefing& aStored, const Briefing& aEnded)
 {
   WriteResult result = mPlatform.Write(
     { kKind, aEnded.mId, aStored.mVersion, RandomId(), BriefingJson(aEnded) });
@@ -110,7 +110,7 @@
 }
 
 Result<std::set<std::string>>
-BriefingStore::Open(int aList)
+BriefingStore::OpenIds(int aList)
 {
   std::set<std::string> open;
   auto read =
@@ -129,7 +129,7 @@
 }
 
 Result<void>
-BriefingStore::Close(const std::string& aId)
+BriefingStore::RemoveFromList(const std::string& aId)
 {
   return ChangeList(aId, false);
 }
--- a/src/serve/BriefingStore.h
+++ b/src/serve/BriefingStore.h
@@ -32,13 +32,13 @@
   // one that isn't listed would be lost. PlatformUnavailable if it is uncertain
   // whether both writes took effect; the caller must not be told then that the
   // briefing was accepted.
-  Result<void> Keep(const Briefing& aBriefing);
+  Result<void> Store(const Briefing& aBriefing);
   Result<StoredBriefing> Read(const std::string& aId);
   // Replaces a briefing only while it is in state Accepted: the first result
   // stays.
-  Result<void> End(StoredBriefing& aStored, const Briefing& aEnded);
-  Result<std::set<std::string>> Open(int aList);
-  Result<void> Close(const std::string& aId);
+  Result<void> StoreResult(StoredBriefing& aStored, const Briefing& aEnded);
+  Result<std::set<std::string>> OpenIds(int aList);
+  Result<void> RemoveFromList(const std::string& aId);
 
 private:
   Result<void> ChangeList(const std::string& aId, bool aAdd);
--- a/src/serve/CallerPort.cpp
+++ b/src/serve/CallerPort.cpp
@@ -344,7 +344,7 @@
   briefing.mExpires =
     std::chrono::duration_cast<Millis>(expires.time_since_epoch()).count();
   BOOST_LEAF_CHECK(Begin(aAnswer));
-  BOOST_LEAF_CHECK(mBriefings.Keep(briefing));
+  BOOST_LEAF_CHECK(mBriefings.Store(briefing));
   Json::Value answer;
   answer["id"] = briefing.mId;
   answer["state"] = BriefingStateName(briefing.mState);
--- a/src/serve/EngineStream.cpp
+++ b/src/serve/EngineStream.cpp
@@ -95,7 +95,7 @@
   std::string error;
   Poco::Net::StreamSocket socket = HttpConnect(call, error);
   if (!error.empty()) {
-    return { GenerateOutcome::NotOffered, error };
+    return { GenerateOutcome::NotSent, error };
   }
   try {
     Poco::Net::HTTPClientSession session(socket);
@@ -112,7 +112,8 @@
     Poco::Net::HTTPResponse response;
     std::istream& in = session.receiveResponse(response);
     if (response.getStatus() == kModelNotLoaded) {
-      return { GenerateOutcome::Gone, "the engine has not loaded the model" };
+      return { GenerateOutcome::ModelMissing,
+               "the engine has not loaded the model" };
     }
     if (response.getStatus() != Poco::Net::HTTPResponse::HTTP_OK) {
       return { GenerateOutcome::Broken,
--- a/src/serve/EngineStream.h
+++ b/src/serve/EngineStream.h
@@ -29,16 +29,16 @@
 
 enum class GenerateOutcome
 {
-  NotOffered, // the connection failed; nothing was sent
-  Gone,       // refused before running: model not loaded
-  Complete,   // end marker received after all tokens
-  Stopped,    // aOnToken returned false
-  Broken,     // cut off, stalled, out of order or of another request
+  NotSent,      // the connection failed; nothing was sent
+  ModelMissing, // refused before running: model not loaded
+  Complete,     // end marker received after all tokens
+  Stopped,      // aOnToken returned false
+  Broken,       // cut off, stalled, out of order or of another request
 };
 
 struct GenerateResult
 {
-  GenerateOutcome mOutcome = GenerateOutcome::NotOffered;
+  GenerateOutcome mOutcome = GenerateOutcome::NotSent;
   std::string mReason; // finish reason, or description of the failure
 };
 
--- a/src/serve/ModelCalls.cpp
+++ b/src/serve/ModelCalls.cpp
@@ -89,8 +89,8 @@
   EngineSlotRelease release;
   release.mEngineSlotId = aGrant.mEngineSlotId;
   release.mTokens = static_cast<double>(aSoFar.mTokens.size());
-  release.mGone = aResult.mOutcome == GenerateOutcome::Gone;
-  release.mFailed = aResult.mOutcome == GenerateOutcome::NotOffered ||
+  release.mModelMissing = aResult.mOutcome == GenerateOutcome::ModelMissing;
+  release.mFailed = aResult.mOutcome == GenerateOutcome::NotSent ||
                     aResult.mOutcome == GenerateOutcome::Broken;
   return release;
 }
@@ -143,14 +143,14 @@
 Result<void>
 ModelCalls::MayStartAttempt(const ModelCall& aCall,
                             const ModelAnswer& aSoFar,
-                            bool aOffered) const
+                            bool aSent) const
 {
   if (!aSoFar.mTokens.empty()) {
     return mLeave.MayContinue();
   }
   return mLeave.MayStart(aCall.mContext.mArrived +
                            aCall.mContext.mProfile.mAnswer,
-                         aOffered ? RunState::MayHaveRun : RunState::NotRun);
+                         aSent ? RunState::MayHaveRun : RunState::NotRun);
 }
 
 ModelCalls::Attempt
--- a/src/serve/ModelCalls.h
+++ b/src/serve/ModelCalls.h
@@ -64,7 +64,7 @@
   // Checked before each attempt and again once it has an engine slot.
   Result<void> MayStartAttempt(const ModelCall& aCall,
                                const ModelAnswer& aSoFar,
-                               bool aOffered) const;
+                               bool aSent) const;
   Attempt GenerateAttempt(
     const ModelCall& aCall,
     const EngineSlotGrant& aGrant,
--- a/tests/property/BriefingProperty.cpp
+++ b/tests/property/BriefingProperty.cpp
@@ -55,7 +55,7 @@
   {
     Briefing briefing;
     briefing.mId = "b" + std::to_string(mCreated++);
-    if (!FailureIn([&] { return aRunner.mStore.Keep(briefing); })) {
+    if (!FailureIn([&] { return aRunner.mStore.Store(briefing); })) {
       mAccepted.push_back(briefing.mId);
     }
   }
@@ -65,12 +65,12 @@
   void RunAllLists(Runner& aRunner, Runner& aOther, RandomChoices& aChoices)
   {
     for (int list = 0; list < BriefingStore::kLists; ++list) {
-      auto open = Outcome([&] { return aRunner.mStore.Open(list); });
+      auto open = Outcome([&] { return aRunner.mStore.OpenIds(list); });
       auto* ids = std::get_if<std::set<std::string>>(&open);
       for (const std::string& id : ids ? *ids : std::set<std::string>()) {
-        aRunner.mSteps.Take(id, [&](const Briefing& aBriefing) {
+        aRunner.mSteps.Process(id, [&](const Briefing& aBriefing) {
           if (aChoices.Below(4) == 0) {
-            aOther.mSteps.Take(id, [&](const Briefing& aSame) {
+            aOther.mSteps.Process(id, [&](const Briefing& aSame) {
               return EndedBriefing(aSame, aChoices);
             });
           }
@@ -171,7 +171,7 @@
     }
     return MemoryFault::None;
   };
-  EXPECT_FALSE(FailureIn([&] { return store.Keep(briefing); }));
+  EXPECT_FALSE(FailureIn([&] { return store.Store(briefing); }));
 }
 
 } // namespace caraway
