--- a/src/daemon/Heartbeat.cpp
+++ b/src/daemon/Heartbeat.cpp
@@ -48,7 +48,7 @@
 }
 
 void
-Heartbeat::Heard(const Json::Value& aJson)
+Heartbeat::OnHeartbeat(const Json::Value& aJson)
 {
   InstanceInfo info;
   info.mId = aJson["id"].asString();
@@ -56,7 +56,7 @@
   info.mPeerAddress = aJson["peer"].asString();
   info.mLeaving = aJson["leaving"].asBool();
   if (!info.mId.empty()) {
-    mMembers.Heard(info);
+    mMembers.RecordHeartbeat(info);
   }
 }
 
@@ -68,10 +68,10 @@
     [&] { return mPeers.Call(aAddress, "beat", Self(), kHeartbeatTimeout); });
   auto* json = std::get_if<Json::Value>(&answer);
   if (!json) {
-    mMembers.Silent(aAddress);
+    mMembers.RecordUnansweredCall(aAddress);
     return false;
   }
-  Heard(*json);
+  OnHeartbeat(*json);
   mWatcher.OnPeerFreshness(
     aAddress,
     { (*json)["revision"].asInt64(), Millis((*json)["age"].asInt64()) },
@@ -115,7 +115,7 @@
   ContactNewPeers();
   std::vector<std::string> sameZonePeers;
   std::vector<std::string> otherZonePeers;
-  for (const InstanceInfo& peer : mMembers.Others()) {
+  for (const InstanceInfo& peer : mMembers.Peers()) {
     bool sameZone = peer.mZone == mMembers.Self().mZone;
     (sameZone ? sameZonePeers : otherZonePeers).push_back(peer.mPeerAddress);
   }
@@ -137,7 +137,7 @@
 Heartbeat::AnnounceLeaving()
 {
   for (const InstanceInfo& peer :
-       mMembers.AvailablePeersIn(mMembers.Self().mZone)) {
+       mMembers.AvailableInstancesIn(mMembers.Self().mZone)) {
     Outcome([&] {
       return mPeers.Call(peer.mPeerAddress, "beat", Self(), kHeartbeatTimeout);
     });
@@ -148,7 +148,7 @@
 Heartbeat::AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd)
 {
   aAdd("beat", [this](const Json::Value& aParams) {
-    Heard(aParams);
+    OnHeartbeat(aParams);
     return Self();
   });
 }
--- a/src/daemon/Heartbeat.h
+++ b/src/daemon/Heartbeat.h
@@ -43,7 +43,7 @@
   void ContactNewPeers();
   bool SendHeartbeat(const std::string& aAddress);
   Json::Value Self() const;
-  void Heard(const Json::Value& aJson);
+  void OnHeartbeat(const Json::Value& aJson);
 
   Members& mMembers;
   PeerClient& mPeers;
--- a/src/daemon/Instance.cpp
+++ b/src/daemon/Instance.cpp
@@ -231,7 +231,7 @@
                          mShares->Table().mMembers.count(mIncarnation) == 0;
               if (due && mConfig.Current()->mRevision > 0) {
                 lastRenewal = now;
-                mShares->Round();
+                mShares->RenewAndBalance();
               }
             });
   Ticker& shares = *mTickers.back();
@@ -293,7 +293,7 @@
   json["in_flight"] = mCallers->InFlight();
   json["models_busy"] = Json::UInt64(mOwner.ActiveRequests());
   json["share_slots"] = mShares->SlotsHeld();
-  json["share_settled"] = mShares->Settled();
+  json["share_settled"] = mShares->Balanced();
   json["fit_instances"] = mMembers->AvailableCount();
   return json;
 }
@@ -303,7 +303,7 @@
 {
   Json::Value json;
   json["instances"].append(Status());
-  for (const InstanceInfo& peer : mMembers->Others()) {
+  for (const InstanceInfo& peer : mMembers->Peers()) {
     auto answer = Outcome([&] {
       return mPeers.Call(peer.mPeerAddress,
                          "status",
@@ -348,9 +348,9 @@
         mLoader.Counts().mOptionalAbandoned);
   const ShareClientCounts& shares = mShareClient->Counts();
   count("caraway_share_takes_total", shares.mTakes);
-  count("caraway_share_asks_total", shares.mAsks);
+  count("caraway_share_asks_total", shares.mPeerTakes);
   count("caraway_share_borrowed_total", shares.mBorrowed);
-  count("caraway_share_lapsed_total", shares.mLapsed);
+  count("caraway_share_lapsed_total", shares.mGatheredTooSlowly);
   count("caraway_in_flight", mCallers->InFlight());
   count("caraway_config_revision", mConfig.Current()->mRevision);
   count("caraway_config_age_ms", mConfig.Age().count());
--- a/src/own/StoreGate.cpp
+++ b/src/own/StoreGate.cpp
@@ -107,7 +107,7 @@
   });
   auto* json = std::get_if<Json::Value>(&reply);
   if (!json) {
-    mMembers.Silent(aOwner.mPeerAddress);
+    mMembers.RecordUnansweredCall(aOwner.mPeerAddress);
     return std::nullopt;
   }
   return LoadGateReply{ (*json)["in"].asBool(),
@@ -158,7 +158,7 @@
 bool
 StoreGate::AcquireAdapter(TimePoint aUntil)
 {
-  int instances = static_cast<int>(mMembers.Others().size()) + 1;
+  int instances = static_cast<int>(mMembers.Peers().size()) + 1;
   int part = std::max(1, mSettings.mMaxConcurrentAdapters / instances);
   std::unique_lock<std::mutex> lock(mAdapterLock);
   auto left = std::max(
--- a/src/peer/Members.cpp
+++ b/src/peer/Members.cpp
@@ -57,7 +57,7 @@
 }
 
 std::optional<std::set<std::string>>
-Members::Listed() const
+Members::ListedAddresses() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   bool recent =
@@ -66,7 +66,7 @@
 }
 
 void
-Members::Heard(const InstanceInfo& aPeer)
+Members::RecordHeartbeat(const InstanceInfo& aPeer)
 {
   std::lock_guard<std::mutex> lock(mLock);
   if (aPeer.mId == mSelf.mId) {
@@ -80,7 +80,7 @@
 }
 
 void
-Members::Silent(const std::string& aAddress)
+Members::RecordUnansweredCall(const std::string& aAddress)
 {
   std::lock_guard<std::mutex> lock(mLock);
   TimePoint now = mClock.Now();
@@ -121,7 +121,7 @@
 }
 
 std::vector<InstanceInfo>
-Members::AvailablePeersIn(const std::string& aZone) const
+Members::AvailableInstancesIn(const std::string& aZone) const
 {
   std::lock_guard<std::mutex> lock(mLock);
   std::vector<InstanceInfo> available;
@@ -137,7 +137,7 @@
 }
 
 std::vector<InstanceInfo>
-Members::Others() const
+Members::Peers() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   std::vector<InstanceInfo> peers;
@@ -169,13 +169,13 @@
 InstanceInfo
 Members::Owner(const std::string& aKey) const
 {
-  return OwnerAmong(AvailablePeersIn(mSelf.mZone), aKey);
+  return OwnerAmong(AvailableInstancesIn(mSelf.mZone), aKey);
 }
 
 InstanceInfo
 Members::FleetOwner(const std::string& aKey) const
 {
-  std::vector<InstanceInfo> available = AvailablePeersIn(mSelf.mZone);
+  std::vector<InstanceInfo> available = AvailableInstancesIn(mSelf.mZone);
   for (const InstanceInfo& info : AvailableElsewhere()) {
     available.push_back(info);
   }
@@ -185,7 +185,7 @@
 std::optional<InstanceInfo>
 Members::OwnerIn(const std::string& aZone, const std::string& aKey) const
 {
-  std::vector<InstanceInfo> available = AvailablePeersIn(aZone);
+  std::vector<InstanceInfo> available = AvailableInstancesIn(aZone);
   return available.empty() ? std::nullopt
                            : std::make_optional(OwnerAmong(available, aKey));
 }
@@ -249,7 +249,7 @@
 int
 Members::AvailableCount() const
 {
-  return static_cast<int>(AvailablePeersIn(mSelf.mZone).size() +
+  return static_cast<int>(AvailableInstancesIn(mSelf.mZone).size() +
                           AvailableElsewhere().size());
 }
 
--- a/src/peer/Members.h
+++ b/src/peer/Members.h
@@ -25,12 +25,12 @@
   // answer, since the list may be stale and isn't available during an outage.
   void UpdateFromList(const std::vector<InstanceInfo>& aList);
   // Addresses on the last list read, or nothing if that list is too old.
-  std::optional<std::set<std::string>> Listed() const;
+  std::optional<std::set<std::string>> ListedAddresses() const;
   // Called when a peer sent its own instance info.
-  void Heard(const InstanceInfo& aPeer);
+  void RecordHeartbeat(const InstanceInfo& aPeer);
   // Called when a call to a peer ended without an answer. Unanswered calls that
   // fall within kMinUnansweredSpacing of each other count as one.
-  void Silent(const std::string& aAddress);
+  void RecordUnansweredCall(const std::string& aAddress);
   // Called when a call with ample time went unanswered. The peer gets no new
   // work until it is heard from again.
   void MarkUnreachable(const std::string& aAddress);
@@ -39,7 +39,8 @@
   void MarkSelfLeaving();
   // Instances available for new work: neither leaving nor unresponsive.
   // Includes this instance unless it is leaving.
-  std::vector<InstanceInfo> AvailablePeersIn(const std::string& aZone) const;
+  std::vector<InstanceInfo> AvailableInstancesIn(
+    const std::string& aZone) const;
   // Number of zones with an available instance, including this instance's own.
   int AvailableZoneCount() const;
   // Names of these zones without the suspected ones.
@@ -57,7 +58,7 @@
   // unanswered call.
   std::vector<std::string> UncontactedPeers() const;
   // All other instances that aren't leaving, available or not.
-  std::vector<InstanceInfo> Others() const;
+  std::vector<InstanceInfo> Peers() const;
   // Owner of aKey among the available instances of this zone; this instance if
   // there is no other.
   InstanceInfo Owner(const std::string& aKey) const;
--- a/src/share/ShareClient.cpp
+++ b/src/share/ShareClient.cpp
@@ -67,7 +67,7 @@
     }
     read = mClock.Now();
   }
-  for (const InstanceInfo& peer : mMembers.AvailablePeersIn(aZone)) {
+  for (const InstanceInfo& peer : mMembers.AvailableInstancesIn(aZone)) {
     auto peerReply = Outcome([&] {
       return mPeers.Call(peer.mPeerAddress,
                          "share.table",
@@ -78,7 +78,7 @@
       UpdateTable(aZone, *json);
       return;
     }
-    mMembers.Silent(peer.mPeerAddress);
+    mMembers.RecordUnansweredCall(peer.mPeerAddress);
   }
 }
 
@@ -152,7 +152,7 @@
   if (holder.empty() || IsUnresponsive(holder)) {
     return true;
   }
-  ++mCounts.mAsks;
+  ++mCounts.mPeerTakes;
   Json::Value params;
   params["tenant"] = aTenant;
   params["slot"] = aSlot;
@@ -244,7 +244,7 @@
   }
   Settle(ticket, 0);
   if (missing <= kTokenEpsilon) {
-    ++mCounts.mLapsed;
+    ++mCounts.mGatheredTooSlowly;
     return Fail(
       ErrorKind::RateUnavailable,
       "share holders replied too slowly; tokens expired before admission");
--- a/src/share/ShareClient.h
+++ b/src/share/ShareClient.h
@@ -16,10 +16,10 @@
 struct ShareClientCounts
 {
   std::atomic<int64_t> mTakes{ 0 };
-  std::atomic<int64_t> mLocal{ 0 };    // served from own slots
-  std::atomic<int64_t> mAsks{ 0 };     // requests to other instances
+  std::atomic<int64_t> mLocal{ 0 };     // served from own slots
+  std::atomic<int64_t> mPeerTakes{ 0 }; // requests to other instances
   std::atomic<int64_t> mBorrowed{ 0 }; // takes that needed more than one holder
-  std::atomic<int64_t> mLapsed{ 0 };   // tokens gathered too slowly
+  std::atomic<int64_t> mGatheredTooSlowly{ 0 }; // tokens gathered too slowly
 };
 
 // Takes tokens from the holders in its own zone, and the rest from those of
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -112,7 +112,7 @@
 }
 
 bool
-ShareManager::Settled() const
+ShareManager::Balanced() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   return ShareLeaseSlotsToHandOver(mLease, false).empty();
@@ -125,12 +125,12 @@
 }
 
 void
-ShareManager::Round()
+ShareManager::RenewAndBalance()
 {
   if (mConfig.Current()->mRevision == 0) {
     return;
   }
-  if (auto listed = mMembers.Listed()) {
+  if (auto listed = mMembers.ListedAddresses()) {
     std::lock_guard<std::mutex> lock(mLock);
     ShareLeaseOnInstanceList(mLease, *listed, mClock.Now());
   }
--- a/src/share/ShareManager.h
+++ b/src/share/ShareManager.h
@@ -50,8 +50,8 @@
   std::string HolderOf(int aSlot) const;
   // Applies this zone's table as received from a peer.
   void UpdateTable(const Json::Value& aTable, int64_t aVersion);
-  // Sets the callback for slots received from a peer, after which Round()
-  // should run soon.
+  // Sets the callback for slots received from a peer, after which
+  // RenewAndBalance() should run soon.
   void OnSlotsReceived(std::function<void()> aCallback)
   {
     mOnSlotsReceived = std::move(aCallback);
@@ -60,10 +60,10 @@
   ShareTable Table() const;
   int SlotsHeld() const;
   // Whether all slots held here are at their target member.
-  bool Settled() const;
+  bool Balanced() const;
 
   // Renews the lease, through the zone's renewer or by writing itself.
-  void Round();
+  void RenewAndBalance();
   // Hands over all slots with the tokens left in them, on a graceful shutdown.
   void Leave();
 
--- a/tests/unit/ShareManagerTest.cpp
+++ b/tests/unit/ShareManagerTest.cpp
@@ -34,7 +34,7 @@
   SlotHandOver()
   {
     mConfig.Adopt(Config());
-    mManager.Round();
+    mManager.RenewAndBalance();
     mNewMember.mSelf = "i1.0000@127.0.0.1:2";
     mNewMember.mAddress = "127.0.0.1:2";
     ReadTable();
@@ -95,7 +95,7 @@
     Join();
     return MemoryFault::None;
   });
-  mManager.Round();
+  mManager.RenewAndBalance();
   ShareTable table = StoredTable();
   for (int slot = 0; slot < kShareSlots; ++slot) {
     EXPECT_EQ(table.mSlots[slot].mHolder, ShareTableTarget(table, slot));
@@ -108,7 +108,7 @@
 TEST_F(SlotHandOver, SlotsStaySpendableDuringPlatformOutage)
 {
   FaultAtWrite(3, [] { return MemoryFault::Refused; });
-  mManager.Round();
+  mManager.RenewAndBalance();
   EXPECT_EQ(mManager.SlotsHeld(), kShareSlots);
 }
 
@@ -117,13 +117,13 @@
 TEST_F(SlotHandOver, SlotsStayClosedUntilTheOutcomeIsKnown)
 {
   FaultAtWrite(3, [] { return MemoryFault::WriteLost; });
-  mManager.Round();
+  mManager.RenewAndBalance();
   EXPECT_EQ(mManager.SlotsHeld(), 8);
   FaultAtWrite(2, [] { return MemoryFault::AnswerLost; });
-  mManager.Round();
+  mManager.RenewAndBalance();
   EXPECT_EQ(mManager.SlotsHeld(), 8);
-  mManager.Round();
-  EXPECT_TRUE(mManager.Settled());
+  mManager.RenewAndBalance();
+  EXPECT_TRUE(mManager.Balanced());
   EXPECT_EQ(mManager.SlotsHeld(), 8);
 }
 
--- a/tests/unit/StoreGateTest.cpp
+++ b/tests/unit/StoreGateTest.cpp
@@ -60,7 +60,7 @@
     for (GateNode* node : { &mNode0, &mNode1 }) {
       node->Serve();
       for (GateNode* other : { &mNode0, &mNode1, &mOwner }) {
-        node->mMembers->Heard(other->mInfo);
+        node->mMembers->RecordHeartbeat(other->mInfo);
       }
     }
   }
@@ -125,8 +125,8 @@
 {
   PausedClock clock;
   GateNode node("i0", "mendoza-a", clock);
-  node.mMembers->Heard({ "i1", "mendoza-a", "127.0.0.1:1", false });
-  node.mMembers->Heard({ "i2", "uspallata-b", "127.0.0.1:2", false });
+  node.mMembers->RecordHeartbeat({ "i1", "mendoza-a", "127.0.0.1:1", false });
+  node.mMembers->RecordHeartbeat({ "i2", "uspallata-b", "127.0.0.1:2", false });
   constexpr size_t kPart = 30 / 3;
   std::list<AdapterPermit> permits;
   for (size_t i = 0; i < kPart; ++i) {
