--- a/tests/platform/AnswersTest.cpp
+++ b/tests/platform/AnswersTest.cpp
@@ -90,7 +90,7 @@
   TestCallPtr call = fleet.Call(0, "/order/x", "r1");
   EXPECT_EQ(503, call->mStatus);
   EXPECT_NE("", call->Field(wire::kRetryAfter));
-  fleet.For(Millis(300));
+  fleet.RunFor(Millis(300));
   EXPECT_EQ(0, fleet.RunsOf("r1"));
 }
 
@@ -126,7 +126,7 @@
       TestCallPtr call = fleet.Call(0, "/order/x", id, {}, "b");
       EXPECT_EQ(200, call->mStatus);
       EXPECT_EQ("answer to " + id + " of b", call->mBody);
-      EXPECT_EQ("", call->mOver);
+      EXPECT_EQ("", call->mExcess);
     }
   }
 }
@@ -181,12 +181,12 @@
   fleet.mConfig["routes"][1]["timeoutMs"] = 300;
   fleet.Configure();
   fleet.AwaitReady();
-  fleet.For(Seconds(2));
+  fleet.RunFor(Seconds(2));
   SetBehaviour(fleet, ServerBehaviour::Hangs);
   TestCallPtr call = fleet.Call(0, "/order/x", "r1");
   EXPECT_EQ(504, call->mStatus);
-  EXPECT_LT(call->mHeadAt - call->mAsked, Millis(600));
-  EXPECT_TRUE(fleet.Until(
+  EXPECT_LT(call->mHeadAt - call->mSentAt, Millis(600));
+  EXPECT_TRUE(fleet.RunUntil(
     [&] { return fleet.mPlain[0]->mLeft + fleet.mPlain[1]->mLeft == 1; },
     Millis(500)));
 }
--- a/tests/platform/CallersTest.cpp
+++ b/tests/platform/CallersTest.cpp
@@ -61,9 +61,9 @@
                     "POST /order/x HTTP/1.1\r\nHost: host\r\n"
                     "Attempt-Id: good\r\nAuthorization: Bearer key-acme\r\n" +
                       fields + "\r\n" + "0\r\n\r\n" + hidden);
-    EXPECT_TRUE(fleet.Until([&] { return call->mStatus != 0; }, Seconds(1)));
+    EXPECT_TRUE(fleet.RunUntil([&] { return call->mStatus != 0; }, Seconds(1)));
     EXPECT_EQ(400, call->mStatus);
-    fleet.For(Millis(100));
+    fleet.RunFor(Millis(100));
     EXPECT_EQ(0, fleet.RunsOf("evil") + fleet.RunsOf("good"));
   }
 }
@@ -77,7 +77,7 @@
     "POST /order/x HTTP/1.1\r\nHost: host\r\nAttempt-Id: r1\r\n"
     "Authorization: Bearer key-acme\r\nTransfer-Encoding: chunked\r\n\r\n"
     "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n");
-  EXPECT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(1)));
+  EXPECT_TRUE(fleet.RunUntil([&] { return call->mComplete; }, Seconds(1)));
   EXPECT_EQ("answer to r1 of abcde", call->mBody);
 }
 
@@ -127,10 +127,10 @@
     fleet.SendRaw(0,
                   fleet.RequestText("/order/x", "r1", {}, "one") +
                     fleet.RequestText("/order/x", "r2", {}, "two"));
-  EXPECT_TRUE(fleet.Until(
+  EXPECT_TRUE(fleet.RunUntil(
     [&] {
-      return call->mWhole &&
-             call->mOver.find("answer to r2 of two") != std::string::npos;
+      return call->mComplete &&
+             call->mExcess.find("answer to r2 of two") != std::string::npos;
     },
     Seconds(2)));
   EXPECT_EQ("answer to r1 of one", call->mBody);
@@ -144,12 +144,12 @@
   fleet.mConfig["limits"]["headerTimeoutMs"] = 300;
   fleet.Configure();
   fleet.AwaitReady();
-  fleet.For(Seconds(1));
+  fleet.RunFor(Seconds(1));
   std::string big(1500, 'x');
   EXPECT_EQ(431, fleet.Call(0, "/order/x", "r1", { { "X", big } })->mStatus);
   EXPECT_EQ(413, fleet.Call(0, "/order/x", "r2", {}, big + big)->mStatus);
   TestCallPtr slow = fleet.SendRaw(0, "POST /order/x HTTP/1.1\r\nHo");
-  EXPECT_TRUE(fleet.Until([&] { return slow->mStatus != 0; }, Seconds(2)));
+  EXPECT_TRUE(fleet.RunUntil([&] { return slow->mStatus != 0; }, Seconds(2)));
   EXPECT_EQ(408, slow->mStatus);
 }
 
@@ -167,7 +167,7 @@
     Poco::Net::StreamSocket socket;
     socket.connectNB(metrics);
     slow.push_back(socket);
-    fleet.For(Millis(2));
+    fleet.RunFor(Millis(2));
     try {
       socket.sendBytes("GET /metrics HTTP/1.1\r\nHost: x\r\n", 34);
     } catch (const Poco::Exception&) {
@@ -177,16 +177,16 @@
   for (int i = 0; i < 5; ++i) {
     TestCallPtr call = fleet.Call(0, "/safe/x", "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
-    EXPECT_LT(call->mHeadAt - call->mAsked, Millis(300));
+    EXPECT_LT(call->mHeadAt - call->mSentAt, Millis(300));
   }
   slow.clear();
-  fleet.For(Millis(200));
+  fleet.RunFor(Millis(200));
   Poco::Net::StreamSocket scraper(metrics);
   std::string request = "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n";
   scraper.sendBytes(request.data(), static_cast<int>(request.size()));
   scraper.setBlocking(false);
   std::string answer;
-  fleet.Until(
+  fleet.RunUntil(
     [&] {
       char bytes[4096];
       try {
--- a/tests/platform/EmptyZonesTest.cpp
+++ b/tests/platform/EmptyZonesTest.cpp
@@ -43,7 +43,7 @@
     : EntryTestFleet(std::move(aOptions))
   {
     mStore->Remove(wire::kServersKind, mEngines[0]->Id());
-    EXPECT_TRUE(Until(
+    EXPECT_TRUE(RunUntil(
       [this] {
         for (auto& instance : mInstances) {
           if (instance->State().mServers.Find(mEngines[0]->Id())) {
@@ -63,7 +63,7 @@
   {
     mInstances[aInstance]->Leave();
     EXPECT_TRUE(
-      Until([&] { return mInstances[aInstance]->Gone(); }, Seconds(9)));
+      RunUntil([&] { return mInstances[aInstance]->Gone(); }, Seconds(9)));
     mInstances[aInstance].reset();
   }
 
@@ -86,7 +86,7 @@
       if (RequestModel(aInstance, aModel)->mStatus == 200) {
         return true;
       }
-      For(Millis(100));
+      RunFor(Millis(100));
     }
     return false;
   }
@@ -131,8 +131,8 @@
   fleet.StopInstance(1);
   ASSERT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
   fleet.mInstances[1] = fleet.MakeInstance(1);
-  EXPECT_TRUE(fleet.Until([&] { return fleet.mInstances[1]->HoldsLease(); },
-                          kMaxHandBackTime));
+  EXPECT_TRUE(fleet.RunUntil([&] { return fleet.mInstances[1]->HoldsLease(); },
+                             kMaxHandBackTime));
   EXPECT_TRUE(fleet.RequestUntilServed(0, "m2", kMaxHandBackTime));
   EXPECT_EQ((std::set<std::string>{ "i0", "i1" }), fleet.Engine().mHolders);
   EXPECT_EQ("i1", fleet.Engine().mOrderedBy.back().second);
@@ -148,8 +148,8 @@
   fleet.StopInstance(1);
   ASSERT_TRUE(fleet.RequestUntilServed(0, "m1", kMaxTakeoverTime));
   fleet.mInstances[1] = fleet.MakeInstance(1);
-  ASSERT_TRUE(fleet.Until([&] { return fleet.mInstances[1]->HoldsLease(); },
-                          kMaxHandBackTime));
+  ASSERT_TRUE(fleet.RunUntil([&] { return fleet.mInstances[1]->HoldsLease(); },
+                             kMaxHandBackTime));
   fleet.StopInstance(1);
   EXPECT_TRUE(fleet.RequestUntilServed(0, "m2", kMaxTakeoverTime));
   EXPECT_EQ("i0", fleet.Engine().mOrderedBy.back().second);
--- a/tests/platform/FreshnessTest.cpp
+++ b/tests/platform/FreshnessTest.cpp
@@ -50,7 +50,7 @@
   fleet.AwaitReady();
   EXPECT_EQ(200, fleet.Call(0, "/order/x", "r1")->mStatus);
   RevokeKeys(fleet);
-  fleet.For(kMaxDelay);
+  fleet.RunFor(kMaxDelay);
   EXPECT_EQ(401, fleet.Call(0, "/order/x", "r2")->mStatus);
 }
 
@@ -63,10 +63,10 @@
     EntryTestFleet fleet(TwoInstances());
     fleet.AwaitReady();
     fleet.mStore->SetFaultMode(0, mode);
-    fleet.For(Millis(500));
+    fleet.RunFor(Millis(500));
     RevokeKeys(fleet);
     fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
-    fleet.For(kMaxDelay);
+    fleet.RunFor(kMaxDelay);
     EXPECT_EQ(401, fleet.Call(0, "/order/x", "r1")->mStatus);
     const Backend* leaving =
       fleet.mInstances[0]->State().mServers.Find(fleet.mPlain[0]->Id());
@@ -91,7 +91,7 @@
   fleet.Configure();
   int64_t version = fleet.mConfig["version"].asInt64();
   EXPECT_TRUE(
-    fleet.Until([&] { return VersionAt(fleet, 1) == version; }, kMaxDelay));
+    fleet.RunUntil([&] { return VersionAt(fleet, 1) == version; }, kMaxDelay));
 }
 
 // Watches get no answer while changes are made, and the history is gone then.
@@ -102,10 +102,10 @@
   fleet.mStore->MuteWatches(true);
   RevokeKeys(fleet);
   fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
-  fleet.For(Millis(500));
+  fleet.RunFor(Millis(500));
   fleet.mStore->ForgetHistory();
   fleet.mStore->MuteWatches(false);
-  fleet.For(kMaxDelay - Millis(500));
+  fleet.RunFor(kMaxDelay - Millis(500));
   EXPECT_EQ(401, fleet.Call(0, "/order/x", "r1")->mStatus);
   for (int i = 0; i < 6; ++i) {
     fleet.Call(0,
@@ -124,7 +124,7 @@
   fleet.mInstances[0].reset();
   fleet.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Silent);
   fleet.mInstances[0] = fleet.MakeInstance(0);
-  fleet.For(Millis(300));
+  fleet.RunFor(Millis(300));
   EXPECT_FALSE(fleet.mInstances[0]->Ready());
   TestCallPtr call = fleet.Call(0, "/order/x", "r1");
   EXPECT_EQ(503, call->mStatus);
@@ -137,12 +137,12 @@
   EntryTestFleet fleet;
   fleet.AwaitReady();
   fleet.Configure();
-  fleet.For(Millis(1500));
+  fleet.RunFor(Millis(1500));
   int64_t newest = VersionAt(fleet, 0);
   Json::Value old = fleet.mConfig;
   old["version"] = 1;
   fleet.mStore->Put(wire::kConfigKind, wire::kConfigName, old);
-  fleet.For(Millis(1500));
+  fleet.RunFor(Millis(1500));
   EXPECT_EQ(newest, VersionAt(fleet, 0));
 }
 
@@ -159,7 +159,7 @@
   bad["state"] = "sleeping";
   fleet.mStore->Put(wire::kServersKind, "bad-2", bad);
   fleet.mStore->Put(wire::kConfigKind, wire::kConfigName, Json::Value("noise"));
-  fleet.For(Millis(1500));
+  fleet.RunFor(Millis(1500));
   EXPECT_EQ(nullptr, fleet.mInstances[0]->State().mServers.Find("bad-1"));
   EXPECT_EQ(nullptr, fleet.mInstances[0]->State().mServers.Find("bad-2"));
   EXPECT_EQ(200, fleet.Call(0, "/order/x", "r1")->mStatus);
@@ -172,14 +172,14 @@
   EntryTestFleet fleet;
   fleet.AwaitReady();
   fleet.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Silent);
-  fleet.For(Seconds(3));
+  fleet.RunFor(Seconds(3));
   for (auto& server : fleet.mPlain) {
     fleet.mStore->Remove(wire::kServersKind, server->Id());
   }
   fleet.mStore->SetFaultModeOfAll(StandInStore::FaultMode::Serves);
-  fleet.For(Seconds(1));
+  fleet.RunFor(Seconds(1));
   EXPECT_EQ(200, fleet.Call(0, "/order/x", "r1")->mStatus);
-  fleet.For(Seconds(4));
+  fleet.RunFor(Seconds(4));
   EXPECT_NE(200, fleet.Call(0, "/order/x", "r2")->mStatus);
   EXPECT_EQ(0, fleet.RunsOf("r2"));
 }
@@ -192,16 +192,16 @@
   options.mInstances = 4;
   EntryTestFleet fleet(options);
   fleet.AwaitReady();
-  fleet.For(Millis(2500));
+  fleet.RunFor(Millis(2500));
   int before = fleet.mStore->Calls();
-  fleet.For(Seconds(4));
+  fleet.RunFor(Seconds(4));
   // Two watches, the lease, and sometimes the list of instances. Four instances
   // that each read the store make more than twenty calls.
   EXPECT_LE(fleet.mStore->Calls() - before, 16);
   RevokeKeys(fleet);
   fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
   fleet.mStore->Remove(wire::kServersKind, fleet.mPlain[1]->Id());
-  fleet.For(kMaxDelay);
+  fleet.RunFor(kMaxDelay);
   for (size_t i = 0; i < 4; ++i) {
     ServerView& servers = fleet.mInstances[i]->State().mServers;
     EXPECT_EQ(401, fleet.Call(i, "/order/x", "r" + std::to_string(i))->mStatus);
@@ -220,7 +220,7 @@
     options.mInstances = 3;
     EntryTestFleet fleet(options);
     fleet.AwaitReady();
-    fleet.For(Millis(2500));
+    fleet.RunFor(Millis(2500));
     size_t reader = 0;
     while (Follows(fleet, reader) && reader < 2) {
       ++reader;
@@ -232,7 +232,7 @@
     }
     RevokeKeys(fleet);
     fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
-    fleet.For(kMaxDelay);
+    fleet.RunFor(kMaxDelay);
     for (size_t i = 0; i < 3; ++i) {
       if (i == reader) {
         continue;
@@ -251,7 +251,7 @@
 {
   EntryTestFleet fleet(TwoInstances());
   fleet.AwaitReady();
-  fleet.For(Millis(1500));
+  fleet.RunFor(Millis(1500));
   size_t reader = Follows(fleet, 0) ? 1 : 0;
   size_t follower = 1 - reader;
   std::string gone = fleet.mPlain[0]->Id();
@@ -259,7 +259,7 @@
   fleet.mInstances[reader].reset();
   fleet.mStore->Remove(wire::kServersKind, gone);
   fleet.mInstances[reader] = fleet.MakeInstance(reader);
-  fleet.For(kMaxDelay);
+  fleet.RunFor(kMaxDelay);
   EXPECT_FALSE(fleet.mInstances[follower]->State().mServers.Find(gone));
 }
 
--- a/tests/platform/LeavingEntryTest.cpp
+++ b/tests/platform/LeavingEntryTest.cpp
@@ -46,7 +46,8 @@
   aFleet.AwaitReady();
   TestCallPtr call = aFleet.SendRaw(
     0, aFleet.RequestText("/stream/stream", "r1", kLong) + aBehind);
-  EXPECT_TRUE(aFleet.Until([&] { return call->mStatus == 200; }, Seconds(2)));
+  EXPECT_TRUE(
+    aFleet.RunUntil([&] { return call->mStatus == 200; }, Seconds(2)));
   aFleet.mInstances[0]->Leave();
   return call;
 }
@@ -57,7 +58,7 @@
 {
   HttpHead head;
   size_t used = 0;
-  bool whole = ReadAnswerHead(aCall.mOver, head, used) == HeadState::Complete;
+  bool whole = ReadAnswerHead(aCall.mExcess, head, used) == HeadState::Complete;
   return whole ? head.mStatus : 0;
 }
 
@@ -76,7 +77,8 @@
 bool
 AwaitExit(EntryTestFleet& aFleet)
 {
-  return aFleet.Until([&] { return aFleet.mInstances[0]->Gone(); }, Seconds(9));
+  return aFleet.RunUntil([&] { return aFleet.mInstances[0]->Gone(); },
+                         Seconds(9));
 }
 
 } // namespace
@@ -87,12 +89,12 @@
   fleet.mEngines[0]->mEventGap = Millis(500);
   fleet.AwaitReady();
   TestCallPtr call = fleet.Send(0, "/stream/stream", "r1", kModel);
-  ASSERT_TRUE(fleet.Until([&] { return call->mStatus == 200; }, Seconds(1)));
+  ASSERT_TRUE(fleet.RunUntil([&] { return call->mStatus == 200; }, Seconds(1)));
   fleet.mInstances[0]->Leave();
   EXPECT_FALSE(fleet.mInstances[0]->Ready());
-  EXPECT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(5)));
+  EXPECT_TRUE(fleet.RunUntil([&] { return call->mComplete; }, Seconds(5)));
   EXPECT_TRUE(
-    fleet.Until([&] { return fleet.mInstances[0]->Gone(); }, Seconds(5)));
+    fleet.RunUntil([&] { return fleet.mInstances[0]->Gone(); }, Seconds(5)));
 }
 
 // The load balancer sends callers for a while after the instance is unready.
@@ -105,7 +107,7 @@
     TestCallPtr call = fleet.Call(0, "/order/x", "r" + std::to_string(i));
     EXPECT_EQ(200, call->mStatus);
     EXPECT_EQ("close", call->Field("Connection"));
-    fleet.For(Millis(400));
+    fleet.RunFor(Millis(400));
   }
 }
 
@@ -120,17 +122,17 @@
   fleet.mConfig["routes"][3]["targetLatencyMs"] = 3000;
   fleet.Configure();
   fleet.AwaitReady();
-  fleet.For(Seconds(1));
+  fleet.RunFor(Seconds(1));
   TestCallPtr call = fleet.Send(0,
                                 "/resume/stream",
                                 "r1",
                                 { { wire::kModel, "m1" },
                                   { wire::kTokens, "1,1" },
                                   { wire::kDeadline, "25000" } });
-  fleet.For(Millis(300));
+  fleet.RunFor(Millis(300));
   ASSERT_EQ(0, call->mStatus);
   fleet.mInstances[0]->Leave();
-  EXPECT_TRUE(fleet.Until([&] { return call->mStatus != 0; }, Millis(2500)));
+  EXPECT_TRUE(fleet.RunUntil([&] { return call->mStatus != 0; }, Millis(2500)));
   EXPECT_EQ(503, call->mStatus);
   EXPECT_NE("", call->Field(wire::kRetryAfter));
   EXPECT_EQ(0, fleet.RunsOf("r1"));
@@ -146,7 +148,7 @@
   }
   std::string behind = fleet.RequestText("/order/x", "r2", kLongPlain);
   TestCallPtr call = LeaveDuringStream(fleet, behind);
-  ASSERT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(6)));
+  ASSERT_TRUE(fleet.RunUntil([&] { return call->mComplete; }, Seconds(6)));
   EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(503, SecondAnswerStatus(*call));
   EXPECT_EQ(0, fleet.RunsOf("r2"));
@@ -158,7 +160,7 @@
 {
   EntryTestFleet fleet(TwoInstances());
   TestCallPtr call = LeaveDuringStream(fleet);
-  ASSERT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(6)));
+  ASSERT_TRUE(fleet.RunUntil([&] { return call->mComplete; }, Seconds(6)));
   call->mChannel->Write(fleet.RequestText("/order/x", "r2", kLongPlain));
   EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(503, SecondAnswerStatus(*call));
@@ -188,9 +190,9 @@
   fleet.AwaitReady();
   std::string text = fleet.RequestText("/order/x", "r1", kLongPlain);
   TestCallPtr call = fleet.SendRaw(0, text.substr(0, text.size() - 1));
-  fleet.For(Millis(200));
+  fleet.RunFor(Millis(200));
   fleet.mInstances[0]->Leave();
-  fleet.For(Millis(4000));
+  fleet.RunFor(Millis(4000));
   call->mChannel->Write(text.substr(text.size() - 1));
   EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(503, call->mStatus);
@@ -208,11 +210,11 @@
   SetLongRouteTimeouts(fleet);
   fleet.AwaitReady();
   TestCallPtr call = fleet.Send(0, "/safe/x", "r1", kLongPlain);
-  fleet.For(Millis(200));
+  fleet.RunFor(Millis(200));
   fleet.mInstances[0]->Leave();
   EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(502, call->mStatus);
-  EXPECT_TRUE(call->mWhole);
+  EXPECT_TRUE(call->mComplete);
   EXPECT_EQ(1, fleet.RunsOf("r1"));
 }
 
@@ -227,12 +229,12 @@
   SetLongRouteTimeouts(fleet);
   fleet.AwaitReady();
   TestCallPtr call = fleet.Send(0, "/order/x", "r1", kLongPlain);
-  fleet.For(Millis(200));
+  fleet.RunFor(Millis(200));
   fleet.mInstances[0]->Leave();
   EXPECT_TRUE(AwaitExit(fleet));
-  fleet.Until([&] { return call->mWhole; }, Millis(300));
+  fleet.RunUntil([&] { return call->mComplete; }, Millis(300));
   EXPECT_EQ(502, call->mStatus);
-  EXPECT_TRUE(call->mWhole);
+  EXPECT_TRUE(call->mComplete);
 }
 
 // Guards against a connection in the accept queue that is reset, with its
@@ -242,15 +244,15 @@
   EntryTestFleet fleet(TwoInstances());
   fleet.AwaitReady();
   fleet.mInstances[0]->Leave();
-  fleet.For(Millis(2440));
+  fleet.RunFor(Millis(2440));
   // The caller connects and sends while the instance is paused.
   TestCallPtr call = fleet.Send(0, "/order/x", "r1");
   TimePoint until = fleet.mClock.Now() + Millis(200);
   while (fleet.mClock.Now() < until) {
     fleet.mReactor.RunPass(Millis(10));
   }
-  fleet.Until([&] { return call->mWhole || call->mClosed; }, Seconds(2));
-  EXPECT_TRUE(call->mWhole);
+  fleet.RunUntil([&] { return call->mComplete || call->mClosed; }, Seconds(2));
+  EXPECT_TRUE(call->mComplete);
 }
 
 // Guards against a closed connection without a trace: the log line names the
@@ -262,7 +264,7 @@
   SetLongRouteTimeouts(fleet);
   fleet.AwaitReady();
   TestCallPtr call = fleet.Send(0, "/stream/stream", "r1", kLong);
-  ASSERT_TRUE(fleet.Until([&] { return call->mStatus == 200; }, Seconds(2)));
+  ASSERT_TRUE(fleet.RunUntil([&] { return call->mStatus == 200; }, Seconds(2)));
   fleet.mInstances[0]->Leave();
   EXPECT_TRUE(AwaitExit(fleet));
   EXPECT_EQ(1,
@@ -282,14 +284,14 @@
   fleet.AwaitReady();
   fleet.mInstances[0]->Leave();
   EXPECT_TRUE(AwaitExit(fleet));
-  fleet.For(Millis(200));
+  fleet.RunFor(Millis(200));
   EXPECT_TRUE(fleet.mStore->Spec(kInstancesKind, "i0").isNull());
   const std::string two = "\"members\":2";
   int before = fleet.LogLines(1, two);
   for (int i = 0; i < 20; ++i) {
     fleet.Send(1, "/order/x", "r" + std::to_string(i));
   }
-  fleet.For(Millis(300));
+  fleet.RunFor(Millis(300));
   EXPECT_LT(0, fleet.LogLines(1, "\"event\":\"tokens_refused\""));
   EXPECT_EQ(before, fleet.LogLines(1, two));
 }
@@ -305,16 +307,16 @@
   SetLongRouteTimeouts(fleet);
   fleet.AwaitReady();
   TestCallPtr kept = fleet.SendRaw(0, "");
-  fleet.For(Millis(100));
+  fleet.RunFor(Millis(100));
   fleet.mInstances[0]->Leave();
-  fleet.For(Millis(2000));
+  fleet.RunFor(Millis(2000));
   kept->mChannel->Write(fleet.RequestText("/order/x", "r1", kLongPlain));
   TestCallPtr late = fleet.Send(0, "/order/x", "r2", kLongPlain);
   PauseInstances(fleet, Millis(2700));
   EXPECT_TRUE(AwaitExit(fleet));
   for (const TestCallPtr& call : { kept, late }) {
     EXPECT_EQ(503, call->mStatus);
-    EXPECT_TRUE(call->mWhole);
+    EXPECT_TRUE(call->mComplete);
   }
   EXPECT_EQ(0, fleet.RunsOf("r1") + fleet.RunsOf("r2"));
 }
@@ -330,14 +332,14 @@
   SetLongRouteTimeouts(fleet);
   fleet.AwaitReady();
   TestCallPtr call = fleet.Send(0, "/order/x", "r1", kLongPlain);
-  fleet.For(Millis(200));
+  fleet.RunFor(Millis(200));
   fleet.mInstances[0]->Leave();
-  fleet.For(Millis(7300));
+  fleet.RunFor(Millis(7300));
   PauseInstances(fleet, Millis(450));
   EXPECT_TRUE(AwaitExit(fleet));
-  fleet.Until([&] { return call->mWhole; }, Millis(300));
+  fleet.RunUntil([&] { return call->mComplete; }, Millis(300));
   EXPECT_EQ(502, call->mStatus);
-  EXPECT_TRUE(call->mWhole);
+  EXPECT_TRUE(call->mComplete);
 }
 
 // Guards against a SIGTERM during startup that leaves callers without an
@@ -347,7 +349,7 @@
   EntryTestFleet fleet;
   fleet.mInstances[0]->Leave();
   TestCallPtr call = fleet.Call(0, "/order/x", "r1");
-  EXPECT_TRUE(call->mWhole);
+  EXPECT_TRUE(call->mComplete);
   EXPECT_TRUE(AwaitExit(fleet));
 }
 
@@ -361,12 +363,12 @@
   fleet.AwaitReady();
   std::string text = fleet.RequestText("/order/x", "r1", kLongPlain);
   TestCallPtr call = fleet.SendRaw(0, text.substr(0, text.size() - 1));
-  fleet.For(Millis(200));
+  fleet.RunFor(Millis(200));
   fleet.mInstances[0]->Leave();
   EXPECT_TRUE(AwaitExit(fleet));
-  fleet.Until([&] { return call->mWhole; }, Millis(300));
+  fleet.RunUntil([&] { return call->mComplete; }, Millis(300));
   EXPECT_EQ(503, call->mStatus);
-  EXPECT_TRUE(call->mWhole);
+  EXPECT_TRUE(call->mComplete);
 }
 
 // Guards against a request that waits for its tenant's tokens while the
@@ -381,9 +383,9 @@
   }
   SetLongRouteTimeouts(fleet);
   fleet.AwaitReady();
-  fleet.For(Seconds(3)); // the bucket fills
+  fleet.RunFor(Seconds(3)); // the bucket fills
   fleet.mInstances[0]->Leave();
-  fleet.For(Millis(2250));
+  fleet.RunFor(Millis(2250));
   std::vector<TestCallPtr> calls;
   for (int i = 0; i < 5; ++i) {
     calls.push_back(
@@ -433,11 +435,11 @@
   SetLongRouteTimeouts(fleet);
   fleet.AwaitReady();
   TestCallPtr call = fleet.Send(0, "/order/x", "r1", kLongPlain);
-  fleet.For(Millis(200));
+  fleet.RunFor(Millis(200));
   fleet.mInstances[0]->Leave();
-  fleet.For(Seconds(1));
+  fleet.RunFor(Seconds(1));
   fleet.mInstances[0]->State().mSettings.mGrace = Seconds(4);
-  EXPECT_TRUE(fleet.Until([&] { return call->mWhole; }, Millis(2900)));
+  EXPECT_TRUE(fleet.RunUntil([&] { return call->mComplete; }, Millis(2900)));
   EXPECT_EQ(502, call->mStatus);
 }
 
--- a/tests/platform/OpenConnectionsTest.cpp
+++ b/tests/platform/OpenConnectionsTest.cpp
@@ -25,7 +25,8 @@
   aFleet.mEngines[0]->mEventGap = Millis(500);
   aFleet.AwaitReady();
   TestCallPtr call = aFleet.Send(0, "/stream/stream", "r1", kLong);
-  EXPECT_TRUE(aFleet.Until([&] { return call->mStatus == 200; }, Seconds(2)));
+  EXPECT_TRUE(
+    aFleet.RunUntil([&] { return call->mStatus == 200; }, Seconds(2)));
   return call;
 }
 
@@ -39,20 +40,21 @@
   fleet.mConfig["limits"]["idleTimeoutMs"] = 10000;
   fleet.Configure();
   fleet.AwaitReady();
-  fleet.For(Seconds(1));
+  fleet.RunFor(Seconds(1));
   TestCallPtr call = fleet.Send(0, "/order/x", "r1");
-  ASSERT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(2)));
-  fleet.For(Seconds(2));
+  ASSERT_TRUE(fleet.RunUntil([&] { return call->mComplete; }, Seconds(2)));
+  fleet.RunFor(Seconds(2));
   fleet.mConfig["limits"]["idleTimeoutMs"] = 1000;
   fleet.Configure();
-  fleet.For(Seconds(2));
+  fleet.RunFor(Seconds(2));
   ASSERT_FALSE(call->mClosed);
   call->mChannel->Write(fleet.RequestText("/order/x", "r2"));
-  fleet.Until([&] { return fleet.RunsOf("r2") > 0 && !call->mOver.empty(); },
-              Seconds(2));
-  EXPECT_EQ(0u, call->mOver.find("HTTP/1.1 200"));
+  fleet.RunUntil(
+    [&] { return fleet.RunsOf("r2") > 0 && !call->mExcess.empty(); },
+    Seconds(2));
+  EXPECT_EQ(0u, call->mExcess.find("HTTP/1.1 200"));
   // The new idle time is judged by the new limit.
-  EXPECT_TRUE(fleet.Until([&] { return call->mClosed; }, Seconds(3)));
+  EXPECT_TRUE(fleet.RunUntil([&] { return call->mClosed; }, Seconds(3)));
 }
 
 // Guards against a broken stream, and a pipelined request without an answer,
@@ -64,14 +66,14 @@
   fleet.mConfig["limits"]["maxHeaderBytes"] = 1000;
   fleet.mConfig["limits"]["maxBodyBytes"] = 2000;
   fleet.Configure();
-  fleet.For(Seconds(1));
+  fleet.RunFor(Seconds(1));
   std::string big(60000, 'x');
   call->mChannel->Write(fleet.RequestText("/order/x", "r2", {}, big));
-  ASSERT_TRUE(
-    fleet.Until([&] { return call->mWhole || call->mClosed; }, Seconds(5)));
-  EXPECT_TRUE(call->mWhole);
-  fleet.Until([&] { return !call->mOver.empty(); }, Seconds(2));
-  EXPECT_EQ(0u, call->mOver.find("HTTP/1.1 200"));
+  ASSERT_TRUE(fleet.RunUntil([&] { return call->mComplete || call->mClosed; },
+                             Seconds(5)));
+  EXPECT_TRUE(call->mComplete);
+  fleet.RunUntil([&] { return !call->mExcess.empty(); }, Seconds(2));
+  EXPECT_EQ(0u, call->mExcess.find("HTTP/1.1 200"));
 }
 
 // Guards against refusing a body as too slow by a limit that fell while it was
@@ -82,16 +84,16 @@
   fleet.mConfig["limits"]["idleTimeoutMs"] = 10000;
   fleet.Configure();
   fleet.AwaitReady();
-  fleet.For(Seconds(1));
+  fleet.RunFor(Seconds(1));
   std::string text = fleet.RequestText("/order/x", "r1");
   TestCallPtr call = fleet.SendRaw(0, text.substr(0, text.size() - 1));
-  fleet.For(Millis(500));
+  fleet.RunFor(Millis(500));
   fleet.mConfig["limits"]["idleTimeoutMs"] = 1000;
   fleet.Configure();
-  fleet.For(Millis(2500));
+  fleet.RunFor(Millis(2500));
   call->mChannel->Write(text.substr(text.size() - 1));
-  ASSERT_TRUE(
-    fleet.Until([&] { return call->mWhole || call->mClosed; }, Seconds(3)));
+  ASSERT_TRUE(fleet.RunUntil([&] { return call->mComplete || call->mClosed; },
+                             Seconds(3)));
   EXPECT_EQ(200, call->mStatus);
 }
 
@@ -109,10 +111,10 @@
     ahead += fleet.RequestText("/order/x", "a" + std::to_string(i), {}, body);
   }
   call->mChannel->Write(ahead);
-  ASSERT_TRUE(
-    fleet.Until([&] { return call->mWhole || call->mClosed; }, Seconds(5)));
-  EXPECT_TRUE(call->mWhole);
-  fleet.Until([&] { return fleet.RunsOf("a5") > 0; }, Seconds(3));
+  ASSERT_TRUE(fleet.RunUntil([&] { return call->mComplete || call->mClosed; },
+                             Seconds(5)));
+  EXPECT_TRUE(call->mComplete);
+  fleet.RunUntil([&] { return fleet.RunsOf("a5") > 0; }, Seconds(3));
   for (int i = 0; i < 6; ++i) {
     EXPECT_EQ(1, fleet.RunsOf("a" + std::to_string(i))) << i;
   }
@@ -127,10 +129,10 @@
   fleet.mConfig["limits"]["maxBodyBytes"] = 2000;
   TestCallPtr call = BeginStream(fleet);
   call->mChannel->Write(std::string(100000, 'x'));
-  fleet.For(Millis(300));
+  fleet.RunFor(Millis(300));
   call->mChannel->Close();
   EXPECT_TRUE(
-    fleet.Until([&] { return fleet.mEngines[0]->mLeft == 1; }, Seconds(1)));
+    fleet.RunUntil([&] { return fleet.mEngines[0]->mLeft == 1; }, Seconds(1)));
 }
 
 // As above, while the server has not answered, so that no failing write shows
@@ -150,15 +152,15 @@
   fleet.AwaitReady();
   TestCallPtr call =
     fleet.Send(0, "/order/x", "r1", { { wire::kDeadline, "25000" } });
-  ASSERT_TRUE(fleet.Until(
+  ASSERT_TRUE(fleet.RunUntil(
     [&] {
       return fleet.mPlain[0]->mArrivals + fleet.mPlain[1]->mArrivals == 1;
     },
     Seconds(2)));
   call->mChannel->Write(std::string(100000, 'x'));
-  fleet.For(Millis(300));
+  fleet.RunFor(Millis(300));
   call->mChannel->Close();
-  EXPECT_TRUE(fleet.Until(
+  EXPECT_TRUE(fleet.RunUntil(
     [&] { return fleet.mPlain[0]->mLeft + fleet.mPlain[1]->mLeft == 1; },
     Millis(1500)));
 }
@@ -174,8 +176,8 @@
     text += fleet.RequestText("/order/x", "r" + std::to_string(i));
   }
   TestCallPtr call = fleet.SendRaw(0, text);
-  fleet.Until([&] { return fleet.RunsOf("r49") > 0; }, Seconds(5));
-  fleet.For(Millis(200));
+  fleet.RunUntil([&] { return fleet.RunsOf("r49") > 0; }, Seconds(5));
+  fleet.RunFor(Millis(200));
   size_t at = 0;
   for (int i = 0; i < 50; ++i) {
     std::string field =
@@ -244,20 +246,21 @@
   cold[0].mValue = "m5";
   TestCallPtr waiting = fleet.Send(0, "/resume/stream", "r2", cold);
   stream->mChannel->Write(fleet.RequestText("/order/x", "r3"));
-  fleet.For(Millis(200));
+  fleet.RunFor(Millis(200));
   GetParam().mChange(fleet.mConfig);
   fleet.Configure();
-  fleet.For(Millis(100));
+  fleet.RunFor(Millis(100));
   fleet.Configure();
-  fleet.Until(
+  fleet.RunUntil(
     [&] {
-      bool behind = stream->mOver.find("HTTP/1.1 ") == 0;
-      return (stream->mWhole && behind && waiting->mWhole) || stream->mClosed;
+      bool behind = stream->mExcess.find("HTTP/1.1 ") == 0;
+      return (stream->mComplete && behind && waiting->mComplete) ||
+             stream->mClosed;
     },
     Seconds(8));
-  EXPECT_TRUE(stream->mWhole);
-  EXPECT_EQ(0u, stream->mOver.find("HTTP/1.1 "));
-  EXPECT_TRUE(waiting->mWhole);
+  EXPECT_TRUE(stream->mComplete);
+  EXPECT_EQ(0u, stream->mExcess.find("HTTP/1.1 "));
+  EXPECT_TRUE(waiting->mComplete);
 }
 
 INSTANTIATE_TEST_SUITE_P(OpenConnections,
--- a/tests/platform/OrdersTest.cpp
+++ b/tests/platform/OrdersTest.cpp
@@ -35,7 +35,7 @@
   fleet.AwaitReady();
   TestCallPtr call = Stream(fleet, "m1", "r1");
   EXPECT_EQ(200, call->mStatus);
-  EXPECT_TRUE(call->mWhole);
+  EXPECT_TRUE(call->mComplete);
   EXPECT_EQ(1, fleet.mEngines[0]->mOrdersSeen);
 }
 
@@ -53,7 +53,7 @@
   fleet.AwaitReady();
   TestCallPtr call = Stream(fleet, "m1", "r1");
   EXPECT_EQ(200, call->mStatus);
-  EXPECT_LT(call->mHeadAt - call->mAsked, Millis(600));
+  EXPECT_LT(call->mHeadAt - call->mSentAt, Millis(600));
 }
 
 TEST(Orders, IdleModelIsEvicted)
@@ -95,10 +95,10 @@
     calls.push_back(
       fleet.Send(0, "/resume/stream", "r" + std::to_string(i), Model("m1")));
   }
-  EXPECT_TRUE(fleet.Until(
+  EXPECT_TRUE(fleet.RunUntil(
     [&] {
       for (const TestCallPtr& call : calls) {
-        if (!call->mWhole) {
+        if (!call->mComplete) {
           return false;
         }
       }
@@ -139,9 +139,9 @@
                                "/resume/stream",
                                "r" + std::to_string(i),
                                Model("m0/a" + std::to_string(i))));
-    fleet.For(Millis(100));
+    fleet.RunFor(Millis(100));
   }
-  fleet.Until([&] { return calls.back()->mWhole; }, Seconds(6));
+  fleet.RunUntil([&] { return calls.back()->mComplete; }, Seconds(6));
   EXPECT_EQ(0, engine.mOverCapacityLoads);
   EXPECT_GE(engine.mOrdersSeen, 9);
 }
@@ -155,9 +155,9 @@
   fleet.AwaitReady();
   engine.mDropsOrderAnswers = true;
   TestCallPtr call = fleet.Send(0, "/resume/stream", "r1", Model("m1"));
-  fleet.Until([&] { return engine.mOrdersSeen >= 2; }, Seconds(2));
+  fleet.RunUntil([&] { return engine.mOrdersSeen >= 2; }, Seconds(2));
   engine.mDropsOrderAnswers = false;
-  EXPECT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(4)));
+  EXPECT_TRUE(fleet.RunUntil([&] { return call->mComplete; }, Seconds(4)));
   EXPECT_EQ(1, engine.mOrderCount);
 }
 
@@ -174,21 +174,21 @@
   fleet.List(engine, "engine", "a");
   fleet.AwaitReady();
   fleet.Send(0, "/resume/stream", "r1", Model("m2"));
-  ASSERT_TRUE(fleet.Until([&] { return engine.mBusy; }, Seconds(1)));
+  ASSERT_TRUE(fleet.RunUntil([&] { return engine.mBusy; }, Seconds(1)));
   fleet.mInstances[0].reset();
   fleet.mInstances[0] = fleet.MakeInstance(0);
   fleet.AwaitReady();
   fleet.Send(0, "/resume/stream", "r2", Model("m3"));
   // The server's entry shows the first load before a report does, so that the
   // known content agrees with the report while the plan is outdated.
-  fleet.For(Millis(300));
+  fleet.RunFor(Millis(300));
   HeldModels before = engine.mModels;
   engine.mModels["m2"];
   fleet.List(engine, "engine", "a");
   engine.mModels = before;
-  fleet.Until([&] { return !engine.mBusy; }, Seconds(4));
+  fleet.RunUntil([&] { return !engine.mBusy; }, Seconds(4));
   TestCallPtr call = Stream(fleet, "m3", "r3");
-  fleet.For(Seconds(1));
+  fleet.RunFor(Seconds(1));
   EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
@@ -207,23 +207,23 @@
   fleet.AwaitReady();
   size_t holder = fleet.mInstances[0]->HoldsLease() ? 0 : 1;
   fleet.Send(holder, "/resume/stream", "r1", Model("m2"));
-  ASSERT_TRUE(fleet.Until([&] { return engine.mBusy; }, Seconds(1)));
+  ASSERT_TRUE(fleet.RunUntil([&] { return engine.mBusy; }, Seconds(1)));
   fleet.mInstances[holder].reset();
   fleet.mInstances[holder] = fleet.MakeInstance(holder);
-  ASSERT_TRUE(fleet.Until(
+  ASSERT_TRUE(fleet.RunUntil(
     [&] { return fleet.mInstances[holder]->HoldsLease(); }, Seconds(2)));
   fleet.AwaitReady();
   TestCallPtr abandoned =
     fleet.Send(holder, "/resume/stream", "r2", Model("m3"));
-  fleet.For(Millis(300));
+  fleet.RunFor(Millis(300));
   abandoned->mChannel->Close();
-  fleet.For(Millis(300));
+  fleet.RunFor(Millis(300));
   fleet.mInstances[holder]->Leave();
-  ASSERT_TRUE(fleet.Until(
+  ASSERT_TRUE(fleet.RunUntil(
     [&] { return fleet.mInstances[1 - holder]->HoldsLease(); }, Seconds(3)));
-  ASSERT_TRUE(fleet.Until([&] { return !engine.mBusy; }, Seconds(8)));
+  ASSERT_TRUE(fleet.RunUntil([&] { return !engine.mBusy; }, Seconds(8)));
   fleet.Send(1 - holder, "/resume/stream", "r3", Model("m3"));
-  fleet.For(Millis(1500));
+  fleet.RunFor(Millis(1500));
   EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
@@ -240,13 +240,13 @@
   ASSERT_EQ(8u, engine.mModels["m0"].size());
   HeldModels all = engine.mModels;
   fleet.List(engine, "engine", "a"); // with all eight
-  fleet.For(Millis(1000));
+  fleet.RunFor(Millis(1000));
   engine.mModels["m0"] = { "a0", "a1" };
   fleet.List(engine, "engine", "a"); // as it was long before
   engine.mModels = all;
-  fleet.For(Millis(1200));
+  fleet.RunFor(Millis(1200));
   Stream(fleet, "m0/a9", "r9");
-  fleet.For(Millis(300));
+  fleet.RunFor(Millis(300));
   EXPECT_EQ(0, engine.mOverCapacityLoads);
 }
 
@@ -284,8 +284,8 @@
   bool firstHolds = *engine.mHolders.begin() == "i0";
   size_t former = firstHolds ? 0 : 1;
   fleet.mInstances[former]->Leave();
-  ASSERT_TRUE(
-    fleet.Until([&] { return fleet.mInstances[former]->Gone(); }, Seconds(9)));
+  ASSERT_TRUE(fleet.RunUntil([&] { return fleet.mInstances[former]->Gone(); },
+                             Seconds(9)));
   fleet.mInstances[former].reset();
   TestCallPtr call =
     fleet.Call(1 - former, "/resume/stream", "r9", Model("m4"));
--- a/tests/platform/RollingShutdownTest.cpp
+++ b/tests/platform/RollingShutdownTest.cpp
@@ -46,7 +46,7 @@
 size_t
 Reader(EntryTestFleet& aFleet)
 {
-  aFleet.For(Millis(2500));
+  aFleet.RunFor(Millis(2500));
   size_t reader = 0;
   while (aFleet.LogLines(reader, "list_followed") >
            aFleet.LogLines(reader, "list_read_again") &&
@@ -75,7 +75,7 @@
   aFleet.Configure();
   std::string id = aFleet.mPlain[1]->Id();
   aFleet.mStore->Remove(wire::kServersKind, id);
-  EXPECT_TRUE(aFleet.Until(
+  EXPECT_TRUE(aFleet.RunUntil(
     [&] {
       for (size_t i = 0; i < aFleet.mInstances.size(); ++i) {
         if (!KnowsConfig(aFleet, i) ||
@@ -110,10 +110,11 @@
   size_t reader = Reader(fleet);
   MakeCurrent(fleet);
   fleet.mInstances[reader]->Leave();
-  fleet.For(Millis(150));
+  fleet.RunFor(Millis(150));
   fleet.mStore->SetFaultMode(reader, StandInStore::FaultMode::Silent);
   Withdraw(fleet);
-  EXPECT_TRUE(fleet.Until([&] { return AllKnow(fleet, reader); }, Millis(700)));
+  EXPECT_TRUE(
+    fleet.RunUntil([&] { return AllKnow(fleet, reader); }, Millis(700)));
 }
 
 // Guards against a configuration that counts as current because the sender's
@@ -128,10 +129,10 @@
   // Servers update their entries meanwhile, so that the list keeps changing.
   fleet.mReactor.Every(
     Millis(200), [&fleet] { fleet.List(*fleet.mEngines[0], "engine", "a"); });
-  fleet.For(Millis(50));
+  fleet.RunFor(Millis(50));
   Withdraw(fleet);
   EXPECT_TRUE(
-    fleet.Until([&] { return AllKnow(fleet, reader); }, Millis(2900)));
+    fleet.RunUntil([&] { return AllKnow(fleet, reader); }, Millis(2900)));
 }
 
 // Guards against updates that waited unread and are taken for as recent as when
@@ -143,12 +144,12 @@
   size_t reader = Reader(fleet);
   size_t suspended = reader == 2 ? 1 : 2;
   fleet.mFrozen.insert(suspended);
-  fleet.For(Millis(1200));
+  fleet.RunFor(Millis(1200));
   fleet.mFrozen.insert(reader);
   Withdraw(fleet);
-  fleet.For(Millis(1200));
+  fleet.RunFor(Millis(1200));
   fleet.mFrozen.erase(suspended);
-  EXPECT_TRUE(fleet.Until(
+  EXPECT_TRUE(fleet.RunUntil(
     [&] {
       return KnowsConfig(fleet, suspended) && KnowsDraining(fleet, suspended);
     },
@@ -166,13 +167,13 @@
   fleet.mConfig["tenants"][0]["burst"] = 6000;
   fleet.Configure();
   fleet.AwaitReady();
-  fleet.For(Millis(1500));
+  fleet.RunFor(Millis(1500));
   for (size_t i = 0; i < 4; ++i) {
     fleet.mInstances[i]->Leave();
-    fleet.For(Millis(100));
+    fleet.RunFor(Millis(100));
   }
   ASSERT_TRUE(
-    fleet.Until([&] { return fleet.mInstances[3]->Gone(); }, Seconds(9)));
+    fleet.RunUntil([&] { return fleet.mInstances[3]->Gone(); }, Seconds(9)));
   int before = FailedCalls(fleet, 4);
   // More than the own parts, so that tokens are borrowed from peers.
   for (int i = 0; i < 20; ++i) {
@@ -195,9 +196,9 @@
   fleet.AwaitReady();
   Reader(fleet);
   fleet.List(*fleet.mPlain[0], "plain", "a", "draining");
-  fleet.For(Millis(1200));
+  fleet.RunFor(Millis(1200));
   fleet.mStore->Remove(wire::kServersKind, fleet.mPlain[0]->Id());
-  fleet.For(Millis(2500));
+  fleet.RunFor(Millis(2500));
   std::string gone = "\"server_gone\",\"server\":\"" + fleet.mPlain[0]->Id();
   for (size_t i = 0; i < 3; ++i) {
     EXPECT_EQ(1, fleet.LogLines(i, gone));
@@ -220,15 +221,15 @@
 {
   EntryTestFleet fleet(Instances(8));
   fleet.AwaitReady();
-  fleet.For(Millis(1500));
+  fleet.RunFor(Millis(1500));
   for (size_t i = 0; i < 6; ++i) {
     fleet.mInstances[i]->Leave();
     if (i == 3) {
       Withdraw(fleet);
     }
-    fleet.For(Millis(500));
+    fleet.RunFor(Millis(500));
   }
-  fleet.For(Millis(500));
+  fleet.RunFor(Millis(500));
   for (size_t i = 6; i < 8; ++i) {
     EXPECT_TRUE(KnowsConfig(fleet, i) && KnowsDraining(fleet, i));
     EXPECT_EQ(401, fleet.Call(i, "/order/x", "r" + std::to_string(i))->mStatus);
@@ -242,10 +243,10 @@
   fleet.AwaitReady();
   fleet.mInstances[1]->Leave();
   ASSERT_TRUE(
-    fleet.Until([&] { return fleet.mInstances[1]->Gone(); }, Seconds(9)));
+    fleet.RunUntil([&] { return fleet.mInstances[1]->Gone(); }, Seconds(9)));
   fleet.mInstances[1].reset();
   fleet.mInstances[1] = fleet.MakeInstance(1);
-  EXPECT_TRUE(fleet.Until(
+  EXPECT_TRUE(fleet.RunUntil(
     [&] {
       for (auto& instance : fleet.mInstances) {
         if (instance->State().mInstances != 3) {
--- a/tests/platform/StreamsTest.cpp
+++ b/tests/platform/StreamsTest.cpp
@@ -41,9 +41,9 @@
   fleet.mEngines[0]->mEventGap = Millis(150);
   TestCallPtr call = fleet.Send(0, "/stream/stream", "r1", kModel);
   EXPECT_TRUE(
-    fleet.Until([&] { return call->mBody == Events(1, 1); }, Millis(300)));
-  EXPECT_FALSE(call->mWhole);
-  EXPECT_TRUE(fleet.Until([&] { return call->mWhole; }, Seconds(3)));
+    fleet.RunUntil([&] { return call->mBody == Events(1, 1); }, Millis(300)));
+  EXPECT_FALSE(call->mComplete);
+  EXPECT_TRUE(fleet.RunUntil([&] { return call->mComplete; }, Seconds(3)));
   EXPECT_EQ(Events(1, 5), call->mBody);
 }
 
@@ -58,7 +58,7 @@
   }
   TestCallPtr call = fleet.Call(0, "/stream/stream", "r1", kModel);
   EXPECT_TRUE(call->mClosed);
-  EXPECT_FALSE(call->mWhole);
+  EXPECT_FALSE(call->mComplete);
   EXPECT_EQ(1, fleet.RunsOf("r1"));
 }
 
@@ -72,7 +72,7 @@
     fleet.mEngines[0]->mBehaviour = ServerBehaviour::StopsMidway;
     std::string id = "r" + std::to_string(i);
     TestCallPtr call = fleet.Call(0, "/resume/stream", id, kModel);
-    EXPECT_TRUE(call->mWhole);
+    EXPECT_TRUE(call->mComplete);
     EXPECT_EQ(Events(1, 5), call->mBody);
     if (!fleet.mEngines[0]->mRuns.empty()) {
       ASSERT_EQ(1u, fleet.mEngines[1]->mRuns.size());
@@ -89,10 +89,10 @@
   fleet.AwaitReady();
   fleet.mEngines[0]->mEvents = 1000;
   TestCallPtr call = fleet.Send(0, "/stream/stream", "r1", kModel);
-  ASSERT_TRUE(fleet.Until([&] { return call->mStatus == 200; }, Seconds(1)));
+  ASSERT_TRUE(fleet.RunUntil([&] { return call->mStatus == 200; }, Seconds(1)));
   call->mChannel->Close();
   EXPECT_TRUE(
-    fleet.Until([&] { return fleet.mEngines[0]->mLeft == 1; }, Millis(500)));
+    fleet.RunUntil([&] { return fleet.mEngines[0]->mLeft == 1; }, Millis(500)));
 }
 
 TEST(Streams, DisconnectBeforeTheFirstEventStopsTheServer)
@@ -101,11 +101,11 @@
   fleet.AwaitReady();
   fleet.mEngines[0]->mWork = Seconds(5);
   TestCallPtr call = fleet.Send(0, "/stream/stream", "r1", kModel);
-  ASSERT_TRUE(
-    fleet.Until([&] { return !fleet.mEngines[0]->mRuns.empty(); }, Seconds(1)));
+  ASSERT_TRUE(fleet.RunUntil([&] { return !fleet.mEngines[0]->mRuns.empty(); },
+                             Seconds(1)));
   call->mChannel->Close();
   EXPECT_TRUE(
-    fleet.Until([&] { return fleet.mEngines[0]->mLeft == 1; }, Millis(500)));
+    fleet.RunUntil([&] { return fleet.mEngines[0]->mLeft == 1; }, Millis(500)));
 }
 
 } // namespace caraway
--- a/tests/platform/TokensTest.cpp
+++ b/tests/platform/TokensTest.cpp
@@ -32,7 +32,7 @@
   aFleet.mConfig["tenants"][0]["burst"] = aTokens;
   aFleet.Configure();
   aFleet.AwaitReady();
-  aFleet.For(Millis(2500));
+  aFleet.RunFor(Millis(2500));
 }
 
 } // namespace
@@ -50,9 +50,9 @@
                                "/order/x",
                                "r" + std::to_string(i),
                                Cost(1000)));
-    fleet.For(Millis(5));
+    fleet.RunFor(Millis(5));
   }
-  fleet.For(Millis(300));
+  fleet.RunFor(Millis(300));
   double seconds =
     std::chrono::duration<double>(fleet.mClock.Now() - begin).count();
   int served = 0;
@@ -95,9 +95,9 @@
   for (int i = 0; i < kRequests; ++i) {
     calls.push_back(
       fleet.Send(0, "/order/x", "r" + std::to_string(i), Cost(1000)));
-    fleet.For(Millis(35));
+    fleet.RunFor(Millis(35));
   }
-  fleet.For(Millis(500));
+  fleet.RunFor(Millis(500));
   int served = 0;
   for (const TestCallPtr& call : calls) {
     served += call->mStatus == 200 ? 1 : 0;
@@ -121,7 +121,7 @@
   fleet.mConfig["tenants"][0]["burst"] = 6000;
   fleet.Configure();
   fleet.AwaitReady();
-  fleet.For(Millis(1500));
+  fleet.RunFor(Millis(1500));
   for (auto& server : fleet.mPlain) {
     server->mBehaviour = ServerBehaviour::Refuses;
   }
@@ -147,7 +147,7 @@
   Limit(fleet, 6000);
   size_t holder = fleet.LogLines(0, "lease_taken") > 0 ? 0 : 1;
   fleet.mInstances[holder].reset(); // killed; its lease lasts for seconds
-  fleet.For(Millis(2000));
+  fleet.RunFor(Millis(2000));
   int served = 0;
   for (int i = 0; i < 5; ++i) {
     served +=
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -363,7 +363,7 @@
 SoakRun::Run()
 {
   StartInstances();
-  mTestFleet->Until([this] { return Pick().has_value(); }, Seconds(10));
+  mTestFleet->RunUntil([this] { return Pick().has_value(); }, Seconds(10));
   mRecord.mBegan = Now();
   for (int i = 0; i < mPlan.mCallers; ++i) {
     const char* tenant = i % 4 == 0 ? kLimitedTenant : "acme";
@@ -371,13 +371,13 @@
     mCallers.back()->Next(Millis(Draw(0, 1000)));
   }
   mTestFleet->mReactor.After(Seconds(2), [this] { InjectNextFault(); });
-  mTestFleet->For(mPlan.mLength);
+  mTestFleet->RunFor(mPlan.mLength);
   mFaultsStopped = true;
-  mTestFleet->For(kRecovery);
+  mTestFleet->RunFor(kRecovery);
   mRecord.mFaultFreeFrom = Now();
-  mTestFleet->For(kFaultFreePeriod);
+  mTestFleet->RunFor(kFaultFreePeriod);
   mEnding = true;
-  mTestFleet->For(Seconds(14)); // until every call has ended
+  mTestFleet->RunFor(Seconds(14)); // until every call has ended
   mRecord.mEnded = Now();
   for (const auto* servers : { &mTestFleet->mEngines, &mTestFleet->mPlain }) {
     for (const auto& server : *servers) {
--- a/tests/support/EntryTestFleet.cpp
+++ b/tests/support/EntryTestFleet.cpp
@@ -195,7 +195,7 @@
 }
 
 bool
-EntryTestFleet::Until(const std::function<bool()>& aDone, Millis aWithin)
+EntryTestFleet::RunUntil(const std::function<bool()>& aDone, Millis aWithin)
 {
   TimePoint end = mClock.Now() + aWithin;
   while (!aDone()) {
@@ -214,16 +214,16 @@
 }
 
 void
-EntryTestFleet::For(Millis aTime)
+EntryTestFleet::RunFor(Millis aTime)
 {
-  Until([] { return false; }, aTime);
+  RunUntil([] { return false; }, aTime);
 }
 
 void
 EntryTestFleet::AwaitReady()
 {
   int all = static_cast<int>(mInstances.size());
-  ASSERT_TRUE(Until(
+  ASSERT_TRUE(RunUntil(
     [this, all] {
       for (auto& instance : mInstances) {
         if (!instance->Ready() || instance->State().mInstances != all ||
@@ -236,14 +236,14 @@
     Seconds(5)));
   // Token buckets start empty. After a quarter of the time that fills a bucket,
   // streams find tokens above the reserve for more urgent requests.
-  For(Millis(700));
+  RunFor(Millis(700));
 }
 
 TestCallPtr
 EntryTestFleet::SendRaw(size_t aInstance, const std::string& aBytes)
 {
   auto call = std::make_shared<TestCall>();
-  call->mAsked = mClock.Now();
+  call->mSentAt = mClock.Now();
   call->mChannel =
     Channel::Connect(mReactor, CallerAddress(aInstance), Seconds(1));
   Channel::Events events;
@@ -285,9 +285,9 @@
   aCall.mBody.clear();
   EXPECT_TRUE(reader.Take(rest, aCall.mBody));
   if (reader.Done()) {
-    aCall.mCompleteAt = aCall.mWhole ? aCall.mCompleteAt : mClock.Now();
-    aCall.mWhole = true;
-    aCall.mOver = rest;
+    aCall.mCompleteAt = aCall.mComplete ? aCall.mCompleteAt : mClock.Now();
+    aCall.mComplete = true;
+    aCall.mExcess = rest;
   }
 }
 
@@ -335,7 +335,7 @@
                      const std::string& aBody)
 {
   TestCallPtr call = Send(aInstance, aPath, aId, aFields, aBody);
-  Until([&call] { return call->mWhole || call->mClosed; }, Seconds(10));
+  RunUntil([&call] { return call->mComplete || call->mClosed; }, Seconds(10));
   return call;
 }
 
--- a/tests/support/EntryTestFleet.h
+++ b/tests/support/EntryTestFleet.h
@@ -24,11 +24,11 @@
   std::string mBytes; // all bytes received
   HttpHead mHead;
   std::string mBody;
-  int mStatus = 0;      // 0 = no head yet
-  bool mWhole = false;  // the answer is complete
-  bool mClosed = false; // the connection ended
-  std::string mOver;    // bytes after the complete answer
-  TimePoint mAsked{};
+  int mStatus = 0;        // 0 = no head yet
+  bool mComplete = false; // the answer is complete
+  bool mClosed = false;   // the connection ended
+  std::string mExcess;    // bytes after the complete answer
+  TimePoint mSentAt{};
   TimePoint mHeadAt{};
   TimePoint mCompleteAt{};
 
@@ -57,8 +57,8 @@
 
   // Runs all event loops until aDone returns true, at most for aWithin. Returns
   // whether aDone did.
-  bool Until(const std::function<bool()>& aDone, Millis aWithin);
-  void For(Millis aTime);
+  bool RunUntil(const std::function<bool()>& aDone, Millis aWithin);
+  void RunFor(Millis aTime);
   // Waits until all instances are ready and know each other; fails the test if
   // they are not within 5 s.
   void AwaitReady();
