--- a/src/daemon/Instance.cpp
+++ b/src/daemon/Instance.cpp
@@ -73,8 +73,8 @@
 {
   StoreGateSettings settings;
   settings.mZones = static_cast<int>(aSettings.mZones.size());
-  settings.mAtOnce = static_cast<int>(aSettings.mStoreAtOnce);
-  settings.mStarts = static_cast<double>(aSettings.mStoreStartsPerSecond);
+  settings.mMaxLoads = static_cast<int>(aSettings.mStoreAtOnce);
+  settings.mLoadRate = static_cast<double>(aSettings.mStoreStartsPerSecond);
   settings.mMaxConcurrentAdapters =
     static_cast<int>(aSettings.mStoreAdaptersAtOnce);
   return settings;
@@ -218,7 +218,7 @@
   };
   addTicker(kHeartbeatInterval, [this] { mHeartbeat->Round(); });
   addTicker(kSweepInterval, [this] { mOwner.Sweep(); });
-  addTicker(kReconcileInterval, [this] { mReconciler->Round(); });
+  addTicker(kReconcileInterval, [this] { mReconciler->ReconcileAll(); });
   addTicker(kBriefingInterval, [this] {
     if (Ready()) {
       mBriefingRunner->Round();
@@ -235,7 +235,7 @@
                          mShares->Table().mMembers.count(mIncarnation) == 0;
               if (due && mConfig.Current()->mRevision > 0) {
                 lastRenewal = now;
-                mShares->Round();
+                mShares->RenewAndBalance();
               }
             });
   Ticker& shares = *mTickers.back();
@@ -295,9 +295,9 @@
   json["revision"] = Json::Int64(mConfig.Current()->mRevision);
   json["config_age_ms"] = Json::Int64(mConfig.Age().count());
   json["in_flight"] = mCallers->InFlight();
-  json["models_busy"] = Json::UInt64(mOwner.Busy());
+  json["models_busy"] = Json::UInt64(mOwner.ActiveRequests());
   json["share_slots"] = mShares->SlotsHeld();
-  json["share_settled"] = mShares->Settled();
+  json["share_settled"] = mShares->Balanced();
   json["fit_instances"] = mMembers->AvailableCount();
   return json;
 }
@@ -307,7 +307,7 @@
 {
   Json::Value json;
   json["instances"].append(Status());
-  for (const InstanceInfo& peer : mMembers->Others()) {
+  for (const InstanceInfo& peer : mMembers->Peers()) {
     auto answer = Outcome([&] {
       return mPeers.Call(peer.mPeerAddress,
                          "status",
@@ -352,9 +352,9 @@
         mLoader.Counts().mOptionalAbandoned);
   const ShareClientCounts& shares = mShareClient->Counts();
   count("caraway_share_takes_total", shares.mTakes);
-  count("caraway_share_asks_total", shares.mAsks);
+  count("caraway_share_asks_total", shares.mPeerTakes);
   count("caraway_share_borrowed_total", shares.mBorrowed);
-  count("caraway_share_lapsed_total", shares.mLapsed);
+  count("caraway_share_lapsed_total", shares.mGatheredTooSlowly);
   count("caraway_in_flight", mCallers->InFlight());
   count("caraway_config_revision", mConfig.Current()->mRevision);
   count("caraway_config_age_ms", mConfig.Age().count());
@@ -365,8 +365,8 @@
 Instance::Busy() const
 {
   return mCallers->InFlight() > 0 || mAdmin->InFlight() > 0 ||
-         mOwner.Busy() > 0 || !mClaimWorkers.Idle() || !mLoadWorkers.Idle() ||
-         !mBriefingWorkers.Idle();
+         mOwner.ActiveRequests() > 0 || !mClaimWorkers.Idle() ||
+         !mLoadWorkers.Idle() || !mBriefingWorkers.Idle();
 }
 
 int
@@ -390,7 +390,7 @@
   LogInfo("draining",
           { { "in_flight", std::to_string(mCallers->InFlight()) },
             { "admin", std::to_string(mAdmin->InFlight()) },
-            { "places", std::to_string(mOwner.Busy()) },
+            { "places", std::to_string(mOwner.ActiveRequests()) },
             { "claims_idle", mClaimWorkers.Idle() ? "yes" : "no" },
             { "loads_idle", mLoadWorkers.Idle() ? "yes" : "no" },
             { "briefings_idle", mBriefingWorkers.Idle() ? "yes" : "no" } });
--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -144,7 +144,7 @@
 void
 Exchange::CountDemand()
 {
-  mState.mRepeats.OnRequest(mService, mArrived);
+  mState.mRetryBudget.OnRequest(mService, mArrived);
   if (!mFacts.mModel.empty()) {
     mState.CountDemand(mFacts.mModel, mArrived);
   }
@@ -172,7 +172,7 @@
                        exchange->OnTokens(aAnswer);
                      } else if (aAnswer.mGrant) {
                        // The caller has disconnected meanwhile.
-                       limiter.GiveBack(*aAnswer.mGrant);
+                       limiter.Refund(*aAnswer.mGrant);
                      }
                    });
 }
@@ -203,9 +203,9 @@
   if (mConfig->mTenants.empty() || mRoute->mAnonymous) {
     return true;
   }
-  auto tenant = mConfig->mTenantOfKey.find(mFacts.mKey);
+  auto tenant = mConfig->mTenantOfKey.find(mFacts.mTenantKey);
   if (tenant == mConfig->mTenantOfKey.end()) {
-    bool hasKey = !mFacts.mKey.empty();
+    bool hasKey = !mFacts.mTenantKey.empty();
     Refuse(
       hasKey ? ErrorKind::KeyUnknown : ErrorKind::KeyMissing, Millis(0), "key");
     return false;
@@ -229,8 +229,9 @@
     return;
   }
   if (!mGrant) {
-    Refuse(
-      ErrorKind::RateExceeded, aAnswer.mAfter, "tenant's rate limit reached");
+    Refuse(ErrorKind::RateExceeded,
+           aAnswer.mRetryAfter,
+           "tenant's rate limit reached");
     return;
   }
   Dispatch();
@@ -333,7 +334,7 @@
   }
   if (engine && !choice.mHeld && !mFacts.mModel.empty()) {
     mColdStart = true;
-    mLoadRequester.Want(ToLoadRequest());
+    mLoadRequester.RequestLoad(ToLoadRequest());
   }
   return RefuseIfUnmeetable(choice);
 }
--- a/src/entry/FeedRelay.cpp
+++ b/src/entry/FeedRelay.cpp
@@ -62,10 +62,10 @@
 void
 FeedRelay::Start()
 {
-  mPeers.Add("config", [this](const Json::Value&) {
+  mPeers.AddMethod("config", [this](const Json::Value&) {
     return Json::Value(mFeed.ConfigText());
   });
-  mPeers.Add("servers", [this](const Json::Value&) {
+  mPeers.AddMethod("servers", [this](const Json::Value&) {
     Json::Value result;
     result["revision"] = Json::Int64(mFeed.ServersRevision());
     result["entries"] = mFeed.ServersJson();
@@ -236,15 +236,15 @@
   TimePoint updateAt = now - transit - Millis(aUpdate["age_ms"].asInt64());
   Millis configAge = transit + Millis(aUpdate["config_age_ms"].asInt64());
   int64_t known = mFeed.ServersCompleteTo();
-  mStep.SetSelf(Rank());
+  mStep.SetRank(Rank());
   // An update that begins after the revision known here would leave a gap.
   if (known == 0 || aUpdate["since"].asInt64() > known ||
       configAge >= kConfigMaxAge ||
-      !mStep.OnTold(aUpdate["rank"].asString(),
-                    updateAt,
-                    !mFeed.Paused() && mFeed.Fresh() ? mFeed.ListConfirmedAt()
-                                                     : TimePoint(),
-                    now)) {
+      !mStep.OnUpdate(aUpdate["rank"].asString(),
+                      updateAt,
+                      !mFeed.Paused() && mFeed.Fresh() ? mFeed.ListConfirmedAt()
+                                                       : TimePoint(),
+                      now)) {
     return;
   }
   if (!mFeed.Paused()) {
--- a/src/entry/LoadSchedulerDecide.cpp
+++ b/src/entry/LoadSchedulerDecide.cpp
@@ -81,7 +81,7 @@
   TimePoint now = mState.Now();
   auto elsewhere = aRequest.mExtraReplica || !aRequest.mAdapter.empty()
                      ? std::nullopt
-                     : mClaims.Elsewhere(aRequest.mModel, now);
+                     : mClaims.ExpectedFromOtherZone(aRequest.mModel, now);
   if (!elsewhere) {
     return std::nullopt;
   }
@@ -109,7 +109,7 @@
   if (!choice) {
     return std::nullopt;
   }
-  return choice->Whole();
+  return choice->TotalTime();
 }
 
 PlacementFacts&
@@ -200,7 +200,7 @@
   facts.mPriority = aPending.mRequest.mPriority;
   // The lowest priority is that of a replica that no request waits for; one
   // that is needed because requests already wait has priority 0.
-  facts.mAsked = aPending.mRequest.mPriority < kLowestPriority;
+  facts.mHasWaiters = aPending.mRequest.mPriority < kLowestPriority;
   facts.mSince = aPending.mSince;
   facts.mNeedBy = aPending.mNeedBy;
   facts.mLoad = ShortestLoadTime(aPending.mRequest);
--- a/src/entry/Membership.cpp
+++ b/src/entry/Membership.cpp
@@ -50,7 +50,7 @@
 void
 Membership::Start()
 {
-  mPeers.Add(kCountMeMethod, [this](const Json::Value& aParams) {
+  mPeers.AddMethod(kCountMeMethod, [this](const Json::Value& aParams) {
     OnCountMe(aParams);
     return Json::Value(Json::objectValue);
   });
@@ -95,7 +95,7 @@
 void
 Membership::FillHeartbeat(Json::Value& aHeartbeat) const
 {
-  MemberHeartbeat heartbeat = mZoneMembers.Pulse(mState.Now());
+  MemberHeartbeat heartbeat = mZoneMembers.OwnHeartbeat(mState.Now());
   aHeartbeat["counted"] = heartbeat.mCounted;
   for (const std::string& peer : heartbeat.mSilent) {
     aHeartbeat["silent"].append(peer);
--- a/src/entry/ServerInventories.cpp
+++ b/src/entry/ServerInventories.cpp
@@ -61,12 +61,12 @@
   if (mToken != mLease.Token()) {
     mToken = mLease.Token();
     for (auto& [server, entry] : mEntries) {
-      entry.mInventory.Forget();
+      entry.mInventory.MarkUnknown();
     }
   }
   Entry& entry = mEntries[aServer];
   const Backend* backend = mState.mServers.Find(aServer);
-  if (backend && backend->mEntry.mStartTime != entry.mInventory.Born()) {
+  if (backend && backend->mEntry.mStartTime != entry.mInventory.StartTime()) {
     entry.mInventory.Restart(backend->mEntry.mStartTime);
     entry.mNextReportAt = TimePoint();
   }
@@ -169,7 +169,7 @@
       if (known->mModels != before) {
         mState.mLog.Line("content_corrected")
           .Text("server", aServer)
-          .Count("orders", report->mOrders)
+          .Count("orders", report->mOrderCount)
           .Flag("still_loading", loadPending);
         mChanged();
       }
@@ -196,8 +196,8 @@
   const ServerInventory& inventory = Of(aServer);
   if (inventory.Known()) {
     mState.mServers.PutContent(aServer,
-                               inventory.Born(),
-                               inventory.Orders(),
+                               inventory.StartTime(),
+                               inventory.OrderCount(),
                                inventory.Usable(),
                                mState.Now());
   }
--- a/src/platform/ConfigHolder.cpp
+++ b/src/platform/ConfigHolder.cpp
@@ -52,7 +52,7 @@
 // Reads both under one lock: a peer that received an older revision with the
 // age of a newer one would take the older one for the newest.
 ConfigFreshness
-ConfigHolder::Fresh() const
+ConfigHolder::Freshness() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   return { mCurrent->mRevision,
--- a/src/serve/BriefingStore.cpp
+++ b/src/serve/BriefingStore.cpp
@@ -56,10 +56,10 @@
     }
     WriteResult result =
       mPlatform.Write({ kListKind, name, list.mVersion, RandomId(), next });
-    if (result.mEnd == WriteOutcome::Done) {
+    if (result.mOutcome == WriteOutcome::Done) {
       return {};
     }
-    if (result.mEnd != WriteOutcome::Conflict) {
+    if (result.mOutcome != WriteOutcome::Conflict) {
       break;
     }
     list = result.mObject;
@@ -69,7 +69,7 @@
 }
 
 Result<void>
-BriefingStore::Keep(const Briefing& aBriefing)
+BriefingStore::Store(const Briefing& aBriefing)
 {
   BOOST_LEAF_CHECK(ChangeList(aBriefing.mId, true));
   WriteResult result = mPlatform.Write(
@@ -77,8 +77,8 @@
   // The id is random, so an object found under it came from this write: its
   // answer was lost, and another instance may have updated the object since.
   bool stored =
-    result.mEnd == WriteOutcome::Done ||
-    (result.mEnd == WriteOutcome::Conflict && result.mObject.mVersion > 0);
+    result.mOutcome == WriteOutcome::Done ||
+    (result.mOutcome == WriteOutcome::Conflict && result.mObject.mVersion > 0);
   if (!stored) {
     Failure failure = FailureOf(ErrorKind::PlatformUnavailable,
                                 "the briefing could not be stored");
@@ -96,12 +96,12 @@
 }
 
 Result<void>
-BriefingStore::End(StoredBriefing& aStored, const Briefing& aEnded)
+BriefingStore::StoreResult(StoredBriefing& aStored, const Briefing& aEnded)
 {
   WriteResult result = mPlatform.Write(
     { kKind, aEnded.mId, aStored.mVersion, RandomId(), BriefingJson(aEnded) });
-  bool known =
-    result.mEnd == WriteOutcome::Done || result.mEnd == WriteOutcome::Conflict;
+  bool known = result.mOutcome == WriteOutcome::Done ||
+               result.mOutcome == WriteOutcome::Conflict;
   if (!known) {
     return Fail(ErrorKind::PlatformUnavailable,
                 "the briefing's result could not be stored");
@@ -110,7 +110,7 @@
 }
 
 Result<std::set<std::string>>
-BriefingStore::Open(int aList)
+BriefingStore::OpenIds(int aList)
 {
   std::set<std::string> open;
   auto read =
@@ -129,7 +129,7 @@
 }
 
 Result<void>
-BriefingStore::Close(const std::string& aId)
+BriefingStore::RemoveFromList(const std::string& aId)
 {
   return ChangeList(aId, false);
 }
--- a/src/serve/ClaimDriver.cpp
+++ b/src/serve/ClaimDriver.cpp
@@ -158,13 +158,14 @@
   WriteResult result = mPlatform.Write(
     { kKind, aAttempt.mName, aExpected, RandomId(), ClaimJson(aRecord) });
   ClaimEvent event;
-  switch (result.mEnd) {
+  switch (result.mOutcome) {
     case WriteOutcome::Done:
       event.mKind = ClaimEventKind::Written;
       break;
     case WriteOutcome::Conflict:
-      event.mKind = result.mObject.mVersion == 0 ? ClaimEventKind::Absent
-                                                 : ClaimEventKind::Standing;
+      event.mKind = result.mObject.mVersion == 0
+                      ? ClaimEventKind::Absent
+                      : ClaimEventKind::RecordPresent;
       event.mRecord = ClaimParse(result.mObject.mValue);
       break;
     default:
@@ -185,7 +186,7 @@
                      : ClaimEventKind::NoPlatform);
   }
   const PlatformObject& object = std::get<PlatformObject>(read);
-  ClaimEvent event = EventOf(ClaimEventKind::Standing);
+  ClaimEvent event = EventOf(ClaimEventKind::RecordPresent);
   event.mVersion = object.mVersion;
   event.mRecord = ClaimParse(object.mValue);
   return event;
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -74,7 +74,7 @@
 }
 
 void
-ShareManager::GiveBack(const std::string& aTenant, const ShareGrant& aGrant)
+ShareManager::Refund(const std::string& aTenant, const ShareGrant& aGrant)
 {
   std::lock_guard<std::mutex> lock(mLock);
   TokenBucket* bucket = mBuckets.Find(aTenant, aGrant.mSlot);
@@ -83,7 +83,7 @@
   }
   TimePoint takenAt = TimePoint(std::chrono::duration_cast<TimePoint::duration>(
     std::chrono::nanoseconds(aGrant.mTakenAt)));
-  bucket->GiveBack(aGrant.mTokens, takenAt, mClock.Now());
+  bucket->Refund(aGrant.mTokens, takenAt, mClock.Now());
 }
 
 std::string
@@ -112,7 +112,7 @@
 }
 
 bool
-ShareManager::Settled() const
+ShareManager::Balanced() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   return ShareLeaseSlotsToHandOver(mLease, false).empty();
@@ -125,12 +125,12 @@
 }
 
 void
-ShareManager::Round()
+ShareManager::RenewAndBalance()
 {
   if (mConfig.Current()->mRevision == 0) {
     return;
   }
-  if (auto listed = mMembers.Listed()) {
+  if (auto listed = mMembers.ListedAddresses()) {
     std::lock_guard<std::mutex> lock(mLock);
     ShareLeaseOnInstanceList(mLease, *listed, mClock.Now());
   }
@@ -187,12 +187,12 @@
       { kKind, mSettings.mZone, version, RandomId(), ShareTableJson(table) });
     std::lock_guard<std::mutex> lock(mLock);
     TimePoint now = mClock.Now();
-    if (result.mEnd == WriteOutcome::Done) {
+    if (result.mOutcome == WriteOutcome::Done) {
       ShareLeaseRenewed(mLease, table, result.mObject.mVersion, begun, now);
       SyncBuckets();
       return true;
     }
-    if (result.mEnd != WriteOutcome::Conflict) {
+    if (result.mOutcome != WriteOutcome::Conflict) {
       return false;
     }
     ShareLeaseUpdate(mLease,
@@ -320,7 +320,7 @@
   WriteResult result = mPlatform.Write(
     { kKind, mSettings.mZone, version, RandomId(), ShareTableJson(table) });
   std::lock_guard<std::mutex> lock(mLock);
-  switch (result.mEnd) {
+  switch (result.mOutcome) {
     case WriteOutcome::Done:
       ShareLeaseUpdate(mLease, table, result.mObject.mVersion, mClock.Now());
       break;
@@ -338,7 +338,7 @@
     default:
       break; // outcome unknown: closed until a newer table arrives
   }
-  return result.mEnd;
+  return result.mOutcome;
 }
 
 Json::Value
--- a/tests/support/StandInServer.cpp
+++ b/tests/support/StandInServer.cpp
@@ -79,7 +79,7 @@
 
 StandInServer::~StandInServer()
 {
-  mReactor.Forget(mListener->mSocket);
+  mReactor.Unwatch(mListener->mSocket);
 }
 
 std::string
@@ -130,7 +130,7 @@
     client->mClosed = true;
     mLeft += client->mWorking ? 1 : 0;
   };
-  client->mChannel->Listen(std::move(events));
+  client->mChannel->SetEvents(std::move(events));
 }
 
 void
@@ -140,7 +140,7 @@
   HttpHead head;
   size_t used = 0;
   if (aClient->mWorking ||
-      ReadRequestHead(input, head, used) != HeadState::Whole ||
+      ReadRequestHead(input, head, used) != HeadState::Complete ||
       input.size() < used + head.mLength) {
     return;
   }
@@ -343,13 +343,13 @@
 int
 StandInServer::CarryOut(const Json::Value& aOrder)
 {
-  if (mBusy || aOrder["precondition"].asInt64() != mOrders) {
+  if (mBusy || aOrder["precondition"].asInt64() != mOrderCount) {
     return 409;
   }
   std::string model = aOrder["model"].asString();
   std::string adapter = aOrder["adapter"].asString();
   bool load = aOrder["operation"].asString() == "load";
-  ++mOrders;
+  ++mOrderCount;
   if (!load && adapter.empty()) {
     mModels.erase(model);
     mBusy = mUnloadTime > Millis(0);
@@ -392,7 +392,7 @@
   Json::Value report;
   report["stage"] = "both";
   report["busy"] = mBusy || !mNotYetReported.empty();
-  report["sequence"] = Json::Int64(mOrders);
+  report["sequence"] = Json::Int64(mOrderCount);
   report["models"] = Json::Value(Json::arrayValue);
   Json::Value entry = Entry("", "");
   for (const Json::Value& model : entry["models"]) {
--- a/tests/unit/WireMessagesTest.cpp
+++ b/tests/unit/WireMessagesTest.cpp
@@ -59,7 +59,7 @@
 {
   HttpHead head;
   size_t used = 0;
-  EXPECT_EQ(HeadState::Whole, ReadRequestHead(aText, head, used));
+  EXPECT_EQ(HeadState::Complete, ReadRequestHead(aText, head, used));
   return head;
 }
 
@@ -68,7 +68,7 @@
 TEST(WireSettings, ReadsAllSettings)
 {
   SettingsResult result = ReadSettings(kSettings);
-  EXPECT_TRUE(result.mTroubles.empty());
+  EXPECT_TRUE(result.mErrors.empty());
   EXPECT_EQ("front-1", result.mSettings.mName);
   EXPECT_EQ("10.1.0.25:7600", result.mSettings.mPeers);
   EXPECT_EQ("10.1.0.25:7601", result.mSettings.mMetrics);
@@ -85,7 +85,7 @@
   text = Replaced(text, "graceS = 8", "graceS = true");
   SettingsResult result = ReadSettings(text);
   std::vector<std::string> fields;
-  for (const SettingsError& error : result.mTroubles) {
+  for (const SettingsError& error : result.mErrors) {
     fields.push_back(error.mField);
     EXPECT_FALSE(error.mExpected.empty());
   }
@@ -93,13 +93,13 @@
     "nodeName", "listen.front", "platform.address", "bounds.graceS"
   };
   EXPECT_EQ(expected, fields);
-  EXPECT_GT(result.mTroubles.back().mLine, 0);
+  EXPECT_GT(result.mErrors.back().mLine, 0);
 }
 
 TEST(WireSettings, InvalidTomlAndMissingFileAreErrors)
 {
-  EXPECT_EQ(1u, ReadSettings("a = [").mTroubles.size());
-  EXPECT_EQ(1u, ReadSettingsFile("/nowhere/at/all").mTroubles.size());
+  EXPECT_EQ(1u, ReadSettings("a = [").mErrors.size());
+  EXPECT_EQ(1u, ReadSettingsFile("/nowhere/at/all").mErrors.size());
 }
 
 TEST(WireConfig, ReadsRoutesServicesAndTenants)
@@ -211,7 +211,7 @@
   ModelOrder order;
   order.mModel = "m";
   order.mAdapter = "a3";
-  order.mOrders = 2;
+  order.mOrderCount = 2;
   order.mHolder = "node-7";
   order.mToken = 41;
   OrderCall call = WriteOrder(order, "1.2.3.4:5", "i-1");
@@ -247,7 +247,7 @@
   EXPECT_EQ("a1", facts->mAdapter);
   EXPECT_EQ(1460, *facts->mPromptTokens);
   EXPECT_EQ(Millis(120), *facts->mDeadline);
-  EXPECT_EQ("k", facts->mKey);
+  EXPECT_EQ("k", facts->mTenantKey);
   for (const char* bad : { "Token-Count: x\r\n",
                            "Token-Count: 1\r\n",
                            "Token-Count: -1,2\r\n",
