--- a/src/decide/WatchStep.h
+++ b/src/decide/WatchStep.h
@@ -49,7 +49,7 @@
   void Forget() { mFollowed.clear(); }
 
 private:
-  std::string mRank;     // rank
+  std::string mRank;
   std::string mFollowed; // rank of the reader that it follows; "" = none yet
   TimePoint mUpdateAt{}; // last update of mFollowed
 };
