--- a/bench/ColdBench.cpp
+++ b/bench/ColdBench.cpp
@@ -201,7 +201,7 @@
       }
       return;
     }
-    int engine = mOurs ? ChooseOurs(zone, aCall.mModel)
+    int engine = mOurs ? ChooseByProduct(zone, aCall.mModel)
                        : ChooseBaseline(zone, aCall.mModel);
 
     if (engine < 0) {
@@ -228,7 +228,7 @@
     return report;
   }
 
-  int ChooseOurs(int aZone, int aModel)
+  int ChooseByProduct(int aZone, int aModel)
   {
     std::vector<LoadCandidate> candidates(mEngines.size());
     for (size_t i = 0; i < mEngines.size(); ++i) {
--- a/bench/FailureBench.cpp
+++ b/bench/FailureBench.cpp
@@ -175,9 +175,9 @@
 } // namespace
 
 int
-main(int aCount, char** aWords)
+main(int aCount, char** aArguments)
 {
-  gflags::ParseCommandLineFlags(&aCount, &aWords, true);
+  gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   FleetPlan plan;
   int half = FLAGS_instances / 2;
   plan.mInstances = { half, half };
--- a/bench/FleetBench.cpp
+++ b/bench/FleetBench.cpp
@@ -188,7 +188,7 @@
   plan.mInstances = { 3, 3 };
   plan.mModels = 8;
   plan.mMemory = 1000;
-  plan.mEngineWords = { "--token_ms=1" };
+  plan.mEngineFlags = { "--token_ms=1" };
   plan.mRate = 1e9;
   plan.mBurst = 1e9;
   Fleet fleet(plan);
@@ -271,9 +271,9 @@
 } // namespace
 
 int
-main(int aCount, char** aWords)
+main(int aCount, char** aArguments)
 {
-  gflags::ParseCommandLineFlags(&aCount, &aWords, true);
+  gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   std::printf("at rest, per instance and second (writes: whole fleet)\n"
               "%9s %9s %9s %11s %11s %9s %9s %9s %9s\n",
               "instances",
--- a/bench/QueueBench.cpp
+++ b/bench/QueueBench.cpp
@@ -29,14 +29,14 @@
   QueuedRequest mItem;
 };
 
-struct Outcome1
+struct QueueOutcome
 {
   std::vector<double> mWaits; // ms, of the served
   int mLate = 0;              // refused at their deadline
   int mAtOnce = 0;            // refused when they came
-  int mReturned = 0;          // of those, came back when they were told to
-  int mReturnRefused = 0;
-  int mReturnServed = 0; // and were served then
+  int mRetried = 0;           // of those, came back when they were told to
+  int mRetryRefused = 0;
+  int mRetryServed = 0; // and were served then
 };
 
 std::vector<Arrival>
@@ -117,7 +117,7 @@
   }
 };
 
-std::map<std::string, Outcome1>
+std::map<std::string, QueueOutcome>
 RunQueue(const std::vector<Arrival>& aAll,
          bool aFair,
          bool aSlowed,
@@ -128,7 +128,7 @@
     coming.emplace(arrival.mAt, arrival.mItem);
   }
   std::set<uint64_t> returned;
-  std::map<std::string, Outcome1> outcomes;
+  std::map<std::string, QueueOutcome> outcomes;
   WaitQueue queue;
   std::deque<QueuedRequest> fifo;
   double learnt = 0;
@@ -172,7 +172,7 @@
       double wait =
         std::chrono::duration<double, std::milli>(now - item->mArrived).count();
       outcomes[key(*item)].mWaits.push_back(std::max(0.0, wait));
-      outcomes[key(*item)].mReturnServed += returned.count(item->mId) ? 1 : 0;
+      outcomes[key(*item)].mRetryServed += returned.count(item->mId) ? 1 : 0;
       double rate = RateAt(now, aSlowed);
       learnt = learnt == 0 ? rate : learnt + 0.2 * (rate - learnt);
       double seconds = item->mTokens / (rate / kModelCapacity);
@@ -193,11 +193,11 @@
     if (!refusal) {
       continue;
     }
-    Outcome1& outcome = outcomes[key(item)];
+    QueueOutcome& outcome = outcomes[key(item)];
     ++outcome.mAtOnce;
-    outcome.mReturnRefused += returned.count(item.mId) ? 1 : 0;
+    outcome.mRetryRefused += returned.count(item.mId) ? 1 : 0;
     if (aReturns && returned.insert(item.mId).second) {
-      ++outcome.mReturned;
+      ++outcome.mRetried;
       Millis within = std::chrono::duration_cast<Millis>(item.mStartBy - at);
       item.mArrived = at + refusal->mRetryAfter;
       item.mStartBy = item.mArrived + within;
@@ -224,13 +224,13 @@
   }
   std::printf("%s: come back as told, served then\n", aName);
   for (const auto& entry : RunQueue(all, true, aSlowed, true)) {
-    const Outcome1& outcome = entry.second;
-    if (outcome.mReturned > 0) {
+    const QueueOutcome& outcome = entry.second;
+    if (outcome.mRetried > 0) {
       std::printf("  %-22s %6d %8.1f%% refused again %8.1f%%\n",
                   entry.first.c_str(),
-                  outcome.mReturned,
-                  100.0 * outcome.mReturnServed / outcome.mReturned,
-                  100.0 * outcome.mReturnRefused / outcome.mReturned);
+                  outcome.mRetried,
+                  100.0 * outcome.mRetryServed / outcome.mRetried,
+                  100.0 * outcome.mRetryRefused / outcome.mRetried);
     }
   }
 }
@@ -255,7 +255,7 @@
   auto fair = RunQueue(all, true, aSlowed);
   for (auto& entry : fair) {
     std::printf("  %-22s", entry.first.c_str());
-    for (Outcome1* outcome : { &fifo[entry.first], &entry.second }) {
+    for (QueueOutcome* outcome : { &fifo[entry.first], &entry.second }) {
       std::vector<double>& waits = outcome->mWaits;
       std::sort(waits.begin(), waits.end());
       double total =
--- a/bench/RateBench.cpp
+++ b/bench/RateBench.cpp
@@ -90,7 +90,7 @@
     for (int i = 0; i < parts; ++i) {
       mBuckets.emplace_back(aFleet.mRate / parts, burst, aNow);
       mBuckets.back().Fill(burst, aNow);
-      mBackAt.push_back(TimePoint{});
+      mUsableFrom.push_back(TimePoint{});
     }
   }
 
@@ -107,7 +107,7 @@
       for (int half = 0; half < 2 && missing > 1e-9; ++half) {
         size_t slot = static_cast<size_t>(at * 2 + (half + mTurn) % 2);
         ++mAsks;
-        double there = aNow < mBackAt[slot]
+        double there = aNow < mUsableFrom[slot]
                          ? 0
                          : std::min(missing, mBuckets[slot].Level(aNow));
         if (there > 0 && mBuckets[slot].Take(there, aNow)) {
@@ -130,9 +130,9 @@
   {
     size_t slot = static_cast<size_t>(aInstance % mFleet.mZones) * 2;
     TimePoint now = TimePoint(Seconds(1000)) + kTroubleFrom;
-    mBackAt[slot] = now + kTakeover;
-    mBuckets[slot] =
-      TokenBucket(mBuckets[slot].Rate(), mBuckets[slot].Burst(), mBackAt[slot]);
+    mUsableFrom[slot] = now + kTakeover;
+    mBuckets[slot] = TokenBucket(
+      mBuckets[slot].Rate(), mBuckets[slot].Burst(), mUsableFrom[slot]);
   }
   void Cut(bool aCut) override { mCut = aCut; }
   int64_t Asks() const { return mAsks; }
@@ -140,7 +140,7 @@
 private:
   Fleet mFleet;
   std::vector<TokenBucket> mBuckets; // zone * 2 + half
-  std::vector<TimePoint> mBackAt;
+  std::vector<TimePoint> mUsableFrom;
   bool mCut = false;
   int mTurn = 0;
   int64_t mAsks = 0;
@@ -157,7 +157,7 @@
 struct Count
 {
   int mInside = 0; // would have been let in by one bucket
-  int mWrongful = 0;
+  int mWronglyRefused = 0;
 };
 
 int
@@ -202,7 +202,7 @@
     for (size_t i = 0; i < policies.size(); ++i) {
       bool let = policies[i]->Take(at, cost, now);
       counts[i].mInside += inside ? 1 : 0;
-      counts[i].mWrongful += inside && !let ? 1 : 0;
+      counts[i].mWronglyRefused += inside && !let ? 1 : 0;
     }
   }
   return counts;
@@ -230,8 +230,8 @@
     for (unsigned seed = 1; seed <= 5; ++seed) {
       std::vector<Count> counts = Run(aFleet, scene, aOffered, seed);
       inside += counts[0].mInside;
-      wrongful[0] += counts[0].mWrongful;
-      wrongful[1] += counts[1].mWrongful;
+      wrongful[0] += counts[0].mWronglyRefused;
+      wrongful[1] += counts[1].mWronglyRefused;
     }
     std::printf("  %-28s %11.2f%% %11.2f%%\n",
                 scene.mName,
--- a/src/admin/AdminPort.cpp
+++ b/src/admin/AdminPort.cpp
@@ -103,7 +103,7 @@
   auto answer = Outcome([&]() -> Result<Json::Value> {
     BOOST_LEAF_AUTO(user, User(aRequest));
     if (path == "/metrics") {
-      std::string text = mParts.mMetrics->Text() + mParts.mMoreMetrics();
+      std::string text = mParts.mMetrics->Text() + mParts.mExtraMetrics();
       aResponse.setContentType("text/plain; version=0.0.4");
       aResponse.sendBuffer(text.data(), text.size());
       return Json::Value();
--- a/src/admin/AdminPort.h
+++ b/src/admin/AdminPort.h
@@ -42,7 +42,7 @@
     std::function<bool()> mReady;
     std::function<Json::Value()> mStatus;
     std::function<Json::Value()> mFleet;
-    std::function<std::string()> mMoreMetrics;
+    std::function<std::string()> mExtraMetrics;
     std::function<void()> mChanged; // a change was accepted here
   };
 
--- a/src/base/ConfigCodec.cpp
+++ b/src/base/ConfigCodec.cpp
@@ -2,7 +2,7 @@
 
 #include <Poco/Net/SocketAddress.h>
 
-#include "base/JsonFields.h"
+#include "base/JsonObjectReader.h"
 
 namespace caraway {
 
@@ -12,7 +12,7 @@
 
 // Names become object names at the platform and path segments here.
 bool
-NameFits(const std::string& aName)
+IsValidName(const std::string& aName)
 {
   if (aName.empty() || aName.size() > kMaxName) {
     return false;
@@ -36,17 +36,17 @@
 }
 
 std::string
-Name(JsonFields& aFields)
+Name(JsonObjectReader& aFields)
 {
   std::string name = aFields.Text("name", true);
-  if (!name.empty() && !NameFits(name)) {
-    aFields.Complain("name", "expected letters, digits, - _ . : only");
+  if (!name.empty() && !IsValidName(name)) {
+    aFields.AddError("name", "expected letters, digits, - _ . : only");
   }
   return name;
 }
 
 bool
-AddressFits(const std::string& aAddress)
+IsValidAddress(const std::string& aAddress)
 {
   try {
     Poco::Net::SocketAddress address(aAddress);
@@ -171,7 +171,7 @@
 Result<Profile>
 ProfileParse(const Json::Value& aJson)
 {
-  JsonFields fields(aJson, Where("profiles", aJson));
+  JsonObjectReader fields(aJson, Where("profiles", aJson));
   Profile profile;
   profile.mName = Name(fields);
   profile.mTenant = fields.Text("tenant");
@@ -180,7 +180,7 @@
   profile.mService = fields.Text("service");
   std::string name = fields.Text("class");
   if (!name.empty() && !RequestClassParse(name, profile.mClass)) {
-    fields.Complain("class", "expected urgent, interactive or batch");
+    fields.AddError("class", "expected urgent, interactive or batch");
   }
   const Millis least(1);
   profile.mFirstToken =
@@ -198,7 +198,7 @@
 Result<Tenant>
 TenantParse(const Json::Value& aJson)
 {
-  JsonFields fields(aJson, Where("tenants", aJson));
+  JsonObjectReader fields(aJson, Where("tenants", aJson));
   Tenant tenant;
   tenant.mName = Name(fields);
   tenant.mRate = fields.Number("rate", 0, 0);
@@ -210,7 +210,7 @@
 Result<TenantKey>
 TenantKeyParse(const Json::Value& aJson)
 {
-  JsonFields fields(aJson, "keys");
+  JsonObjectReader fields(aJson, "keys");
   TenantKey key;
   key.mId = fields.Text("id", true);
   key.mTenant = fields.Text("tenant", true);
@@ -222,20 +222,20 @@
 Result<EndpointSpec>
 EndpointSpecParse(const Json::Value& aJson)
 {
-  JsonFields fields(aJson, Where("endpoints", aJson));
+  JsonObjectReader fields(aJson, Where("endpoints", aJson));
   EndpointSpec endpoint;
   endpoint.mName = Name(fields);
   endpoint.mZone = fields.Text("zone", true);
   endpoint.mGroup = fields.Text("group", true);
   endpoint.mAddress = fields.Text("address", true);
-  if (!endpoint.mAddress.empty() && !AddressFits(endpoint.mAddress)) {
-    fields.Complain("address", "expected ip:port");
+  if (!endpoint.mAddress.empty() && !IsValidAddress(endpoint.mAddress)) {
+    fields.AddError("address", "expected ip:port");
   }
   std::string kind = fields.Text("kind", true);
   if (kind == "service") {
     endpoint.mKind = EndpointKind::Service;
   } else if (kind != "engine") {
-    fields.Complain("kind", "expected engine or service");
+    fields.AddError("kind", "expected engine or service");
   }
   endpoint.mMemory = fields.Integer("memory", 0, 0);
   endpoint.mChecksFencing = fields.Flag("checks_fencing", false);
@@ -248,7 +248,7 @@
 Result<ModelSpec>
 ModelSpecParse(const Json::Value& aJson)
 {
-  JsonFields fields(aJson, Where("models", aJson));
+  JsonObjectReader fields(aJson, Where("models", aJson));
   ModelSpec model;
   model.mName = Name(fields);
   model.mVersion = fields.Text("version");
--- a/src/base/EventLog.cpp
+++ b/src/base/EventLog.cpp
@@ -15,12 +15,12 @@
 constexpr int kLinesPerSecond = 200;
 
 // Kept while the reader is slow: some seconds of lines.
-constexpr size_t kMostWaiting = 256 * 1024;
+constexpr size_t kMaxBufferedBytes = 256 * 1024;
 
 // The whole lines at the start of aText that a pipe takes at once or not at
 // all: a process that ends between two writes leaves no half line behind.
 std::string_view
-LinesAtOnce(std::string_view aText)
+LinesInOneWrite(std::string_view aText)
 {
   size_t end = aText.substr(0, PIPE_BUF).rfind('\n');
   if (end == std::string_view::npos) {
@@ -148,13 +148,13 @@
   Budget& budget = found->second;
   TimePoint now = mClock.Now();
   if (now - budget.mSince >= Seconds(1)) {
-    TellDropped(found->first, budget);
+    WriteDropped(found->first, budget);
     budget.mSince = now;
     budget.mUsed = 0;
   }
-  if (budget.mUsed >= kLinesPerSecond || mWaiting.size() >= kMostWaiting) {
+  if (budget.mUsed >= kLinesPerSecond || mWaiting.size() >= kMaxBufferedBytes) {
     ++budget.mDropped;
-    ++mLeftOut;
+    ++mDroppedLines;
     return false;
   }
   ++budget.mUsed;
@@ -162,9 +162,9 @@
 }
 
 void
-EventLog::TellDropped(const std::string& aEvent, Budget& aBudget)
+EventLog::WriteDropped(const std::string& aEvent, Budget& aBudget)
 {
-  if (aBudget.mDropped > 0 && mWaiting.size() < kMostWaiting) {
+  if (aBudget.mDropped > 0 && mWaiting.size() < kMaxBufferedBytes) {
     mWaiting += "{\"event\":\"log_left_out\",\"instance\":\"" + mInstance +
                 "\",\"of\":\"" + aEvent +
                 "\",\"lines\":" + std::to_string(aBudget.mDropped) + "}\n";
@@ -205,7 +205,7 @@
   size_t done = 0;
   while (done < mWaiting.size()) {
     std::string_view lines =
-      LinesAtOnce(std::string_view(mWaiting).substr(done));
+      LinesInOneWrite(std::string_view(mWaiting).substr(done));
     ssize_t written = write(mFile, lines.data(), lines.size());
     if (written < 0 && errno != EAGAIN && errno != EINTR) {
       done = mWaiting.size(); // nobody will ever read it
--- a/src/base/EventLog.h
+++ b/src/base/EventLog.h
@@ -53,7 +53,7 @@
   // Hands gathered lines over, as far as the reader takes them.
   void Flush();
 
-  int64_t LeftOut() const { return mLeftOut; }
+  int64_t DroppedLines() const { return mDroppedLines; }
   size_t Waiting() const { return mWaiting.size(); }
   const std::string& Gathered() const { return mWaiting; }
 
@@ -67,14 +67,14 @@
   };
   void Put(std::string aLine);
   bool Allow(std::string_view aEvent);
-  void TellDropped(const std::string& aEvent, Budget& aBudget);
+  void WriteDropped(const std::string& aEvent, Budget& aBudget);
 
   const Clock& mClock;
   std::string mInstance;
   int mFile;
   std::string mWaiting;
   std::map<std::string, Budget, std::less<>> mBudgets; // by event name
-  int64_t mLeftOut = 0;
+  int64_t mDroppedLines = 0;
 };
 
 } // namespace caraway
--- a/src/base/JsonFields.h
+++ b/src/base/JsonObjectReader.h
@@ -1,6 +1,6 @@
-// JsonFields.h: reads the fields of one JSON object strictly.
-#ifndef caraway_base_JsonFields_h
-#define caraway_base_JsonFields_h
+// JsonObjectReader.h: reads the fields of one JSON object strictly.
+#ifndef caraway_base_JsonObjectReader_h
+#define caraway_base_JsonObjectReader_h
 
 #include <json/json.h>
 #include <set>
@@ -13,10 +13,10 @@
 // Collects the first thing that is wrong instead of failing at once, so that
 // a parse function reads as a list of its fields. A misspelt optional field
 // would otherwise be dropped in silence and the default would apply.
-class JsonFields
+class JsonObjectReader
 {
 public:
-  JsonFields(const Json::Value& aObject, std::string aWhere);
+  JsonObjectReader(const Json::Value& aObject, std::string aWhere);
 
   std::string Text(const char* aName, bool aRequired = false);
   int64_t Integer(const char* aName, int64_t aDefault, int64_t aLeast);
@@ -24,7 +24,7 @@
   bool Flag(const char* aName, bool aDefault);
   Millis Duration(const char* aName, Millis aDefault, Millis aLeast);
 
-  void Complain(const char* aName, const std::string& aExpected);
+  void AddError(const char* aName, const std::string& aExpected);
   // ConfigInvalid with "where.field: what was expected"; else fine.
   Result<void> Done();
 
@@ -34,7 +34,7 @@
   const Json::Value& mObject;
   std::string mWhere;
   std::string mTrouble;
-  std::set<std::string> mKnown;
+  std::set<std::string> mKnownFields;
 };
 
 } // namespace caraway
--- a/src/base/MetricSeries.cpp
+++ b/src/base/MetricSeries.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr std::array<double, 3> kParts = { 0.5, 0.95, 0.99 };
+constexpr std::array<double, 3> kQuantiles = { 0.5, 0.95, 0.99 };
 
 } // namespace
 
 MetricSeries::MetricSeries()
-  : mSet(acc::extended_p_square_probabilities = kParts)
+  : mSet(acc::extended_p_square_probabilities = kQuantiles)
 {
 }
 
@@ -56,7 +56,7 @@
 }
 
 uint64_t
-MetricSeries::AtMost(size_t aBound) const
+MetricSeries::CumulativeCount(size_t aBound) const
 {
   uint64_t count = 0;
   for (size_t i = 0; i <= aBound; ++i) {
--- a/src/base/MetricSeries.h
+++ b/src/base/MetricSeries.h
@@ -32,7 +32,7 @@
   double Max() const;
   double Quantile(double aPart) const; // 0.5, 0.95 or 0.99
   // Cumulative, as the text format wants them.
-  uint64_t AtMost(size_t aBound) const;
+  uint64_t CumulativeCount(size_t aBound) const;
 
 private:
   using Set = boost::accumulators::accumulator_set<
--- a/src/base/Metrics.cpp
+++ b/src/base/Metrics.cpp
@@ -17,7 +17,7 @@
   std::string labels = aKey.substr(split + 1);
   for (size_t i = 0; i < kMetricBounds.size(); ++i) {
     aOut << name << "_bucket{" << labels << ",le=\"" << kMetricBounds[i]
-         << "\"} " << aSeries.AtMost(i) << "\n";
+         << "\"} " << aSeries.CumulativeCount(i) << "\n";
   }
   aOut << name << "_bucket{" << labels << ",le=\"+Inf\"} " << aSeries.Count()
        << "\n";
--- a/src/base/RandomId.cpp
+++ b/src/base/RandomId.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 std::string
-RandomHex(int aWords)
+RandomHex(int aArguments)
 {
   std::random_device device;
   std::string text;
-  for (int i = 0; i < aWords; ++i) {
+  for (int i = 0; i < aArguments; ++i) {
     char word[9];
     std::snprintf(word, sizeof word, "%08x", device());
     text += word;
--- a/src/base/Ticker.cpp
+++ b/src/base/Ticker.cpp
@@ -5,7 +5,7 @@
 namespace caraway {
 
 Ticker::Ticker(Millis aEvery, std::function<void()> aRound)
-  : mEvery(aEvery)
+  : mInterval(aEvery)
   , mRound(std::move(aRound))
   , mThread([this] { Run(); })
 {
@@ -17,10 +17,10 @@
 }
 
 void
-Ticker::Poke()
+Ticker::TriggerNow()
 {
   std::lock_guard<std::mutex> lock(mLock);
-  mPoked = true;
+  mWoken = true;
   mWake.notify_all();
 }
 
@@ -42,7 +42,7 @@
 {
   std::unique_lock<std::mutex> lock(mLock);
   while (!mStopping) {
-    mPoked = false;
+    mWoken = false;
     lock.unlock();
     try {
       mRound();
@@ -50,10 +50,10 @@
       LogWarn("round_failed", { { "reason", error.what() } });
     }
     lock.lock();
-    int64_t jitter = mEvery.count() / 4;
+    int64_t jitter = mInterval.count() / 4;
     std::uniform_int_distribution<int64_t> spread(-jitter, jitter);
-    Millis pause(mEvery.count() + spread(mRandom));
-    mWake.wait_for(lock, pause, [this] { return mStopping || mPoked; });
+    Millis pause(mInterval.count() + spread(mRandom));
+    mWake.wait_for(lock, pause, [this] { return mStopping || mWoken; });
   }
 }
 
--- a/src/base/Ticker.h
+++ b/src/base/Ticker.h
@@ -19,17 +19,17 @@
 public:
   Ticker(Millis aEvery, std::function<void()> aRound);
   ~Ticker();
-  void Poke(); // next round now
+  void TriggerNow(); // next round now
   void Stop();
 
 private:
   void Run();
 
-  Millis mEvery;
+  Millis mInterval;
   std::function<void()> mRound;
   std::mutex mLock;
   std::condition_variable mWake;
-  bool mPoked = false;
+  bool mWoken = false;
   bool mStopping = false;
   std::mt19937 mRandom{ std::random_device{}() };
   std::thread mThread;
--- a/src/ctl/ConfigFile.cpp
+++ b/src/ctl/ConfigFile.cpp
@@ -91,7 +91,7 @@
 }
 
 std::string
-ConfigFile::PlaceOf(const std::string& aDetail) const
+ConfigFile::LocationOf(const std::string& aDetail) const
 {
   std::string path = aDetail.substr(0, aDetail.find(':'));
   // The longest part of the path that the file has.
--- a/src/ctl/ConfigFile.h
+++ b/src/ctl/ConfigFile.h
@@ -22,7 +22,7 @@
   // Sections as the administration API takes them.
   const Json::Value& Sections() const { return mSections; }
   // "FILE:LINE: " of what a refusal names ("profiles.noon.class: …").
-  std::string PlaceOf(const std::string& aDetail) const;
+  std::string LocationOf(const std::string& aDetail) const;
 
 private:
   std::string mName;
--- a/src/ctl/Ctl.cpp
+++ b/src/ctl/Ctl.cpp
@@ -122,13 +122,13 @@
 }
 
 int
-Ctl::Run(const Words& aWords)
+Ctl::Run(const Words& aArguments)
 {
   for (const Command& command : kCommands) {
-    if (aWords.empty() || aWords[0] != command.mName) {
+    if (aArguments.empty() || aArguments[0] != command.mName) {
       continue;
     }
-    Words arguments(aWords.begin() + 1, aWords.end());
+    Words arguments(aArguments.begin() + 1, aArguments.end());
     if (arguments.size() < command.mLeast || arguments.size() > command.mMost) {
       std::fprintf(stderr,
                    "carawayctl: usage: carawayctl %s %s\n",
@@ -202,22 +202,22 @@
 }
 
 Result<int>
-Ctl::Losses(const Words& aWords)
+Ctl::Losses(const Words& aArguments)
 {
   LossReport report;
   BOOST_LEAF_CHECK(ReadFiles(
-    aWords, 0, [&](const std::string& aText) { report.Read(aText); }));
+    aArguments, 0, [&](const std::string& aText) { report.Read(aText); }));
   std::string text = mOptions.mCsv ? report.Csv() : report.Text();
   std::fputs(text.c_str(), stdout);
   return CtlExit_Ok;
 }
 
 Result<int>
-Ctl::Explain(const Words& aWords)
+Ctl::Explain(const Words& aArguments)
 {
-  RequestTrace story(aWords[0]);
-  BOOST_LEAF_CHECK(
-    ReadFiles(aWords, 1, [&](const std::string& aText) { story.Read(aText); }));
+  RequestTrace story(aArguments[0]);
+  BOOST_LEAF_CHECK(ReadFiles(
+    aArguments, 1, [&](const std::string& aText) { story.Read(aText); }));
   std::fputs(story.Text().c_str(), stdout);
   return CtlExit_Ok;
 }
@@ -234,10 +234,10 @@
 }
 
 Result<int>
-Ctl::Help(const Words& aWords)
+Ctl::Help(const Words& aArguments)
 {
   for (const Command& command : kCommands) {
-    if (!aWords.empty() && aWords[0] == command.mName) {
+    if (!aArguments.empty() && aArguments[0] == command.mName) {
       std::printf("carawayctl %s %s\n  %s\n",
                   command.mName,
                   command.mArguments,
@@ -246,7 +246,7 @@
     }
   }
   std::fputs(("carawayctl " + Usage()).c_str(), stdout);
-  return aWords.empty() ? CtlExit_Ok : CtlExit_Usage;
+  return aArguments.empty() ? CtlExit_Ok : CtlExit_Usage;
 }
 
 } // namespace caraway
--- a/src/ctl/Ctl.h
+++ b/src/ctl/Ctl.h
@@ -29,12 +29,12 @@
 
   explicit Ctl(CtlOptions aOptions);
 
-  // aWords: command and its arguments.
-  int Run(const Words& aWords);
+  // aArguments: command and its arguments.
+  int Run(const Words& aArguments);
   static std::string Usage();
 
 private:
-  using Action = Result<int> (Ctl::*)(const Words& aWords);
+  using Action = Result<int> (Ctl::*)(const Words& aArguments);
   struct Command
   {
     const char* mName;
@@ -46,27 +46,27 @@
   };
   static const Command kCommands[];
 
-  Result<int> List(const Words& aWords);
-  Result<int> Show(const Words& aWords);
-  Result<int> Set(const Words& aWords);
-  Result<int> Remove(const Words& aWords);
-  Result<int> Keys(const Words& aWords);
-  Result<int> Grant(const Words& aWords);
-  Result<int> Withdraw(const Words& aWords);
-  Result<int> Check(const Words& aWords);
-  Result<int> Diff(const Words& aWords);
-  Result<int> Apply(const Words& aWords);
-  Result<int> History(const Words& aWords);
-  Result<int> Rollback(const Words& aWords);
-  Result<int> Status(const Words& aWords);
-  Result<int> AdminKey(const Words& aWords);
-  Result<int> Explain(const Words& aWords);
-  Result<int> Losses(const Words& aWords);
+  Result<int> List(const Words& aArguments);
+  Result<int> Show(const Words& aArguments);
+  Result<int> Set(const Words& aArguments);
+  Result<int> Remove(const Words& aArguments);
+  Result<int> Keys(const Words& aArguments);
+  Result<int> Grant(const Words& aArguments);
+  Result<int> Withdraw(const Words& aArguments);
+  Result<int> Check(const Words& aArguments);
+  Result<int> Diff(const Words& aArguments);
+  Result<int> Apply(const Words& aArguments);
+  Result<int> History(const Words& aArguments);
+  Result<int> Rollback(const Words& aArguments);
+  Result<int> Status(const Words& aArguments);
+  Result<int> AdminKey(const Words& aArguments);
+  Result<int> Explain(const Words& aArguments);
+  Result<int> Losses(const Words& aArguments);
   static Result<void> ReadFiles(
     const Words& aFiles,
     size_t aFirst,
     const std::function<void(const std::string&)>& aRead);
-  Result<int> Help(const Words& aWords);
+  Result<int> Help(const Words& aArguments);
 
   Result<int> Change(const Json::Value& aConfig,
                      int64_t aRevision,
--- a/src/ctl/CtlEntries.cpp
+++ b/src/ctl/CtlEntries.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-struct Noun
+struct EntryKind
 {
   const char* mOne;
   const char* mSection;
   std::vector<std::string> mColumns;
 };
 
-const Noun*
-NounOf(const std::string& aWord)
+const EntryKind*
+EntryKindOf(const std::string& aWord)
 {
-  static const Noun sNouns[] = {
+  static const EntryKind sNouns[] = {
     { "profile",
       "profiles",
       { "name",
@@ -43,7 +43,7 @@
         "checks_fencing" } },
     { "model", "models", { "name", "version", "base", "bytes" } },
   };
-  for (const Noun& noun : sNouns) {
+  for (const EntryKind& noun : sNouns) {
     if (aWord == noun.mOne || aWord == noun.mSection) {
       return &noun;
     }
@@ -52,7 +52,7 @@
 }
 
 leaf::error_id
-BadNoun(const std::string& aWord)
+UnknownEntryKind(const std::string& aWord)
 {
   return Fail(ErrorKind::BadRequest,
               aWord + ": expected profile, tenant, endpoint or model");
@@ -98,11 +98,11 @@
 } // namespace
 
 Result<int>
-Ctl::List(const Words& aWords)
+Ctl::List(const Words& aArguments)
 {
-  const Noun* noun = NounOf(aWords[0]);
+  const EntryKind* noun = EntryKindOf(aArguments[0]);
   if (!noun) {
-    return BadNoun(aWords[0]);
+    return UnknownEntryKind(aArguments[0]);
   }
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   const Json::Value& section = json["config"][noun->mSection];
@@ -111,16 +111,17 @@
 }
 
 Result<int>
-Ctl::Show(const Words& aWords)
+Ctl::Show(const Words& aArguments)
 {
-  const Noun* noun = NounOf(aWords[0]);
+  const EntryKind* noun = EntryKindOf(aArguments[0]);
   if (!noun) {
-    return BadNoun(aWords[0]);
+    return UnknownEntryKind(aArguments[0]);
   }
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
-  Json::Value* entry = Find(json["config"][noun->mSection], "name", aWords[1]);
+  Json::Value* entry =
+    Find(json["config"][noun->mSection], "name", aArguments[1]);
   if (!entry) {
-    return Fail(ErrorKind::NotFound, aWords[0] + " " + aWords[1]);
+    return Fail(ErrorKind::NotFound, aArguments[0] + " " + aArguments[1]);
   }
   if (mOptions.mJson) {
     std::printf("%s\n", JsonWrite(*entry).c_str());
@@ -134,50 +135,52 @@
 }
 
 Result<int>
-Ctl::Set(const Words& aWords)
+Ctl::Set(const Words& aArguments)
 {
-  const Noun* noun = NounOf(aWords[0]);
+  const EntryKind* noun = EntryKindOf(aArguments[0]);
   if (!noun) {
-    return BadNoun(aWords[0]);
+    return UnknownEntryKind(aArguments[0]);
   }
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   Json::Value& section = json["config"][noun->mSection];
-  Json::Value* entry = Find(section, "name", aWords[1]);
+  Json::Value* entry = Find(section, "name", aArguments[1]);
   bool made = entry == nullptr;
   if (made) {
     Json::Value fresh;
-    fresh["name"] = aWords[1];
+    fresh["name"] = aArguments[1];
     entry = &section.append(fresh);
   }
-  for (size_t i = 2; i < aWords.size(); ++i) {
-    size_t split = aWords[i].find('=');
+  for (size_t i = 2; i < aArguments.size(); ++i) {
+    size_t split = aArguments[i].find('=');
     if (split == std::string::npos) {
-      return Fail(ErrorKind::BadRequest, aWords[i] + ": expected FIELD=VALUE");
+      return Fail(ErrorKind::BadRequest,
+                  aArguments[i] + ": expected FIELD=VALUE");
     }
-    (*entry)[aWords[i].substr(0, split)] = ValueOf(aWords[i].substr(split + 1));
+    (*entry)[aArguments[i].substr(0, split)] =
+      ValueOf(aArguments[i].substr(split + 1));
   }
   return Change(json["config"],
                 json["revision"].asInt64(),
                 std::string(made ? "made " : "changed ") + noun->mOne + " " +
-                  aWords[1]);
+                  aArguments[1]);
 }
 
 Result<int>
-Ctl::Remove(const Words& aWords)
+Ctl::Remove(const Words& aArguments)
 {
-  const Noun* noun = NounOf(aWords[0]);
+  const EntryKind* noun = EntryKindOf(aArguments[0]);
   if (!noun) {
-    return BadNoun(aWords[0]);
+    return UnknownEntryKind(aArguments[0]);
   }
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   Json::Value& section = json["config"][noun->mSection];
-  if (!Find(section, "name", aWords[1])) {
-    return Fail(ErrorKind::NotFound, aWords[0] + " " + aWords[1]);
+  if (!Find(section, "name", aArguments[1])) {
+    return Fail(ErrorKind::NotFound, aArguments[0] + " " + aArguments[1]);
   }
-  Without(section, "name", aWords[1]);
+  Without(section, "name", aArguments[1]);
   return Change(json["config"],
                 json["revision"].asInt64(),
-                std::string("removed ") + noun->mOne + " " + aWords[1]);
+                std::string("removed ") + noun->mOne + " " + aArguments[1]);
 }
 
 Result<int>
@@ -191,21 +194,21 @@
 
 // Made here and sent only as a digest: the key is nowhere but on this screen.
 Result<int>
-Ctl::Grant(const Words& aWords)
+Ctl::Grant(const Words& aArguments)
 {
   constexpr size_t kIdDigits = 10;
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   std::string key = RandomKey();
   Json::Value entry;
   entry["id"] = "key-" + RandomId().substr(0, kIdDigits);
-  entry["tenant"] = aWords[0];
+  entry["tenant"] = aArguments[0];
   entry["digest"] = DigestHex(key);
   json["config"]["keys"].append(entry);
   BOOST_LEAF_AUTO(
     code,
     Change(json["config"],
            json["revision"].asInt64(),
-           "granted " + entry["id"].asString() + " to " + aWords[0]));
+           "granted " + entry["id"].asString() + " to " + aArguments[0]));
   if (mOptions.mJson) {
     Json::Value shown;
     shown["id"] = entry["id"];
@@ -219,16 +222,16 @@
 }
 
 Result<int>
-Ctl::Withdraw(const Words& aWords)
+Ctl::Withdraw(const Words& aArguments)
 {
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   Json::Value& keys = json["config"]["keys"];
-  if (!Find(keys, "id", aWords[0])) {
-    return Fail(ErrorKind::NotFound, "key " + aWords[0]);
+  if (!Find(keys, "id", aArguments[0])) {
+    return Fail(ErrorKind::NotFound, "key " + aArguments[0]);
   }
-  Without(keys, "id", aWords[0]);
+  Without(keys, "id", aArguments[0]);
   return Change(
-    json["config"], json["revision"].asInt64(), "withdrew " + aWords[0]);
+    json["config"], json["revision"].asInt64(), "withdrew " + aArguments[0]);
 }
 
 } // namespace caraway
--- a/src/ctl/CtlFiles.cpp
+++ b/src/ctl/CtlFiles.cpp
@@ -10,25 +10,25 @@
 namespace caraway {
 
 Result<int>
-Ctl::Check(const Words& aWords)
+Ctl::Check(const Words& aArguments)
 {
-  BOOST_LEAF_AUTO(file, ConfigFile::Read(aWords[0]));
+  BOOST_LEAF_AUTO(file, ConfigFile::Read(aArguments[0]));
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   Json::Value body;
   body["config"] = ConfigMerge(json["config"], file.Sections());
   auto checked = Outcome([&] { return mClient.Post("/admin/v1/check", body); });
   if (auto* failure = std::get_if<Failure>(&checked)) {
-    failure->mDetail = file.PlaceOf(failure->mDetail) + failure->mDetail;
+    failure->mDetail = file.LocationOf(failure->mDetail) + failure->mDetail;
     return Fail(*failure);
   }
-  std::printf("%s: fine\n", aWords[0].c_str());
+  std::printf("%s: fine\n", aArguments[0].c_str());
   return CtlExit_Ok;
 }
 
 Result<int>
-Ctl::Diff(const Words& aWords)
+Ctl::Diff(const Words& aArguments)
 {
-  BOOST_LEAF_AUTO(file, ConfigFile::Read(aWords[0]));
+  BOOST_LEAF_AUTO(file, ConfigFile::Read(aArguments[0]));
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   Json::Value diff =
     ConfigDiff(json["config"], ConfigMerge(json["config"], file.Sections()));
@@ -41,17 +41,18 @@
 }
 
 Result<int>
-Ctl::Apply(const Words& aWords)
+Ctl::Apply(const Words& aArguments)
 {
-  BOOST_LEAF_AUTO(file, ConfigFile::Read(aWords[0]));
+  BOOST_LEAF_AUTO(file, ConfigFile::Read(aArguments[0]));
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   Json::Value merged = ConfigMerge(json["config"], file.Sections());
   auto changed = Outcome([&] {
-    return Change(merged, json["revision"].asInt64(), "applied " + aWords[0]);
+    return Change(
+      merged, json["revision"].asInt64(), "applied " + aArguments[0]);
   });
   if (auto* failure = std::get_if<Failure>(&changed)) {
     if (failure->mKind == ErrorKind::ConfigInvalid) {
-      failure->mDetail = file.PlaceOf(failure->mDetail) + failure->mDetail;
+      failure->mDetail = file.LocationOf(failure->mDetail) + failure->mDetail;
     }
     return Fail(*failure);
   }
@@ -72,15 +73,15 @@
 }
 
 Result<int>
-Ctl::Rollback(const Words& aWords)
+Ctl::Rollback(const Words& aArguments)
 {
-  BOOST_LEAF_AUTO(old, mClient.Get("/admin/v1/revisions/" + aWords[0]));
+  BOOST_LEAF_AUTO(old, mClient.Get("/admin/v1/revisions/" + aArguments[0]));
   BOOST_LEAF_AUTO(json, mClient.Get("/admin/v1/config"));
   // Keys stay: a rollback must not bring a withdrawn key back.
   Json::Value config = old["config"];
   config["keys"] = json["config"]["keys"];
   return Change(
-    config, json["revision"].asInt64(), "rolled back to " + aWords[0]);
+    config, json["revision"].asInt64(), "rolled back to " + aArguments[0]);
 }
 
 Result<int>
--- a/src/ctl/LossReport.cpp
+++ b/src/ctl/LossReport.cpp
@@ -17,7 +17,7 @@
 constexpr int kFirstFailure = 400;
 
 // A second in which so much of a tenant's rate was refused is counted.
-constexpr double kHotShare = 0.2;
+constexpr double kMinRefusedShare = 0.2;
 
 std::string
 TextOf(const Json::Value& aLine, const char* aName)
@@ -84,7 +84,7 @@
 }
 
 int64_t
-LossReport::SecondOf(int64_t aAt) const
+LossReport::RelativeSecond(int64_t aAt) const
 {
   return std::max<int64_t>(0, aAt - mFirst) / kSecondMs;
 }
@@ -96,7 +96,7 @@
   text << "second,cause,route,tenant,count\n";
   for (const auto& [key, count] : mLost) {
     const auto& [window, cause, route, tenant] = key;
-    text << SecondOf(window) << ",\"" << cause << "\"," << route << ","
+    text << RelativeSecond(window) << ",\"" << cause << "\"," << route << ","
          << tenant << "," << count << "\n";
   }
   return text.str();
@@ -112,7 +112,7 @@
     double sent = 0;
     double asked = 0;
     for (const auto& [second, refused] : spending.mRefused) {
-      if (spending.mRate <= 0 || refused <= kHotShare * spending.mRate) {
+      if (spending.mRate <= 0 || refused <= kMinRefusedShare * spending.mRate) {
         continue;
       }
       auto found = spending.mSent.find(second);
@@ -141,7 +141,7 @@
     const auto& [window, cause, route, tenant] = key;
     auto& [total, moments] = causes[{ cause, route, tenant }];
     total += count;
-    moments[SecondOf(window)] += count;
+    moments[RelativeSecond(window)] += count;
   }
   std::vector<std::pair<size_t, Cause>> ranked;
   for (const auto& [cause, counts] : causes) {
--- a/src/ctl/LossReport.h
+++ b/src/ctl/LossReport.h
@@ -41,7 +41,7 @@
     double mRate = 0;                   // tokens a second
   };
   void ReadLine(const std::string& aLine);
-  int64_t SecondOf(int64_t aAt) const;
+  int64_t RelativeSecond(int64_t aAt) const;
   std::string Tenants() const;
 
   std::map<Key, size_t> mLost;
--- a/src/ctl/RequestTrace.cpp
+++ b/src/ctl/RequestTrace.cpp
@@ -17,16 +17,16 @@
 constexpr int64_t kAfterMs = 1500;
 
 // Lines of others about the request's model, servers or tenant.
-const std::set<std::string> kAboutModel = { "place_decided",
-                                            "place_ended",
-                                            "place_none",
-                                            "order_unanswered" };
-const std::set<std::string> kAboutServer = { "server_listed",
-                                             "server_gone",
-                                             "server_missing",
-                                             "content_corrected",
-                                             "server_broke" };
-const std::set<std::string> kAboutBelief = { "lease_taken",     "lease_ended",
+const std::set<std::string> kModelEvents = { "place_decided",
+                                             "place_ended",
+                                             "place_none",
+                                             "order_unanswered" };
+const std::set<std::string> kServerEvents = { "server_listed",
+                                              "server_gone",
+                                              "server_missing",
+                                              "content_corrected",
+                                              "server_broke" };
+const std::set<std::string> kStateEvents = { "lease_taken",     "lease_ended",
                                              "store_lost",      "store_reached",
                                              "config_in_force", "leaving" };
 
@@ -113,8 +113,8 @@
 }
 
 bool
-RequestTrace::Bears(const TraceLine& aLine,
-                    const std::vector<TraceLine>& aOwn) const
+RequestTrace::IsRelated(const TraceLine& aLine,
+                        const std::vector<TraceLine>& aOwn) const
 {
   bool near =
     std::any_of(aOwn.begin(), aOwn.end(), [&aLine](const TraceLine& aRequest) {
@@ -125,17 +125,17 @@
   if (!near || aLine.mOwn) {
     return false;
   }
-  if (kAboutModel.count(event)) {
+  if (kModelEvents.count(event)) {
     return ValuesOf(aOwn, "model").count(TextOf(aLine.mLine, "model")) > 0;
   }
-  if (kAboutServer.count(event)) {
+  if (kServerEvents.count(event)) {
     return ValuesOf(aOwn, "server").count(TextOf(aLine.mLine, "server")) > 0;
   }
   if (event == "tokens_refused") {
     return ValuesOf(aOwn, "tenant").count(TextOf(aLine.mLine, "tenant")) > 0 &&
            aLine.mInstance == aOwn.front().mInstance;
   }
-  return kAboutBelief.count(event) > 0;
+  return kStateEvents.count(event) > 0;
 }
 
 std::vector<TraceLine>
@@ -152,7 +152,7 @@
     });
   std::map<std::string, std::vector<TraceLine>> others;
   for (const TraceLine& line : mAll) {
-    if (!own.empty() && Bears(line, own)) {
+    if (!own.empty() && IsRelated(line, own)) {
       others[line.mInstance].push_back(line);
     }
   }
--- a/src/ctl/RequestTrace.h
+++ b/src/ctl/RequestTrace.h
@@ -33,7 +33,8 @@
   std::string Text() const;
 
 private:
-  bool Bears(const TraceLine& aLine, const std::vector<TraceLine>& aOwn) const;
+  bool IsRelated(const TraceLine& aLine,
+                 const std::vector<TraceLine>& aOwn) const;
 
   std::string mId;
   std::vector<TraceLine> mAll;
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -46,10 +46,10 @@
 } // namespace
 
 int
-main(int aCount, char** aWords)
+main(int aCount, char** aArguments)
 {
   gflags::SetUsageMessage(caraway::Ctl::Usage());
-  gflags::ParseCommandLineFlags(&aCount, &aWords, true);
+  gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   if (FLAGS_output != "json" && FLAGS_output != "table") {
     std::fprintf(stderr, "carawayctl: --output is table or json\n");
     return caraway::CtlExit_Usage;
@@ -61,7 +61,7 @@
   options.mCsv = FLAGS_csv;
   options.mExpect = FLAGS_expect;
   options.mNote = FLAGS_note;
-  caraway::Ctl::Words words(aWords + 1, aWords + aCount);
+  caraway::Ctl::Words words(aArguments + 1, aArguments + aCount);
   const std::set<std::string> offline = {
     "help", "admin-key", "explain", "losses"
   };
--- a/src/daemon/ConfigWatcher.cpp
+++ b/src/daemon/ConfigWatcher.cpp
@@ -9,7 +9,7 @@
 
 constexpr Millis kStep{ 100 };
 constexpr Millis kFirstPause{ 200 };
-constexpr Millis kMostPause{ 2000 };
+constexpr Millis kMaxPause{ 2000 };
 constexpr Millis kFetchTime{ 3000 };
 
 } // namespace
@@ -72,16 +72,17 @@
     for (Millis slept(0); slept < pause && !mStopping; slept += kStep) {
       std::this_thread::sleep_for(kStep);
     }
-    pause = std::min(pause * 2, kMostPause);
+    pause = std::min(pause * 2, kMaxPause);
   }
 }
 
 void
-ConfigWatcher::PeerSaid(const std::string& aAddress,
-                        const ConfigFreshness& aFresh,
-                        TimePoint aAsked)
+ConfigWatcher::OnPeerFreshness(const std::string& aAddress,
+                               const ConfigFreshness& aFresh,
+                               TimePoint aAsked)
 {
-  mFollower.PeerSaid(aFresh, aAsked, [&] { return FetchFromPeer(aAddress); });
+  mFollower.OnPeerFreshness(
+    aFresh, aAsked, [&] { return FetchFromPeer(aAddress); });
 }
 
 std::optional<ConfigSnapshot>
--- a/src/daemon/ConfigWatcher.h
+++ b/src/daemon/ConfigWatcher.h
@@ -30,9 +30,9 @@
   void Start();
   void Stop();
   // What a peer answered to a beat that we began at aAsked.
-  void PeerSaid(const std::string& aAddress,
-                const ConfigFreshness& aFresh,
-                TimePoint aAsked);
+  void OnPeerFreshness(const std::string& aAddress,
+                       const ConfigFreshness& aFresh,
+                       TimePoint aAsked);
   // Reads the index now, after a change accepted here.
   void Refresh();
 
--- a/src/daemon/Heartbeat.cpp
+++ b/src/daemon/Heartbeat.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr Millis kBeatTime{ 700 };
-constexpr Millis kListEvery{ 3000 };
-constexpr int kFarEvery = 4; // rounds
+constexpr Millis kHeartbeatTimeout{ 700 };
+constexpr Millis kListInterval{ 3000 };
+constexpr int kOtherZoneEveryRounds = 4; // rounds
 // All of a small fleet. In a large one the rest learn of us from the list.
-constexpr size_t kGreetings = 16;
+constexpr size_t kMaxGreetings = 16;
 
 } // namespace
 
@@ -63,15 +63,15 @@
 Heartbeat::Beat(const std::string& aAddress)
 {
   TimePoint asked = mClock.Now();
-  auto answer =
-    Outcome([&] { return mPeers.Call(aAddress, "beat", Self(), kBeatTime); });
+  auto answer = Outcome(
+    [&] { return mPeers.Call(aAddress, "beat", Self(), kHeartbeatTimeout); });
   auto* json = std::get_if<Json::Value>(&answer);
   if (!json) {
     mMembers.Silent(aAddress);
     return false;
   }
   Heard(*json);
-  mWatcher.PeerSaid(
+  mWatcher.OnPeerFreshness(
     aAddress,
     { (*json)["revision"].asInt64(), Millis((*json)["age"].asInt64()) },
     asked);
@@ -82,24 +82,24 @@
 Heartbeat::ReadList()
 {
   TimePoint now = mClock.Now();
-  if (mListRead != TimePoint{} && now - mListRead < kListEvery) {
+  if (mListRead != TimePoint{} && now - mListRead < kListInterval) {
     return;
   }
   mListRead = now;
   auto list = Outcome([&] { return mPlatform.Instances(); });
   if (auto* found = std::get_if<std::vector<InstanceInfo>>(&list)) {
-    mMembers.TakeList(*found);
+    mMembers.UpdateFromList(*found);
   }
 }
 
 void
-Heartbeat::Greet()
+Heartbeat::GreetNewPeers()
 {
-  std::vector<std::string> strangers = mMembers.Strangers();
+  std::vector<std::string> strangers = mMembers.UncontactedPeers();
   std::shuffle(strangers.begin(), strangers.end(), mRandom);
   for (const std::string& stranger : strangers) {
     // One that is silent costs the round its time; the next round goes on.
-    if (mGreeted == kGreetings || !Beat(stranger)) {
+    if (mGreeted == kMaxGreetings || !Beat(stranger)) {
       return;
     }
     ++mGreeted;
@@ -110,7 +110,7 @@
 Heartbeat::Round()
 {
   ReadList();
-  Greet();
+  GreetNewPeers();
   std::vector<std::string> near;
   std::vector<std::string> far;
   for (const InstanceInfo& peer : mMembers.Others()) {
@@ -122,7 +122,8 @@
   }
   ++mRounds;
   for (auto* peers : { &near, &far }) {
-    bool due = peers == &near || mRounds % kFarEvery == 0 || near.empty();
+    bool due =
+      peers == &near || mRounds % kOtherZoneEveryRounds == 0 || near.empty();
     if (!peers->empty() && due) {
       std::uniform_int_distribution<size_t> any(0, peers->size() - 1);
       Beat((*peers)[any(mRandom)]);
@@ -131,11 +132,12 @@
 }
 
 void
-Heartbeat::SayLeaving()
+Heartbeat::AnnounceLeaving()
 {
-  for (const InstanceInfo& peer : mMembers.Fit(mMembers.Self().mZone)) {
+  for (const InstanceInfo& peer :
+       mMembers.AvailablePeersIn(mMembers.Self().mZone)) {
     Outcome([&] {
-      return mPeers.Call(peer.mPeerAddress, "beat", Self(), kBeatTime);
+      return mPeers.Call(peer.mPeerAddress, "beat", Self(), kHeartbeatTimeout);
     });
   }
 }
--- a/src/daemon/Heartbeat.h
+++ b/src/daemon/Heartbeat.h
@@ -32,13 +32,13 @@
 
   void Round();
   // Tells all fit instances of the zone that we leave.
-  void SayLeaving();
+  void AnnounceLeaving();
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
 
 private:
   void ReadList();
-  void Greet();
+  void GreetNewPeers();
   bool Beat(const std::string& aAddress);
   Json::Value Self() const;
   void Heard(const Json::Value& aJson);
--- a/src/daemon/Instance.cpp
+++ b/src/daemon/Instance.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-constexpr Millis kBeatEvery{ 500 };
-constexpr Millis kSweepEvery{ 250 };
-constexpr Millis kKeepEvery{ 1000 };
-constexpr Millis kFleetTime{ 700 };
+constexpr Millis kHeartbeatInterval{ 500 };
+constexpr Millis kSweepInterval{ 250 };
+constexpr Millis kReconcileInterval{ 1000 };
+constexpr Millis kFleetStatusTimeout{ 700 };
 constexpr Millis kDrainStep{ 20 };
-constexpr Millis kLastAnswers{ 200 }; // all of them
-constexpr Millis kClosing{ 200 };     // of a port
+constexpr Millis kLastAnswers{ 200 };      // all of them
+constexpr Millis kPortCloseTimeout{ 200 }; // of a port
 // Loads mostly wait: for the engine, or for their turn at the store. An
 // urgent one must not wait for a thread behind those.
 constexpr int kLoadThreads = 32;
 constexpr int kClaimThreads = 4;
 constexpr int kBriefingThreads = 4;
-constexpr Millis kBriefEvery{ 1000 };
+constexpr Millis kBriefingInterval{ 1000 };
 constexpr int kPeerThreads = 512;
 
 PlatformClientSettings
@@ -178,7 +178,7 @@
     mBriefings, *mModels, *mMembers, mConfig, mBriefingWorkers, mClock);
   mCallers->Open();
   mAdmin = std::make_unique<AdminPort>(
-    mSettings.mAdminListen, AdminUsers(mSettings), AdminParts());
+    mSettings.mAdminListen, AdminUsers(mSettings), AdminDependencies());
   mAdmin->Open();
   mWatcher->Start();
   StartTickers();
@@ -206,10 +206,10 @@
   auto every = [this](Millis aEvery, std::function<void()> aRound) {
     mTickers.push_back(std::make_unique<Ticker>(aEvery, std::move(aRound)));
   };
-  every(kBeatEvery, [this] { mHeartbeat->Round(); });
-  every(kSweepEvery, [this] { mOwner.Sweep(); });
-  every(kKeepEvery, [this] { mKeeper->Round(); });
-  every(kBriefEvery, [this] {
+  every(kHeartbeatInterval, [this] { mHeartbeat->Round(); });
+  every(kSweepInterval, [this] { mOwner.Sweep(); });
+  every(kReconcileInterval, [this] { mKeeper->Round(); });
+  every(kBriefingInterval, [this] {
     if (Ready()) {
       mBriefingRunner->Round();
     }
@@ -217,9 +217,9 @@
   // Three tries within a lease. Until there is a configuration, and so
   // anything to share, look more often.
   Millis renew = mSettings.mShareLease / 3;
-  every(kBeatEvery, [this, renew, last = TimePoint{}]() mutable {
+  every(kHeartbeatInterval, [this, renew, last = TimePoint{}]() mutable {
     TimePoint now = mClock.Now();
-    bool due = mPoked.exchange(false) || last == TimePoint{} ||
+    bool due = mWoken.exchange(false) || last == TimePoint{} ||
                now - last >= renew ||
                mShares->Table().mMembers.count(mIncarnation) == 0;
     if (due && mConfig.Current()->mRevision > 0) {
@@ -229,8 +229,8 @@
   });
   Ticker& shares = *mTickers.back();
   mShares->OnSlotsReceived([this, &shares] {
-    mPoked = true;
-    shares.Poke();
+    mWoken = true;
+    shares.TriggerNow();
   });
 }
 
@@ -256,7 +256,7 @@
 }
 
 AdminPort::Parts
-Instance::AdminParts()
+Instance::AdminDependencies()
 {
   AdminPort::Parts parts;
   parts.mConfig = &mConfig;
@@ -266,7 +266,7 @@
   parts.mReady = [this] { return Ready(); };
   parts.mStatus = [this] { return Status(); };
   parts.mFleet = [this] { return Fleet(); };
-  parts.mMoreMetrics = [this] { return MoreMetrics(); };
+  parts.mExtraMetrics = [this] { return ExtraMetrics(); };
   parts.mChanged = [this] { mWatcher->Refresh(); };
   return parts;
 }
@@ -286,7 +286,7 @@
   json["models_busy"] = Json::UInt64(mOwner.Busy());
   json["share_slots"] = mShares->SlotsHeld();
   json["share_settled"] = mShares->Settled();
-  json["fit_instances"] = mMembers->FitCount();
+  json["fit_instances"] = mMembers->AvailableCount();
   return json;
 }
 
@@ -300,7 +300,7 @@
       return mPeers.Call(peer.mPeerAddress,
                          "status",
                          Json::Value(Json::objectValue),
-                         kFleetTime);
+                         kFleetStatusTimeout);
     });
     if (auto* status = std::get_if<Json::Value>(&answer)) {
       json["instances"].append(*status);
@@ -316,7 +316,7 @@
 }
 
 std::string
-Instance::MoreMetrics() const
+Instance::ExtraMetrics() const
 {
   std::ostringstream out;
   const PlatformCounts& platform = mPlatform.Counts();
@@ -367,9 +367,9 @@
   times.mGrace = mSettings.mShutdownLag + mSettings.mShutdownLimit;
   mLeave.Begin(times);
   mCallers->Leave();
-  mMembers->LeaveSelf();
+  mMembers->MarkSelfLeaving();
   // Peers that don't answer hold nothing up; it ends with the process.
-  std::thread([this] { mHeartbeat->SayLeaving(); }).detach();
+  std::thread([this] { mHeartbeat->AnnounceLeaving(); }).detach();
   // The balancer goes on sending until it has seen that we aren't ready.
   std::this_thread::sleep_until(told + mSettings.mShutdownLag);
   mCallers->Drain();
@@ -384,11 +384,11 @@
     std::this_thread::sleep_for(kDrainStep);
   }
   int cut = mCallers->GiveUp(mClock.Now() + kLastAnswers);
-  mCallers->Close(kClosing);
+  mCallers->Close(kPortCloseTimeout);
   mTickers.clear();
   mShares->Leave();
-  mAdmin->Close(kClosing);
-  mPeerPort.Close(kClosing);
+  mAdmin->Close(kPortCloseTimeout);
+  mPeerPort.Close(kPortCloseTimeout);
   LogInfo("left", { { "cut", std::to_string(cut) } });
   return cut;
 }
--- a/src/daemon/Instance.h
+++ b/src/daemon/Instance.h
@@ -43,10 +43,10 @@
   void AddPeerMethods();
   void StartTickers();
   bool Busy() const;
-  AdminPort::Parts AdminParts();
+  AdminPort::Parts AdminDependencies();
   Json::Value Status() const;
   Json::Value Fleet();
-  std::string MoreMetrics() const;
+  std::string ExtraMetrics() const;
   bool Ready() const;
 
   Settings mSettings;
@@ -85,7 +85,7 @@
   std::unique_ptr<CallerPort> mCallers;
   std::unique_ptr<AdminPort> mAdmin;
   std::vector<std::unique_ptr<Ticker>> mTickers;
-  std::atomic<bool> mPoked{ false }; // slots were handed to us
+  std::atomic<bool> mWoken{ false }; // slots were handed to us
 };
 
 } // namespace caraway
--- a/src/daemon/Settings.cpp
+++ b/src/daemon/Settings.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "daemon/TomlFields.h"
+#include "daemon/TomlTableReader.h"
 
 namespace caraway {
 
@@ -13,7 +13,7 @@
 constexpr size_t kDigestDigits = 64;
 
 void
-ReadNear(TomlFields& aFields, Settings& aOut)
+ReadNear(TomlTableReader& aFields, Settings& aOut)
 {
   const toml::node* node = aFields.Node("near", false);
   if (!node) {
@@ -26,17 +26,17 @@
     return std::find(aZones.begin(), aZones.end(), aZone) != aZones.end();
   };
   if (!in(aOut.mNear, aOut.mZone)) {
-    aFields.Complain(node, "near", "expected our own zone among them");
+    aFields.AddError(node, "near", "expected our own zone among them");
   }
   for (const std::string& zone : aOut.mNear) {
     if (!in(aOut.mZones, zone)) {
-      aFields.Complain(node, "near", zone + " isn't one of zones");
+      aFields.AddError(node, "near", zone + " isn't one of zones");
     }
   }
 }
 
 void
-ReadInstance(TomlFields aFields, Settings& aOut)
+ReadInstance(TomlTableReader aFields, Settings& aOut)
 {
   aFields.Text("id", aOut.mId, true);
   aFields.Text("zone", aOut.mZone, true);
@@ -44,13 +44,13 @@
   bool among = std::find(aOut.mZones.begin(), aOut.mZones.end(), aOut.mZone) !=
                aOut.mZones.end();
   if (!aOut.mZones.empty() && !among) {
-    aFields.Complain(aFields.Node("zone", false), "zone", "isn't one of zones");
+    aFields.AddError(aFields.Node("zone", false), "zone", "isn't one of zones");
   }
   ReadNear(aFields, aOut);
 }
 
 void
-ReadCaller(TomlFields aFields, Settings& aOut)
+ReadCaller(TomlTableReader aFields, Settings& aOut)
 {
   int64_t connections = aOut.mCallerConnections;
   aFields.Address("listen", aOut.mCallerListen, true);
@@ -60,13 +60,13 @@
 }
 
 void
-ReadAdmin(TomlFields aFields, Settings& aOut)
+ReadAdmin(TomlTableReader aFields, Settings& aOut)
 {
   aFields.Address("listen", aOut.mAdminListen, true);
   const toml::node* node = aFields.Node("keys", true);
   const toml::table* keys = node ? node->as_table() : nullptr;
   if (node && (!keys || keys->empty())) {
-    aFields.Complain(node, "keys", "expected NAME = \"DIGEST\" entries");
+    aFields.AddError(node, "keys", "expected NAME = \"DIGEST\" entries");
   }
   if (!keys) {
     return;
@@ -74,7 +74,7 @@
   for (const auto& entry : *keys) {
     auto digest = entry.second.value_exact<std::string>();
     if (!digest || digest->size() != kDigestDigits) {
-      aFields.Complain(&entry.second,
+      aFields.AddError(&entry.second,
                        "keys",
                        "expected a SHA-256 in hex (carawayctl admin-key "
                        "makes one)");
@@ -85,7 +85,7 @@
 }
 
 void
-ReadPeer(TomlFields aFields, Settings& aOut)
+ReadPeer(TomlTableReader aFields, Settings& aOut)
 {
   aFields.Address("listen", aOut.mPeerListen, true);
   aFields.Address("advertise", aOut.mPeerAdvertise);
@@ -93,50 +93,51 @@
   aFields.Texts("seeds", aOut.mPeerSeeds, false);
   constexpr size_t kLeastSecret = 16;
   if (!aOut.mPeerSecret.empty() && aOut.mPeerSecret.size() < kLeastSecret) {
-    aFields.Complain(aFields.Node("secret", false),
+    aFields.AddError(aFields.Node("secret", false),
                      "secret",
                      "expected 16 characters or more");
   }
 }
 
 void
-ReadRest(const toml::table& aRoot, Settings& aOut, TomlTrouble& aTrouble)
+ReadRest(const toml::table& aRoot, Settings& aOut, TomlErrors& aTomlErrors)
 {
   {
-    TomlFields fields(aRoot["platform"].as_table(), "platform", aTrouble);
+    TomlTableReader fields(
+      aRoot["platform"].as_table(), "platform", aTomlErrors);
     fields.Address("address", aOut.mPlatformAddress, true);
     fields.Time("timeout_ms", aOut.mPlatformTimeout);
     fields.Number("calls_per_second", aOut.mPlatformCallsPerSecond, 1);
   }
   {
-    TomlFields fields(aRoot["keys"].as_table(), "keys", aTrouble);
+    TomlTableReader fields(aRoot["keys"].as_table(), "keys", aTomlErrors);
     fields.Time("max_age_s", aOut.mKeysMaxAge);
   }
   {
-    TomlFields fields(aRoot["shares"].as_table(), "shares", aTrouble);
+    TomlTableReader fields(aRoot["shares"].as_table(), "shares", aTomlErrors);
     fields.Time("lease_ms", aOut.mShareLease);
     fields.Time("margin_ms", aOut.mShareMargin);
     fields.Time("isolation_limit_s", aOut.mShareIsolationLimit);
     fields.Time("grant_life_ms", aOut.mShareGrantLife);
   }
   {
-    TomlFields fields(aRoot["store"].as_table(), "store", aTrouble);
+    TomlTableReader fields(aRoot["store"].as_table(), "store", aTomlErrors);
     fields.Number("at_once", aOut.mStoreAtOnce, 1);
     fields.Number("starts_per_second", aOut.mStoreStartsPerSecond, 1);
     fields.Number("adapters_at_once", aOut.mStoreAdaptersAtOnce, 1);
   }
   {
-    TomlFields fields(aRoot["models"].as_table(), "models", aTrouble);
+    TomlTableReader fields(aRoot["models"].as_table(), "models", aTomlErrors);
     fields.Time("idle_limit_s", aOut.mModelIdleLimit);
     fields.Time("order_horizon_s", aOut.mModelOrderHorizon);
   }
-  TomlFields fields(aRoot["shutdown"].as_table(), "shutdown", aTrouble);
+  TomlTableReader fields(aRoot["shutdown"].as_table(), "shutdown", aTomlErrors);
   fields.Time("lag_ms", aOut.mShutdownLag);
   fields.Time("limit_s", aOut.mShutdownLimit);
 }
 
 void
-CheckTables(const toml::table& aRoot, TomlTrouble& aTrouble)
+CheckTables(const toml::table& aRoot, TomlErrors& aTomlErrors)
 {
   static const std::set<std::string> sTables = {
     "instance", "caller", "admin",  "peer",     "platform",
@@ -146,10 +147,11 @@
   for (const auto& entry : aRoot) {
     std::string name(entry.first.str());
     if (!sTables.count(name)) {
-      aTrouble.Say(
+      aTomlErrors.Say(
         entry.second.source().begin.line, name, "unknown table or field");
     } else if (!entry.second.is_table()) {
-      aTrouble.Say(entry.second.source().begin.line, name, "expected a table");
+      aTomlErrors.Say(
+        entry.second.source().begin.line, name, "expected a table");
     }
   }
 }
@@ -159,7 +161,7 @@
 Result<Settings>
 SettingsParse(const std::string& aText, const std::string& aFile)
 {
-  TomlTrouble trouble{ aFile, "" };
+  TomlErrors trouble{ aFile, "" };
   Settings settings;
   try {
     toml::table root = toml::parse(aText);
--- a/src/daemon/TomlFields.cpp
+++ b/src/daemon/TomlTableReader.cpp
@@ -1,45 +1,45 @@
-#include "daemon/TomlFields.h"
+#include "daemon/TomlTableReader.h"
 
 #include <Poco/Net/SocketAddress.h>
 
 namespace caraway {
 
 void
-TomlTrouble::Say(uint32_t aLine,
-                 const std::string& aField,
-                 const std::string& aWhat)
+TomlErrors::Say(uint32_t aLine,
+                const std::string& aField,
+                const std::string& aWhat)
 {
   if (mText.empty()) {
     mText = mFile + ":" + std::to_string(aLine) + ": " + aField + ": " + aWhat;
   }
 }
 
-TomlFields::TomlFields(const toml::table* aTable,
-                       std::string aName,
-                       TomlTrouble& aTrouble)
+TomlTableReader::TomlTableReader(const toml::table* aTable,
+                                 std::string aName,
+                                 TomlErrors& aTomlErrors)
   : mTable(aTable)
   , mName(std::move(aName))
-  , mTrouble(aTrouble)
+  , mTrouble(aTomlErrors)
 {
 }
 
-TomlFields::~TomlFields()
+TomlTableReader::~TomlTableReader()
 {
   if (!mTable) {
     return;
   }
   for (const auto& entry : *mTable) {
     std::string field(entry.first.str());
-    if (!mKnown.count(field)) {
-      Complain(&entry.second, field.c_str(), "unknown field");
+    if (!mKnownFields.count(field)) {
+      AddError(&entry.second, field.c_str(), "unknown field");
     }
   }
 }
 
 void
-TomlFields::Complain(const toml::node* aNode,
-                     const char* aField,
-                     const std::string& aWhat)
+TomlTableReader::AddError(const toml::node* aNode,
+                          const char* aField,
+                          const std::string& aWhat)
 {
   uint32_t line = 1;
   if (aNode) {
@@ -51,18 +51,18 @@
 }
 
 const toml::node*
-TomlFields::Node(const char* aField, bool aRequired)
+TomlTableReader::Node(const char* aField, bool aRequired)
 {
-  mKnown.insert(aField);
+  mKnownFields.insert(aField);
   const toml::node* node = mTable ? mTable->get(aField) : nullptr;
   if (!node && aRequired) {
-    Complain(nullptr, aField, "is missing");
+    AddError(nullptr, aField, "is missing");
   }
   return node;
 }
 
 void
-TomlFields::Text(const char* aField, std::string& aOut, bool aRequired)
+TomlTableReader::Text(const char* aField, std::string& aOut, bool aRequired)
 {
   const toml::node* node = Node(aField, aRequired);
   if (!node) {
@@ -70,14 +70,14 @@
   }
   auto text = node->value_exact<std::string>();
   if (!text || text->empty()) {
-    Complain(node, aField, "expected a text in quotes");
+    AddError(node, aField, "expected a text in quotes");
     return;
   }
   aOut = *text;
 }
 
 void
-TomlFields::Address(const char* aField, std::string& aOut, bool aRequired)
+TomlTableReader::Address(const char* aField, std::string& aOut, bool aRequired)
 {
   Text(aField, aOut, aRequired);
   if (aOut.empty()) {
@@ -86,14 +86,14 @@
   try {
     Poco::Net::SocketAddress address(aOut);
   } catch (const std::exception&) {
-    Complain(Node(aField, false), aField, "expected ip:port in quotes");
+    AddError(Node(aField, false), aField, "expected ip:port in quotes");
   }
 }
 
 void
-TomlFields::Texts(const char* aField,
-                  std::vector<std::string>& aOut,
-                  bool aRequired)
+TomlTableReader::Texts(const char* aField,
+                       std::vector<std::string>& aOut,
+                       bool aRequired)
 {
   const toml::node* node = Node(aField, aRequired);
   if (!node) {
@@ -101,13 +101,13 @@
   }
   const toml::array* array = node->as_array();
   if (!array || (aRequired && array->empty())) {
-    Complain(node, aField, "expected a list of texts");
+    AddError(node, aField, "expected a list of texts");
     return;
   }
   for (const toml::node& entry : *array) {
     auto text = entry.value_exact<std::string>();
     if (!text) {
-      Complain(&entry, aField, "expected a list of texts");
+      AddError(&entry, aField, "expected a list of texts");
       return;
     }
     aOut.push_back(*text);
@@ -115,7 +115,7 @@
 }
 
 void
-TomlFields::Number(const char* aField, int64_t& aOut, int64_t aLeast)
+TomlTableReader::Number(const char* aField, int64_t& aOut, int64_t aLeast)
 {
   const toml::node* node = Node(aField, false);
   if (!node) {
@@ -123,7 +123,7 @@
   }
   auto number = node->value_exact<int64_t>();
   if (!number || *number < aLeast) {
-    Complain(node,
+    AddError(node,
              aField,
              "expected a whole number >= " + std::to_string(aLeast) +
                ", without a unit");
--- a/src/daemon/TomlFields.h
+++ b/src/daemon/TomlTableReader.h
@@ -1,6 +1,6 @@
-// TomlFields.h: reads one TOML table strictly.
-#ifndef caraway_daemon_TomlFields_h
-#define caraway_daemon_TomlFields_h
+// TomlTableReader.h: reads one TOML table strictly.
+#ifndef caraway_daemon_TomlTableReader_h
+#define caraway_daemon_TomlTableReader_h
 
 #include <set>
 #include <string>
@@ -12,7 +12,7 @@
 namespace caraway {
 
 // The first complaint, over all tables of a file.
-struct TomlTrouble
+struct TomlErrors
 {
   std::string mFile;
   std::string mText; // "" = none yet
@@ -20,15 +20,15 @@
   void Say(uint32_t aLine, const std::string& aField, const std::string& aWhat);
 };
 
-class TomlFields
+class TomlTableReader
 {
 public:
   // aTable may be null: a table that isn't there, with defaults for all.
-  TomlFields(const toml::table* aTable,
-             std::string aName,
-             TomlTrouble& aTrouble);
+  TomlTableReader(const toml::table* aTable,
+                  std::string aName,
+                  TomlErrors& aTomlErrors);
   // Complains of fields that nobody asked for.
-  ~TomlFields();
+  ~TomlTableReader();
 
   void Text(const char* aField, std::string& aOut, bool aRequired = false);
   void Address(const char* aField, std::string& aOut, bool aRequired = false);
@@ -44,15 +44,15 @@
     aOut = Duration(count);
   }
   const toml::node* Node(const char* aField, bool aRequired);
-  void Complain(const toml::node* aNode,
+  void AddError(const toml::node* aNode,
                 const char* aField,
                 const std::string& aWhat);
 
 private:
   const toml::table* mTable;
   std::string mName;
-  TomlTrouble& mTrouble;
-  std::set<std::string> mKnown;
+  TomlErrors& mTrouble;
+  std::set<std::string> mKnownFields;
 };
 
 } // namespace caraway
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -57,7 +57,7 @@
 } // namespace
 
 int
-main(int aCount, char** aWords)
+main(int aCount, char** aArguments)
 {
   gflags::SetUsageMessage(
     "serves requests for rarely used models.\n"
@@ -66,7 +66,7 @@
     "Prints its addresses as one JSON line once it serves. Exit codes: 0 ended "
     "by a signal with nothing cut, 1 requests were cut, 2 usage, 3 settings "
     "refused, 4 an address can't be bound.");
-  gflags::ParseCommandLineFlags(&aCount, &aWords, true);
+  gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   if (FLAGS_config.empty() || aCount > 1) {
     std::fprintf(stderr,
                  "carawayd: expected --config FILE.toml (see --help)\n");
--- a/src/decide/LeavePlan.cpp
+++ b/src/decide/LeavePlan.cpp
@@ -47,7 +47,7 @@
 }
 
 bool
-LeavePlan::MayGoOn(TimePoint aNow) const
+LeavePlan::MayContinue(TimePoint aNow) const
 {
   return aNow < mEnd;
 }
--- a/src/decide/LeavePlan.h
+++ b/src/decide/LeavePlan.h
@@ -32,7 +32,7 @@
   // when nothing is known.
   bool MayStart(TimePoint aStart, TimePoint aAnswerBy, Millis aUsual) const;
   // A stream that its caller has begun to read may go on elsewhere.
-  bool MayGoOn(TimePoint aNow) const;
+  bool MayContinue(TimePoint aNow) const;
   // All that is under way gets its last answer then; max() when not leaving.
   TimePoint End() const { return mEnd; }
 
--- a/src/entry/EntryDaemon.cpp
+++ b/src/entry/EntryDaemon.cpp
@@ -152,7 +152,7 @@
         static_cast<int64_t>(mFront.RequestsInFlight()));
   gauge("caraway_requests_waiting", static_cast<int64_t>(mFront.Waiting()));
   gauge("caraway_sockets", static_cast<int64_t>(mState.mReactor.Sockets()));
-  gauge("caraway_log_lines_left_out", mState.mLog.LeftOut());
+  gauge("caraway_log_lines_left_out", mState.mLog.DroppedLines());
   gauge("caraway_list_age_ms", mState.AgeOf(mFeed.ListConfirmedAt()).count());
   gauge("caraway_list_told_by_another", mFeed.Paused() ? 1 : 0);
   gauge("caraway_lease_held", mZoneLease.Holds() ? 1 : 0);
--- a/src/entry/Exchange.cpp
+++ b/src/entry/Exchange.cpp
@@ -276,7 +276,7 @@
     return true;
   }
   if (mStreaming) {
-    return mState.mLeave.MayGoOn(aStart);
+    return mState.mLeave.MayContinue(aStart);
   }
   return mState.mLeave.MayStart(aStart,
                                 mFinalAnswerBy + kLateAnswerMargin,
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -81,10 +81,10 @@
 } // namespace
 
 int
-main(int aCount, char** aWords)
+main(int aCount, char** aArguments)
 {
   gflags::SetUsageMessage("serves callers on the platform");
-  gflags::ParseCommandLineFlags(&aCount, &aWords, true);
+  gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   std::string path = SettingsPath();
   auto reading = caraway::wire::ReadSettingsFile(path);
   bool good = Tell(path, reading);
--- a/src/own/HomeZones.cpp
+++ b/src/own/HomeZones.cpp
@@ -29,7 +29,7 @@
 std::string
 HomeZones::Of(const std::string& aModel, const ConfigSnapshot& aConfig)
 {
-  std::set<std::string> answering = mMembers.AnsweringZones();
+  std::set<std::string> answering = mMembers.RespondingZones();
   std::vector<std::string> zones;
   for (const std::string& zone : mNear) {
     if (answering.count(zone) && HasEngines(zone, aConfig)) {
@@ -48,7 +48,7 @@
 void
 HomeZones::Silent(const std::string& aZone)
 {
-  mMembers.DoubtZone(aZone);
+  mMembers.SuspectZone(aZone);
 }
 
 } // namespace caraway
--- a/src/own/StoreGate.cpp
+++ b/src/own/StoreGate.cpp
@@ -68,7 +68,7 @@
 {
   InstanceInfo owner = mMembers.FleetOwner(kOwnerKey);
   if (owner.mId == mMembers.Self().mId) {
-    return AdmitLocally(mMembers.FitZones(), aQuestion);
+    return AdmitLocally(mMembers.AvailableZoneCount(), aQuestion);
   }
   if (auto answer = QueryGate(owner, QuestionJson(aQuestion))) {
     return *answer;
@@ -76,7 +76,8 @@
   // It may have stalled for a moment, and hold the places it gave. Letting
   // ourselves in, and everyone else who asked it, would make the store slow
   // for all. A load takes seconds; a second question costs it half of one.
-  return mMembers.IsFit(owner.mId) ? Later(aQuestion) : AskZone(aQuestion);
+  return mMembers.IsAvailablePeer(owner.mId) ? Later(aQuestion)
+                                             : AskZone(aQuestion);
 }
 
 LoadGateReply
@@ -180,7 +181,7 @@
 StoreGate::AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd)
 {
   aAdd("load.ask", [this](const Json::Value& aParams) {
-    int zones = aParams[kZoneOnly].asBool() ? 1 : mMembers.FitZones();
+    int zones = aParams[kZoneOnly].asBool() ? 1 : mMembers.AvailableZoneCount();
     LoadGateReply answer = AdmitLocally(zones, QuestionParse(aParams));
     Json::Value json;
     json["in"] = answer.mHasPermit;
--- a/src/peer/Members.cpp
+++ b/src/peer/Members.cpp
@@ -8,12 +8,12 @@
 
 // Two calls in a row without an answer: one may be lost to a restart of a
 // kept connection.
-constexpr int kSilences = 2;
+constexpr int kMaxUnansweredCalls = 2;
 // Several loads may ask one peer at the same moment; were each unanswered call
 // to count, a stall of a third of a second would look like a death.
-constexpr Millis kApart{ 200 };
-constexpr Seconds kForget{ 60 };
-constexpr Seconds kListFresh{ 10 };
+constexpr Millis kMinUnansweredSpacing{ 200 };
+constexpr Seconds kForgetAfter{ 60 };
+constexpr Seconds kListMaxAge{ 10 };
 
 } // namespace
 
@@ -24,7 +24,7 @@
 }
 
 void
-Members::TakeList(const std::vector<InstanceInfo>& aList)
+Members::UpdateFromList(const std::vector<InstanceInfo>& aList)
 {
   std::lock_guard<std::mutex> lock(mLock);
   std::map<std::string, Member> next;
@@ -49,7 +49,7 @@
   }
   TimePoint now = mClock.Now();
   for (const auto& known : mMembers) {
-    if (!next.count(known.first) && now - known.second.mHeard < kForget) {
+    if (!next.count(known.first) && now - known.second.mHeard < kForgetAfter) {
       next.insert(known);
     }
   }
@@ -61,7 +61,7 @@
 {
   std::lock_guard<std::mutex> lock(mLock);
   bool fresh =
-    mListedAt != TimePoint{} && mClock.Now() - mListedAt < kListFresh;
+    mListedAt != TimePoint{} && mClock.Now() - mListedAt < kListMaxAge;
   return fresh ? std::make_optional(mListed) : std::nullopt;
 }
 
@@ -75,8 +75,8 @@
   Member& member = mMembers[aPeer.mId];
   member.mInfo = aPeer;
   member.mHeard = mClock.Now();
-  mDoubted.erase(aPeer.mZone);
-  member.mSilences = 0;
+  mSuspectedZones.erase(aPeer.mZone);
+  member.mUnansweredCalls = 0;
 }
 
 void
@@ -86,40 +86,42 @@
   TimePoint now = mClock.Now();
   for (auto& entry : mMembers) {
     Member& member = entry.second;
-    bool apart = member.mSilences == 0 || now - member.mSilentAt >= kApart;
+    bool apart = member.mUnansweredCalls == 0 ||
+                 now - member.mUnansweredAt >= kMinUnansweredSpacing;
     if (member.mInfo.mPeerAddress == aAddress && apart) {
-      ++member.mSilences;
-      member.mSilentAt = now;
+      ++member.mUnansweredCalls;
+      member.mUnansweredAt = now;
     }
   }
 }
 
 void
-Members::Dead(const std::string& aAddress)
+Members::MarkUnreachable(const std::string& aAddress)
 {
   std::lock_guard<std::mutex> lock(mLock);
   for (auto& member : mMembers) {
     if (member.second.mInfo.mPeerAddress == aAddress) {
-      member.second.mSilences = kSilences;
+      member.second.mUnansweredCalls = kMaxUnansweredCalls;
     }
   }
 }
 
 void
-Members::LeaveSelf()
+Members::MarkSelfLeaving()
 {
   std::lock_guard<std::mutex> lock(mLock);
   mSelf.mLeaving = true;
 }
 
 bool
-Members::FitNow(const Member& aMember) const
+Members::IsAvailable(const Member& aMember) const
 {
-  return !aMember.mInfo.mLeaving && aMember.mSilences < kSilences;
+  return !aMember.mInfo.mLeaving &&
+         aMember.mUnansweredCalls < kMaxUnansweredCalls;
 }
 
 std::vector<InstanceInfo>
-Members::Fit(const std::string& aZone) const
+Members::AvailablePeersIn(const std::string& aZone) const
 {
   std::lock_guard<std::mutex> lock(mLock);
   std::vector<InstanceInfo> fit;
@@ -127,7 +129,7 @@
     fit.push_back(mSelf);
   }
   for (const auto& member : mMembers) {
-    if (member.second.mInfo.mZone == aZone && FitNow(member.second)) {
+    if (member.second.mInfo.mZone == aZone && IsAvailable(member.second)) {
       fit.push_back(member.second.mInfo);
     }
   }
@@ -148,15 +150,15 @@
 }
 
 InstanceInfo
-Members::OwnerAmong(const std::vector<InstanceInfo>& aFit,
+Members::OwnerAmong(const std::vector<InstanceInfo>& aAvailable,
                     const std::string& aKey) const
 {
   std::vector<std::string> ids;
-  for (const InstanceInfo& info : aFit) {
+  for (const InstanceInfo& info : aAvailable) {
     ids.push_back(info.mId);
   }
   std::string owner = RendezvousOwner(ids, aKey);
-  for (const InstanceInfo& info : aFit) {
+  for (const InstanceInfo& info : aAvailable) {
     if (info.mId == owner) {
       return info;
     }
@@ -167,14 +169,14 @@
 InstanceInfo
 Members::Owner(const std::string& aKey) const
 {
-  return OwnerAmong(Fit(mSelf.mZone), aKey);
+  return OwnerAmong(AvailablePeersIn(mSelf.mZone), aKey);
 }
 
 InstanceInfo
 Members::FleetOwner(const std::string& aKey) const
 {
-  std::vector<InstanceInfo> fit = Fit(mSelf.mZone);
-  for (const InstanceInfo& info : FitElsewhere()) {
+  std::vector<InstanceInfo> fit = AvailablePeersIn(mSelf.mZone);
+  for (const InstanceInfo& info : AvailableElsewhere()) {
     fit.push_back(info);
   }
   return OwnerAmong(fit, aKey);
@@ -183,60 +185,60 @@
 std::optional<InstanceInfo>
 Members::OwnerIn(const std::string& aZone, const std::string& aKey) const
 {
-  std::vector<InstanceInfo> fit = Fit(aZone);
+  std::vector<InstanceInfo> fit = AvailablePeersIn(aZone);
   return fit.empty() ? std::nullopt : std::make_optional(OwnerAmong(fit, aKey));
 }
 
 std::set<std::string>
-Members::FitZoneNames() const
+Members::AvailableZones() const
 {
   std::set<std::string> zones = { mSelf.mZone };
-  for (const InstanceInfo& member : FitElsewhere()) {
+  for (const InstanceInfo& member : AvailableElsewhere()) {
     zones.insert(member.mZone);
   }
   return zones;
 }
 
 int
-Members::FitZones() const
+Members::AvailableZoneCount() const
 {
-  return static_cast<int>(FitZoneNames().size());
+  return static_cast<int>(AvailableZones().size());
 }
 
 std::set<std::string>
-Members::AnsweringZones() const
+Members::RespondingZones() const
 {
-  std::set<std::string> zones = FitZoneNames();
+  std::set<std::string> zones = AvailableZones();
   std::lock_guard<std::mutex> lock(mLock);
-  for (const std::string& doubted : mDoubted) {
+  for (const std::string& doubted : mSuspectedZones) {
     zones.erase(doubted);
   }
   return zones;
 }
 
 void
-Members::DoubtZone(const std::string& aZone)
+Members::SuspectZone(const std::string& aZone)
 {
   std::lock_guard<std::mutex> lock(mLock);
-  mDoubted.insert(aZone);
+  mSuspectedZones.insert(aZone);
 }
 
 bool
-Members::IsFit(const std::string& aId) const
+Members::IsAvailablePeer(const std::string& aId) const
 {
   std::lock_guard<std::mutex> lock(mLock);
   auto member = mMembers.find(aId);
-  return member != mMembers.end() && FitNow(member->second);
+  return member != mMembers.end() && IsAvailable(member->second);
 }
 
 std::vector<std::string>
-Members::Strangers() const
+Members::UncontactedPeers() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   std::vector<std::string> strangers;
   for (const auto& entry : mMembers) {
     const Member& member = entry.second;
-    if (member.mHeard == TimePoint{} && member.mSilences == 0) {
+    if (member.mHeard == TimePoint{} && member.mUnansweredCalls == 0) {
       strangers.push_back(member.mInfo.mPeerAddress);
     }
   }
@@ -244,18 +246,20 @@
 }
 
 int
-Members::FitCount() const
+Members::AvailableCount() const
 {
-  return static_cast<int>(Fit(mSelf.mZone).size() + FitElsewhere().size());
+  return static_cast<int>(AvailablePeersIn(mSelf.mZone).size() +
+                          AvailableElsewhere().size());
 }
 
 std::vector<InstanceInfo>
-Members::FitElsewhere() const
+Members::AvailableElsewhere() const
 {
   std::lock_guard<std::mutex> lock(mLock);
   std::vector<InstanceInfo> fit;
   for (const auto& member : mMembers) {
-    if (member.second.mInfo.mZone != mSelf.mZone && FitNow(member.second)) {
+    if (member.second.mInfo.mZone != mSelf.mZone &&
+        IsAvailable(member.second)) {
       fit.push_back(member.second.mInfo);
     }
   }
--- a/src/peer/Members.h
+++ b/src/peer/Members.h
@@ -23,7 +23,7 @@
 
   // The platform's list. Members it doesn't name are kept while they answer:
   // the list lags, and in an outage there is none.
-  void TakeList(const std::vector<InstanceInfo>& aList);
+  void UpdateFromList(const std::vector<InstanceInfo>& aList);
   // Addresses on the list as last read; nothing when that is long ago.
   std::optional<std::set<std::string>> Listed() const;
   // A peer told of itself.
@@ -33,28 +33,28 @@
   void Silent(const std::string& aAddress);
   // The same, beyond doubt: a call that was given ample time. No new work
   // until it is heard again.
-  void Dead(const std::string& aAddress);
+  void MarkUnreachable(const std::string& aAddress);
 
   const InstanceInfo& Self() const { return mSelf; }
-  void LeaveSelf();
-  // Fit for new work: not leaving, not silent. Includes ourselves unless we
-  // are leaving.
-  std::vector<InstanceInfo> Fit(const std::string& aZone) const;
+  void MarkSelfLeaving();
+  // AvailablePeersIn for new work: not leaving, not silent. Includes ourselves
+  // unless we are leaving.
+  std::vector<InstanceInfo> AvailablePeersIn(const std::string& aZone) const;
   // Zones with an instance that is fit for new work, ours among them.
-  int FitZones() const;
+  int AvailableZoneCount() const;
   // The same, without those in doubt.
-  std::set<std::string> AnsweringZones() const;
+  std::set<std::string> RespondingZones() const;
   // Calls to two of its instances went unanswered: the zone may be cut off, and
   // finding out one instance after the other would take a call's time for each.
   // Ends when one of them is heard.
-  void DoubtZone(const std::string& aZone);
+  void SuspectZone(const std::string& aZone);
   // Instances fit for new work, in all zones; ourselves counted unless we
   // are leaving.
-  int FitCount() const;
-  bool IsFit(const std::string& aId) const; // another's
+  int AvailableCount() const;
+  bool IsAvailablePeer(const std::string& aId) const; // another's
   // Addresses of members on the list that never told of themselves; empty of
   // those that were silent.
-  std::vector<std::string> Strangers() const;
+  std::vector<std::string> UncontactedPeers() const;
   // All others, fit or not, except those that leave.
   std::vector<InstanceInfo> Others() const;
   // Owner of aKey among the fit of our zone. Ourselves when alone.
@@ -70,20 +70,20 @@
   {
     InstanceInfo mInfo;
     TimePoint mHeard{};
-    int mSilences = 0;
-    TimePoint mSilentAt{}; // the last one counted
+    int mUnansweredCalls = 0;
+    TimePoint mUnansweredAt{}; // the last one counted
   };
-  bool FitNow(const Member& aMember) const;
-  std::vector<InstanceInfo> FitElsewhere() const;
-  std::set<std::string> FitZoneNames() const;
-  InstanceInfo OwnerAmong(const std::vector<InstanceInfo>& aFit,
+  bool IsAvailable(const Member& aMember) const;
+  std::vector<InstanceInfo> AvailableElsewhere() const;
+  std::set<std::string> AvailableZones() const;
+  InstanceInfo OwnerAmong(const std::vector<InstanceInfo>& aAvailable,
                           const std::string& aKey) const;
 
   const Clock& mClock;
   mutable std::mutex mLock;
   InstanceInfo mSelf;
   std::map<std::string, Member> mMembers; // by id, others only
-  std::set<std::string> mDoubted;         // zones
+  std::set<std::string> mSuspectedZones;  // zones
   std::set<std::string> mListed;
   TimePoint mListedAt{};
 };
--- a/src/platform/ConfigFollower.cpp
+++ b/src/platform/ConfigFollower.cpp
@@ -16,10 +16,10 @@
 Result<void>
 ConfigFollower::Look(Millis aWatch)
 {
-  Followed followed;
+  WatchPosition followed;
   {
     std::lock_guard<std::mutex> lock(mLock);
-    followed = mFollowed;
+    followed = mWatchPosition;
   }
   if (followed.mVersion == 0) {
     return Read();
@@ -64,16 +64,16 @@
   }
   mHolder.Confirm(aIndex.mNow.mRevision, aAsked);
   std::lock_guard<std::mutex> lock(mLock);
-  if (aIndex.mVersion > mFollowed.mVersion) {
-    mFollowed = { aIndex.mVersion, aIndex.mNow.mRevision };
+  if (aIndex.mVersion > mWatchPosition.mVersion) {
+    mWatchPosition = { aIndex.mVersion, aIndex.mNow.mRevision };
   }
   return {};
 }
 
 void
-ConfigFollower::PeerSaid(const ConfigFreshness& aFresh,
-                         TimePoint aAsked,
-                         const Fetch& aFetch)
+ConfigFollower::OnPeerFreshness(const ConfigFreshness& aFresh,
+                                TimePoint aAsked,
+                                const Fetch& aFetch)
 {
   if (aFresh.mRevision > mHolder.Current()->mRevision) {
     auto config = aFetch();
--- a/src/platform/ConfigFollower.h
+++ b/src/platform/ConfigFollower.h
@@ -30,12 +30,12 @@
   Result<void> Read();
   // What a peer had at some moment after aAsked. aFetch asks it for that when
   // it is newer than ours.
-  void PeerSaid(const ConfigFreshness& aFresh,
-                TimePoint aAsked,
-                const Fetch& aFetch);
+  void OnPeerFreshness(const ConfigFreshness& aFresh,
+                       TimePoint aAsked,
+                       const Fetch& aFetch);
 
 private:
-  struct Followed
+  struct WatchPosition
   {
     int64_t mVersion = 0;  // of the index, to watch from; 0 = read it
     int64_t mRevision = 0; // that the index had then
@@ -47,7 +47,7 @@
   ConfigHolder& mHolder;
   const Clock& mClock;
   std::mutex mLock;
-  Followed mFollowed; // adopted, not merely seen
+  WatchPosition mWatchPosition; // adopted, not merely seen
 };
 
 } // namespace caraway
--- a/src/platform/ConfigStore.cpp
+++ b/src/platform/ConfigStore.cpp
@@ -12,7 +12,7 @@
 constexpr const char* kIndexKind = "config";
 constexpr const char* kIndexName = "index";
 constexpr const char* kPartKind = "config-parts";
-constexpr size_t kHistory = 100;
+constexpr size_t kMaxHistory = 100;
 // 8,800 adapters in 16 parts make about 60 KB each, well under the megabyte
 // a value may have.
 constexpr int kBuckets = 16;
@@ -40,7 +40,7 @@
 }
 
 std::map<std::string, Json::Value>
-CutIntoParts(const Json::Value& aConfig)
+SplitIntoParts(const Json::Value& aConfig)
 {
   std::map<std::string, Json::Value> parts;
   for (const std::string& section : aConfig.getMemberNames()) {
@@ -122,7 +122,7 @@
 }
 
 Result<std::string>
-ConfigStore::KeepPart(const Json::Value& aPart)
+ConfigStore::StorePart(const Json::Value& aPart)
 {
   std::string digest = DigestHex(JsonWrite(aPart));
   {
@@ -163,16 +163,16 @@
   }
   Json::Value manifest;
   manifest["parts"] = Json::Value(Json::arrayValue);
-  for (const auto& part : CutIntoParts(ConfigJson(aConfig))) {
-    BOOST_LEAF_AUTO(digest, KeepPart(part.second));
+  for (const auto& part : SplitIntoParts(ConfigJson(aConfig))) {
+    BOOST_LEAF_AUTO(digest, StorePart(part.second));
     manifest["parts"].append(digest);
   }
-  BOOST_LEAF_AUTO(manifestDigest, KeepPart(manifest));
+  BOOST_LEAF_AUTO(manifestDigest, StorePart(manifest));
   if (index.mNow.mRevision != 0) {
     index.mHistory.insert(index.mHistory.begin(), index.mNow);
   }
-  if (index.mHistory.size() > kHistory) {
-    index.mHistory.resize(kHistory);
+  if (index.mHistory.size() > kMaxHistory) {
+    index.mHistory.resize(kMaxHistory);
   }
   index.mNow = { aExpected + 1, manifestDigest, aAuthor, aNote, aAt };
   WriteResult result = mPlatform.Write({ kIndexKind,
--- a/src/platform/ConfigStore.h
+++ b/src/platform/ConfigStore.h
@@ -37,7 +37,7 @@
 
 private:
   Result<Json::Value> Part(const std::string& aDigest);
-  Result<std::string> KeepPart(const Json::Value& aPart);
+  Result<std::string> StorePart(const Json::Value& aPart);
 
   PlatformApi& mPlatform;
   std::mutex mLock;
--- a/src/platform/PlatformClient.cpp
+++ b/src/platform/PlatformClient.cpp
@@ -13,7 +13,7 @@
 constexpr int kNotFound = 404;
 constexpr int kNoChange = 204;
 // A watch that ends at its time on the platform's side needs this to return.
-constexpr Millis kWatchSlack{ 2000 };
+constexpr Millis kWatchTimeoutMargin{ 2000 };
 
 std::string
 ObjectPath(const std::string& aKind, const std::string& aName)
@@ -100,7 +100,7 @@
 // platform as fast as its callers ask it; 350 such instances keep a platform
 // that comes back from an outage down.
 bool
-PlatformClient::SpendCall()
+PlatformClient::TakeCallBudget()
 {
   std::lock_guard<std::mutex> lock(mLock);
   TimePoint now = mClock.Now();
@@ -132,7 +132,7 @@
 PlatformClient::Send(const HttpCall& aCall)
 {
   HttpReply reply;
-  if (!SpendCall()) {
+  if (!TakeCallBudget()) {
     reply.mError = "this instance's budget of platform calls is spent";
     return reply;
   }
@@ -147,7 +147,7 @@
 }
 
 HttpReply
-PlatformClient::SendRepeatedly(const HttpCall& aCall)
+PlatformClient::SendWithRetries(const HttpCall& aCall)
 {
   HttpReply reply;
   for (int i = 0; i < mSettings.mTries; ++i) {
@@ -170,7 +170,7 @@
   call.mAddress = mSettings.mAddress;
   call.mPath = ObjectPath(aKind, aName);
   call.mTimeout = mSettings.mTimeout;
-  HttpReply reply = SendRepeatedly(call);
+  HttpReply reply = SendWithRetries(call);
   if (!Usable(reply)) {
     return Unavailable(reply);
   }
@@ -188,7 +188,7 @@
   call.mAddress = mSettings.mAddress;
   call.mPath = "/list/" + aKind + "?prefix=" + aPrefix;
   call.mTimeout = mSettings.mTimeout;
-  HttpReply reply = SendRepeatedly(call);
+  HttpReply reply = SendWithRetries(call);
   if (!Usable(reply)) {
     return Unavailable(reply);
   }
@@ -253,7 +253,7 @@
   call.mPath = "/watch/" + aKind + "/" + aName +
                "?after=" + std::to_string(aAfter) +
                "&ms=" + std::to_string(aWithin.count());
-  call.mTimeout = aWithin + kWatchSlack;
+  call.mTimeout = aWithin + kWatchTimeoutMargin;
   HttpReply reply = Send(call);
   if (!Usable(reply)) {
     return Unavailable(reply);
--- a/src/platform/PlatformClient.h
+++ b/src/platform/PlatformClient.h
@@ -43,10 +43,10 @@
 
 private:
   HttpReply Send(const HttpCall& aCall);
-  HttpReply SendRepeatedly(const HttpCall& aCall);
+  HttpReply SendWithRetries(const HttpCall& aCall);
   HttpReply SendOnceForWrite(const PlatformWrite& aWrite);
   WriteResult Resolve(const PlatformWrite& aWrite);
-  bool SpendCall();
+  bool TakeCallBudget();
   void Pause(int aTry);
 
   PlatformClientSettings mSettings;
--- a/src/serve/BriefingRunner.cpp
+++ b/src/serve/BriefingRunner.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Millis kTryAgain{ 2000 };
+constexpr Millis kRetryInterval{ 2000 };
 constexpr size_t kAtOnce = 4; // of one instance
 
 std::optional<Briefing>
@@ -71,7 +71,7 @@
     aId, [this](const Briefing& aBriefing) { return Attempt(aBriefing); });
   std::lock_guard<std::mutex> lock(mLock);
   mRunning.erase(aId);
-  mNotBefore[aId] = mClock.Now() + kTryAgain;
+  mNotBefore[aId] = mClock.Now() + kRetryInterval;
   if (ended) {
     mNotBefore.erase(aId);
   }
@@ -125,7 +125,7 @@
   LogInfo("briefing_done", { { "briefing", aBriefing.mId } });
   return Ended(aBriefing,
                BriefingState::Done,
-               ChatWholeJson(call, std::get<ModelAnswer>(answer)));
+               ChatCompletionJson(call, std::get<ModelAnswer>(answer)));
 }
 
 } // namespace caraway
--- a/src/serve/BriefingRunner.h
+++ b/src/serve/BriefingRunner.h
@@ -12,7 +12,7 @@
 #include "caraway/Clock.h"
 #include "peer/Members.h"
 #include "platform/ConfigHolder.h"
-#include "serve/BriefingTurns.h"
+#include "serve/BriefingSteps.h"
 #include "serve/ModelCalls.h"
 
 namespace caraway {
@@ -40,7 +40,7 @@
   std::optional<Briefing> Attempt(const Briefing& aBriefing);
 
   BriefingStore& mStore;
-  BriefingTurns mTurns;
+  BriefingSteps mTurns;
   ModelCalls& mModels;
   Members& mMembers;
   ConfigHolder& mConfig;
--- a/src/serve/BriefingTurns.cpp
+++ b/src/serve/BriefingSteps.cpp
@@ -1,29 +1,29 @@
-#include "serve/BriefingTurns.h"
+#include "serve/BriefingSteps.h"
 
 namespace caraway {
 
 namespace {
 
 // Longer than any write is on its way, and than any read is behind.
-constexpr Seconds kForgetUnkept{ 600 };
+constexpr Seconds kMissingGrace{ 600 };
 
 } // namespace
 
-BriefingTurns::BriefingTurns(BriefingStore& aStore, const Clock& aClock)
+BriefingSteps::BriefingSteps(BriefingStore& aStore, const Clock& aClock)
   : mStore(aStore)
   , mClock(aClock)
 {
 }
 
 bool
-BriefingTurns::Take(const std::string& aId, const Attempt& aAttempt)
+BriefingSteps::Take(const std::string& aId, const Attempt& aAttempt)
 {
   auto stored = Outcome([&] { return mStore.Read(aId); });
   bool ended = false;
   if (auto* found = std::get_if<StoredBriefing>(&stored)) {
-    ended = EndedNow(*found, aAttempt);
+    ended = RunIfOpen(*found, aAttempt);
   } else if (std::get<Failure>(stored).mKind == ErrorKind::NotFound) {
-    ended = LongMissing(aId);
+    ended = MissingForTooLong(aId);
   }
   if (ended) {
     // Where this fails the next turn finds it ended and tries again.
@@ -33,7 +33,7 @@
 }
 
 bool
-BriefingTurns::EndedNow(StoredBriefing& aStored, const Attempt& aAttempt)
+BriefingSteps::RunIfOpen(StoredBriefing& aStored, const Attempt& aAttempt)
 {
   if (aStored.mBriefing.mState != BriefingState::Accepted) {
     return true;
@@ -46,11 +46,11 @@
 }
 
 bool
-BriefingTurns::LongMissing(const std::string& aId)
+BriefingSteps::MissingForTooLong(const std::string& aId)
 {
   std::lock_guard<std::mutex> lock(mLock);
   TimePoint now = mClock.Now();
-  bool over = now - mMissing.emplace(aId, now).first->second > kForgetUnkept;
+  bool over = now - mMissing.emplace(aId, now).first->second > kMissingGrace;
   if (over) {
     mMissing.erase(aId);
   }
--- a/src/serve/BriefingTurns.h
+++ b/src/serve/BriefingSteps.h
@@ -1,6 +1,6 @@
-// BriefingTurns.h: what becomes of one listed briefing at a time.
-#ifndef caraway_serve_BriefingTurns_h
-#define caraway_serve_BriefingTurns_h
+// BriefingSteps.h: what becomes of one listed briefing at a time.
+#ifndef caraway_serve_BriefingSteps_h
+#define caraway_serve_BriefingSteps_h
 
 #include <functional>
 #include <map>
@@ -16,23 +16,23 @@
 // The order of things: an ending is in force before the list forgets the
 // briefing. In the other order an instance that died in between would have
 // lost it, accepted and without an answer.
-class BriefingTurns
+class BriefingSteps
 {
 public:
   // Its ending, or nothing for now.
   using Attempt = std::function<std::optional<Briefing>(const Briefing&)>;
 
-  BriefingTurns(BriefingStore& aStore, const Clock& aClock);
+  BriefingSteps(BriefingStore& aStore, const Clock& aClock);
 
   // True: it has ended, here or elsewhere, and is off the list or soon will
   // be. False: still owed.
   bool Take(const std::string& aId, const Attempt& aAttempt);
 
 private:
-  bool EndedNow(StoredBriefing& aStored, const Attempt& aAttempt);
+  bool RunIfOpen(StoredBriefing& aStored, const Attempt& aAttempt);
   // Listed, not kept: its caller was never told that it was accepted. But the
   // keeping may still be on its way, so not at once.
-  bool LongMissing(const std::string& aId);
+  bool MissingForTooLong(const std::string& aId);
 
   BriefingStore& mStore;
   const Clock& mClock;
--- a/src/serve/CallerPort.cpp
+++ b/src/serve/CallerPort.cpp
@@ -16,7 +16,7 @@
 const std::string kBriefings = "/v1/briefings/";
 constexpr size_t kIdDigits = 32;
 // A briefing that couldn't be run for so long is refused for good.
-constexpr std::chrono::hours kBriefingLife{ 24 };
+constexpr std::chrono::hours kBriefingLifetime{ 24 };
 constexpr size_t kIdempotencyKeyLimit = 256;
 
 bool
@@ -93,12 +93,12 @@
     , mAnswer(aAnswer)
   {
     std::lock_guard<std::mutex> lock(mPort.mLock);
-    mPort.mOwed.insert(&mAnswer);
+    mPort.mPendingAnswers.insert(&mAnswer);
   }
   ~Owed()
   {
     std::lock_guard<std::mutex> lock(mPort.mLock);
-    mPort.mOwed.erase(&mAnswer);
+    mPort.mPendingAnswers.erase(&mAnswer);
   }
 
 private:
@@ -124,7 +124,7 @@
   mPort->LimitSendTime(kSend);
   std::lock_guard<std::mutex> lock(mLock);
   int cut = 0;
-  for (CallerAnswer* answer : mOwed) {
+  for (CallerAnswer* answer : mPendingAnswers) {
     bool late = mClock.Now() >= aUntil;
     cut += late || answer->GiveUp("its time to finish is over") ? 1 : 0;
   }
@@ -294,7 +294,7 @@
                     mModels.Run(call, [](const auto&) { return true; }));
     aAnswer.Send([&](Response& aResponse) {
       aResponse.set("X-Request-Id", aContext.mId);
-      JsonSend(aResponse, 200, ChatWholeJson(call, answer));
+      JsonSend(aResponse, 200, ChatCompletionJson(call, answer));
     });
     return {};
   }
@@ -330,7 +330,7 @@
   briefing.mProfile = aContext.mProfile.mName;
   briefing.mMessages = call.mMessages;
   briefing.mMaxTokens = call.mMaxTokens;
-  auto expires = mClock.WallNow() + kBriefingLife;
+  auto expires = mClock.WallNow() + kBriefingLifetime;
   briefing.mExpires =
     std::chrono::duration_cast<Millis>(expires.time_since_epoch()).count();
   BOOST_LEAF_CHECK(Begin(aAnswer));
--- a/src/serve/CallerPort.h
+++ b/src/serve/CallerPort.h
@@ -105,7 +105,7 @@
   const Clock& mClock;
   std::atomic<bool> mDraining{ false };
   std::mutex mLock;
-  std::set<CallerAnswer*> mOwed;
+  std::set<CallerAnswer*> mPendingAnswers;
   std::unique_ptr<HttpPort> mPort;
 };
 
--- a/src/serve/ChatReply.cpp
+++ b/src/serve/ChatReply.cpp
@@ -6,7 +6,7 @@
 namespace caraway {
 
 Json::Value
-ChatWholeJson(const ModelCall& aCall, const ModelAnswer& aAnswer)
+ChatCompletionJson(const ModelCall& aCall, const ModelAnswer& aAnswer)
 {
   std::string text;
   for (const std::string& token : aAnswer.mTokens) {
--- a/src/serve/ChatReply.h
+++ b/src/serve/ChatReply.h
@@ -10,7 +10,7 @@
 namespace caraway {
 
 Json::Value
-ChatWholeJson(const ModelCall& aCall, const ModelAnswer& aAnswer);
+ChatCompletionJson(const ModelCall& aCall, const ModelAnswer& aAnswer);
 
 // Headers go out with the first token, so that a refusal before it still has
 // a status of its own.
--- a/src/serve/ClaimDriver.cpp
+++ b/src/serve/ClaimDriver.cpp
@@ -14,13 +14,13 @@
 
 constexpr const char* kKind = "claims";
 // The platform holds values up to a megabyte; base64 adds a third.
-constexpr size_t kKeepBytes = 512 * 1024;
-constexpr Millis kAskWait{ 1000 };
+constexpr size_t kMaxKeptAnswerBytes = 512 * 1024;
+constexpr Millis kAskPeerWait{ 1000 };
 constexpr Millis kAskTime{ 2500 };
-constexpr const char* kStandings[] = { "running",
-                                       "gave_up",
-                                       "answered",
-                                       "lost" };
+constexpr const char* kStandingNames[] = { "running",
+                                           "gave_up",
+                                           "answered",
+                                           "lost" };
 
 // Length first: tenant "a" with key "bc" is not tenant "ab" with key "c".
 std::string
@@ -39,9 +39,9 @@
 }
 
 ClaimEvent
-EventOfWord(const ClaimWord& aWord)
+EventOfStatus(const AttemptStatus& aWord)
 {
-  if (!aWord.mKnown) {
+  if (!aWord.mKnownFields) {
     return EventOf(ClaimEventKind::PeerUnknown);
   }
   switch (aWord.mStanding) {
@@ -78,7 +78,7 @@
 
 Result<OrderAnswer>
 ClaimDriver::Run(const Order& aOrder,
-                 const std::function<ClaimEvent()>& aHandOn)
+                 const std::function<ClaimEvent()>& aSendOrder)
 {
   Attempt attempt;
   attempt.mName = NameOf(aOrder);
@@ -92,7 +92,7 @@
   for (;;) {
     ClaimAction action = ClaimStep(attempt.mState, event, mClock.Now());
     if (action.mKind == ClaimActionKind::FinishAnswer) {
-      ClaimWord word;
+      AttemptStatus word;
       word.mStanding =
         offered ? ClaimAttemptStatus::Answered : ClaimAttemptStatus::GaveUp;
       word.mAnswer = offered ? action.mAnswer : ClaimAnswer();
@@ -100,7 +100,7 @@
       return OrderAnswer{ action.mAnswer, action.mReplayed };
     }
     if (action.mKind == ClaimActionKind::FinishRefuse) {
-      ClaimWord word;
+      AttemptStatus word;
       word.mStanding =
         offered ? ClaimAttemptStatus::Lost : ClaimAttemptStatus::GaveUp;
       mBook.End(attempt.mState.mNonce, word);
@@ -108,7 +108,7 @@
       failure.mRun = action.mRun;
       return Fail(failure);
     }
-    event = Do(attempt, action, aHandOn);
+    event = Do(attempt, action, aSendOrder);
     // From here on nobody is told that this attempt gave up.
     offered = offered || event.mKind == ClaimEventKind::Answered ||
               event.mKind == ClaimEventKind::AnswerLost;
@@ -118,7 +118,7 @@
 ClaimEvent
 ClaimDriver::Do(Attempt& aAttempt,
                 const ClaimAction& aAction,
-                const std::function<ClaimEvent()>& aHandOn)
+                const std::function<ClaimEvent()>& aSendOrder)
 {
   ClaimRecord mine;
   mine.mBodyDigest = aAttempt.mState.mBodyDigest;
@@ -134,7 +134,7 @@
     case ClaimActionKind::QueryCreator:
       return QueryCreator(aAction);
     case ClaimActionKind::ForwardOrder:
-      return aHandOn();
+      return aSendOrder();
     case ClaimActionKind::StoreAnswer:
       return Keep(aAttempt, ClaimRecordState::Answered, aAction.mVersion);
     case ClaimActionKind::StoreLost:
@@ -187,25 +187,25 @@
   return event;
 }
 
-ClaimLook
+ClaimLookup
 ClaimDriver::Look(const Order& aOrder)
 {
   Attempt attempt;
   attempt.mName = NameOf(aOrder);
   ClaimEvent event = Read(attempt);
   if (event.mKind == ClaimEventKind::NoPlatform) {
-    return ClaimLook::Unknown;
+    return ClaimLookup::Unknown;
   }
   bool free = event.mKind == ClaimEventKind::Absent ||
               event.mRecord.mState == ClaimRecordState::Released;
-  return free ? ClaimLook::Free : ClaimLook::Held;
+  return free ? ClaimLookup::Free : ClaimLookup::Held;
 }
 
 ClaimEvent
 ClaimDriver::QueryCreator(const ClaimAction& aAction)
 {
   if (aAction.mPeer == mSelf) {
-    return EventOfWord(mBook.Ask(aAction.mNonce, kAskWait));
+    return EventOfStatus(mBook.Ask(aAction.mNonce, kAskPeerWait));
   }
   Json::Value params;
   params["of"] = aAction.mPeer;
@@ -218,17 +218,17 @@
   if (!json) {
     return EventOf(ClaimEventKind::PeerUnknown);
   }
-  ClaimWord word;
-  word.mKnown = (*json)["known"].asBool();
+  AttemptStatus word;
+  word.mKnownFields = (*json)["known"].asBool();
   std::string standing = (*json)["standing"].asString();
   word.mStanding = ClaimAttemptStatus::Lost;
   for (int i = 0; i < 4; ++i) {
-    if (standing == kStandings[i]) {
+    if (standing == kStandingNames[i]) {
       word.mStanding = static_cast<ClaimAttemptStatus>(i);
     }
   }
   word.mAnswer = ClaimAnswerParse((*json)["answer"]);
-  return EventOfWord(word);
+  return EventOfStatus(word);
 }
 
 // A former life of this process knew attempts that this one doesn't: only
@@ -241,9 +241,9 @@
     answer["known"] = false;
     return answer;
   }
-  ClaimWord word = mBook.Ask(aParams["nonce"].asString(), kAskWait);
-  answer["known"] = word.mKnown;
-  answer["standing"] = kStandings[static_cast<int>(word.mStanding)];
+  AttemptStatus word = mBook.Ask(aParams["nonce"].asString(), kAskPeerWait);
+  answer["known"] = word.mKnownFields;
+  answer["standing"] = kStandingNames[static_cast<int>(word.mStanding)];
   answer["answer"] = ClaimAnswerJson(word.mAnswer);
   return answer;
 }
@@ -260,11 +260,11 @@
   record.mNonce = aAttempt.mState.mNonce;
   if (aState == ClaimRecordState::Answered) {
     record.mAnswer = aAttempt.mState.mAnswer;
-    record.mAnswer.mKept = record.mAnswer.mBody.size() <= kKeepBytes;
+    record.mAnswer.mKept = record.mAnswer.mBody.size() <= kMaxKeptAnswerBytes;
   }
   ClaimEvent event = Write(aAttempt, record, aVersion);
   if (event.mKind == ClaimEventKind::NoPlatform) {
-    KeepLater(aAttempt, record, aVersion);
+    StoreInBackground(aAttempt, record, aVersion);
   }
   return event;
 }
@@ -273,9 +273,9 @@
 // the book vouches; if this process dies first, a duplicate is told that the
 // order may have run.
 void
-ClaimDriver::KeepLater(const Attempt& aAttempt,
-                       const ClaimRecord& aRecord,
-                       int64_t aVersion)
+ClaimDriver::StoreInBackground(const Attempt& aAttempt,
+                               const ClaimRecord& aRecord,
+                               int64_t aVersion)
 {
   LogInfo("claim_kept_later", { { "claim", aAttempt.mName } });
   mWorkers.Submit([this, aAttempt, aRecord, aVersion] {
--- a/src/serve/ClaimDriver.h
+++ b/src/serve/ClaimDriver.h
@@ -31,7 +31,7 @@
 };
 
 // What is stored about an order, without claiming it.
-enum class ClaimLook
+enum class ClaimLookup
 {
   Free,    // nobody holds it, and it hasn't run
   Held,    // somebody holds it, or has run it
@@ -48,15 +48,15 @@
               WorkerPool& aWorkers,
               const Clock& aClock);
 
-  // aHandOn offers the order to an endpoint once and tells how that ended:
+  // aSendOrder offers the order to an endpoint once and tells how that ended:
   // NotOffered, Answered or AnswerLost. It is called again only after
   // NotOffered with mEndpointsLeft.
   Result<OrderAnswer> Run(const Order& aOrder,
-                          const std::function<ClaimEvent()>& aHandOn);
+                          const std::function<ClaimEvent()>& aSendOrder);
 
   // For an order that is about to be refused for another reason: an earlier
   // try of it may have run all the same.
-  ClaimLook Look(const Order& aOrder);
+  ClaimLookup Look(const Order& aOrder);
 
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
 
@@ -69,7 +69,7 @@
 
   ClaimEvent Do(Attempt& aAttempt,
                 const ClaimAction& aAction,
-                const std::function<ClaimEvent()>& aHandOn);
+                const std::function<ClaimEvent()>& aSendOrder);
   ClaimEvent Write(const Attempt& aAttempt,
                    const ClaimRecord& aRecord,
                    int64_t aExpected);
@@ -78,9 +78,9 @@
   ClaimEvent Keep(const Attempt& aAttempt,
                   ClaimRecordState aState,
                   int64_t aVersion);
-  void KeepLater(const Attempt& aAttempt,
-                 const ClaimRecord& aRecord,
-                 int64_t aVersion);
+  void StoreInBackground(const Attempt& aAttempt,
+                         const ClaimRecord& aRecord,
+                         int64_t aVersion);
   Json::Value OnAsk(const Json::Value& aParams);
 
   std::string mSelf; // incarnation
--- a/src/serve/ClaimRegistry.cpp
+++ b/src/serve/ClaimRegistry.cpp
@@ -9,7 +9,7 @@
 constexpr Seconds kRemember{ 900 };
 // A shard's answers; words without a body cost little and stay.
 constexpr size_t kMostBytes = 2 * 1024 * 1024;
-constexpr size_t kMostEntries = 20000;
+constexpr size_t kMaxShardEntries = 20000;
 
 } // namespace
 
@@ -30,18 +30,18 @@
   Shard& shard = ShardFor(aNonce);
   std::lock_guard<std::mutex> lock(shard.mLock);
   Entry& entry = shard.mEntries[aNonce];
-  entry.mWord.mKnown = true;
+  entry.mWord.mKnownFields = true;
 }
 
 void
-ClaimRegistry::End(const std::string& aNonce, const ClaimWord& aWord)
+ClaimRegistry::End(const std::string& aNonce, const AttemptStatus& aWord)
 {
   Shard& shard = ShardFor(aNonce);
   std::lock_guard<std::mutex> lock(shard.mLock);
   TimePoint now = mClock.Now();
   Entry& entry = shard.mEntries[aNonce];
   entry.mWord = aWord;
-  entry.mWord.mKnown = true;
+  entry.mWord.mKnownFields = true;
   entry.mEnded = now;
   shard.mBytes += aWord.mAnswer.mBody.size();
   shard.mEnded.emplace_back(now, aNonce);
@@ -55,7 +55,7 @@
   while (!aShard.mEnded.empty()) {
     bool old = aNow - aShard.mEnded.front().first > kRemember;
     bool full =
-      aShard.mBytes > kMostBytes || aShard.mEnded.size() > kMostEntries;
+      aShard.mBytes > kMostBytes || aShard.mEnded.size() > kMaxShardEntries;
     if (!old && !full) {
       return;
     }
@@ -68,7 +68,7 @@
   }
 }
 
-ClaimWord
+AttemptStatus
 ClaimRegistry::Ask(const std::string& aNonce, Millis aWithin)
 {
   Shard& shard = ShardFor(aNonce);
@@ -80,7 +80,7 @@
   };
   shard.mChanged.wait_for(lock, aWithin, ended);
   auto entry = shard.mEntries.find(aNonce);
-  return entry == shard.mEntries.end() ? ClaimWord() : entry->second.mWord;
+  return entry == shard.mEntries.end() ? AttemptStatus() : entry->second.mWord;
 }
 
 } // namespace caraway
--- a/src/serve/ClaimRegistry.h
+++ b/src/serve/ClaimRegistry.h
@@ -14,9 +14,9 @@
 
 namespace caraway {
 
-struct ClaimWord
+struct AttemptStatus
 {
-  bool mKnown = false; // an attempt of ours
+  bool mKnownFields = false; // an attempt of ours
   ClaimAttemptStatus mStanding = ClaimAttemptStatus::Running;
   ClaimAnswer mAnswer; // when Answered
 };
@@ -31,14 +31,14 @@
 
   void Begin(const std::string& aNonce);
   // Final: a word once given doesn't change.
-  void End(const std::string& aNonce, const ClaimWord& aWord);
+  void End(const std::string& aNonce, const AttemptStatus& aWord);
   // Waits up to aWithin while the attempt is running.
-  ClaimWord Ask(const std::string& aNonce, Millis aWithin);
+  AttemptStatus Ask(const std::string& aNonce, Millis aWithin);
 
 private:
   struct Entry
   {
-    ClaimWord mWord;
+    AttemptStatus mWord;
     TimePoint mEnded{};
   };
   struct Shard
--- a/src/serve/EngineSlotFinder.cpp
+++ b/src/serve/EngineSlotFinder.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 // An owner answers within ModelOwner::kMaxPollWait, or loads an adapter first.
-constexpr Millis kOwnerTime{ 2700 };
-constexpr Millis kReturnTime{ 500 };
+constexpr Millis kOwnerTimeout{ 2700 };
+constexpr Millis kReleaseTimeout{ 500 };
 constexpr int kOwners = 2; // asked in turn, of a zone
 
 std::string
@@ -17,7 +17,7 @@
 
 // A refusal by an owner elsewhere, back as the failure it was.
 leaf::error_id
-PeerRefusal(const Json::Value& aJson)
+FailureOfPeer(const Json::Value& aJson)
 {
   Failure failure = FailureOf(ErrorKindOf(aJson["kind"].asCString()),
                               aJson["detail"].asString());
@@ -64,19 +64,19 @@
                           InstanceInfo& aOwner)
 {
   EngineSlotRequest request = aRequest();
-  Result<EngineSlotGrant> grant = AcquireNear(request, aCaller, aOwner);
+  Result<EngineSlotGrant> grant = AcquireInZone(request, aCaller, aOwner);
   if (!grant || grant->mRedirectZone.empty()) {
     return grant;
   }
   std::string zone = grant->mRedirectZone;
   bool silent = false;
-  if (auto away = AcquireAway(request, zone, aCaller, aOwner, silent)) {
+  if (auto away = AcquireInHomeZone(request, zone, aCaller, aOwner, silent)) {
     return std::move(*away);
   }
   request = aRequest();
   request.mFailedZone = zone;
   request.mZoneSilent = silent;
-  return AcquireNear(request, aCaller, aOwner);
+  return AcquireInZone(request, aCaller, aOwner);
 }
 
 // Two owners: one may have died. Both silent, it is the zone. In our own zone
@@ -96,20 +96,20 @@
     if (auto answer = AcquireFrom(aRequest, aCaller, aOwner)) {
       return answer;
     }
-    mMembers.Dead(aOwner.mPeerAddress);
+    mMembers.MarkUnreachable(aOwner.mPeerAddress);
   }
   return std::nullopt;
 }
 
 std::optional<Result<EngineSlotGrant>>
-EngineSlotFinder::AcquireAway(EngineSlotRequest aRequest,
-                              const std::string& aZone,
-                              const Caller& aCaller,
-                              InstanceInfo& aOwner,
-                              bool& aSilent)
+EngineSlotFinder::AcquireInHomeZone(EngineSlotRequest aRequest,
+                                    const std::string& aZone,
+                                    const Caller& aCaller,
+                                    InstanceInfo& aOwner,
+                                    bool& aSilent)
 {
   // Found by another request, and not known to our zone's owner.
-  aSilent = mMembers.AnsweringZones().count(aZone) == 0;
+  aSilent = mMembers.RespondingZones().count(aZone) == 0;
   if (aSilent) {
     return std::nullopt;
   }
@@ -122,7 +122,7 @@
   });
   if (aSilent) {
     mMetrics.Count("caraway_home_silent_total", "zone=\"" + aZone + "\"");
-    mMembers.DoubtZone(aZone);
+    mMembers.SuspectZone(aZone);
     return std::nullopt;
   }
   if (auto* grant = std::get_if<EngineSlotGrant>(&answer)) {
@@ -141,9 +141,9 @@
 // The zone's owner of the model; if it doesn't answer, the next; at last
 // ourselves. A second owner decides by the same conditional updates.
 Result<EngineSlotGrant>
-EngineSlotFinder::AcquireNear(const EngineSlotRequest& aRequest,
-                              const Caller& aCaller,
-                              InstanceInfo& aOwner)
+EngineSlotFinder::AcquireInZone(const EngineSlotRequest& aRequest,
+                                const Caller& aCaller,
+                                InstanceInfo& aOwner)
 {
   const std::string& zone = mMembers.Self().mZone;
   if (auto answer = AskZone(aRequest, zone, aCaller, aOwner)) {
@@ -152,7 +152,7 @@
   aOwner = mMembers.Self();
   Result<EngineSlotGrant> grant = mOwner.Acquire(aRequest);
   while (grant && grant->mTicket != 0) {
-    BOOST_LEAF_CHECK(StillValid(aCaller));
+    BOOST_LEAF_CHECK(CheckKey(aCaller));
     grant = mOwner.Await(grant->mTicket);
   }
   return grant;
@@ -161,7 +161,7 @@
 // Asked between the rounds of waiting. A withdrawn key would otherwise hold its
 // place in the queue until the load's end, and its caller in the dark.
 Result<void>
-EngineSlotFinder::StillValid(const Caller& aCaller) const
+EngineSlotFinder::CheckKey(const Caller& aCaller) const
 {
   if (auto trouble = mKeys.Trouble(aCaller)) {
     return Fail(*trouble, "the key, while the request waited");
@@ -180,19 +180,19 @@
   Json::Value params = EngineSlotRequestJson(aRequest);
   for (;;) {
     auto answer = Outcome([&] {
-      return mPeers.Call(aOwner.mPeerAddress, method, params, kOwnerTime);
+      return mPeers.Call(aOwner.mPeerAddress, method, params, kOwnerTimeout);
     });
     auto* json = std::get_if<Json::Value>(&answer);
     if (!json) {
       return std::nullopt;
     }
     if (json->isMember("kind")) {
-      return Result<EngineSlotGrant>(PeerRefusal(*json));
+      return Result<EngineSlotGrant>(FailureOfPeer(*json));
     }
     if (!json->isMember("ticket")) {
       return Result<EngineSlotGrant>(EngineSlotGrantParse(*json));
     }
-    if (auto valid = StillValid(aCaller); !valid) {
+    if (auto valid = CheckKey(aCaller); !valid) {
       return Result<EngineSlotGrant>(valid.error());
     }
     method = "model.await";
@@ -212,7 +212,7 @@
     return mPeers.Call(aOwner.mPeerAddress,
                        "model.return",
                        EngineSlotReleaseJson(aReturn),
-                       kReturnTime);
+                       kReleaseTimeout);
   });
 }
 
--- a/src/serve/EngineSlotFinder.h
+++ b/src/serve/EngineSlotFinder.h
@@ -36,22 +36,23 @@
   void AddMethods(const std::function<void(const char*, PeerMethod)>& aAdd);
 
 private:
-  Result<EngineSlotGrant> AcquireNear(const EngineSlotRequest& aRequest,
-                                      const Caller& aCaller,
-                                      InstanceInfo& aOwner);
+  Result<EngineSlotGrant> AcquireInZone(const EngineSlotRequest& aRequest,
+                                        const Caller& aCaller,
+                                        InstanceInfo& aOwner);
   // nullopt: the zone doesn't answer (aSilent) or can't serve it.
-  std::optional<Result<EngineSlotGrant>> AcquireAway(EngineSlotRequest aRequest,
-                                                     const std::string& aZone,
-                                                     const Caller& aCaller,
-                                                     InstanceInfo& aOwner,
-                                                     bool& aSilent);
+  std::optional<Result<EngineSlotGrant>> AcquireInHomeZone(
+    EngineSlotRequest aRequest,
+    const std::string& aZone,
+    const Caller& aCaller,
+    InstanceInfo& aOwner,
+    bool& aSilent);
   // nullopt: nobody there answers.
   std::optional<Result<EngineSlotGrant>> AskZone(
     const EngineSlotRequest& aRequest,
     const std::string& aZone,
     const Caller& aCaller,
     InstanceInfo& aOwner);
-  Result<void> StillValid(const Caller& aCaller) const;
+  Result<void> CheckKey(const Caller& aCaller) const;
   // nullopt: that owner doesn't answer.
   std::optional<Result<EngineSlotGrant>> AcquireFrom(
     const EngineSlotRequest& aRequest,
--- a/src/serve/LeaveGate.cpp
+++ b/src/serve/LeaveGate.cpp
@@ -52,10 +52,10 @@
 }
 
 Result<void>
-LeaveGate::MayGoOn() const
+LeaveGate::MayContinue() const
 {
   std::lock_guard<std::mutex> lock(mLock);
-  if (!mPlan.MayGoOn(mClock.Now())) {
+  if (!mPlan.MayContinue(mClock.Now())) {
     return Refuse(RunState::MayHaveRun);
   }
   return {};
--- a/src/serve/LeaveGate.h
+++ b/src/serve/LeaveGate.h
@@ -26,7 +26,7 @@
   Result<void> MayStart(TimePoint aAnswerBy,
                         RunState aRun = RunState::NotRun) const;
   // The same for a stream that its caller has begun to read.
-  Result<void> MayGoOn() const;
+  Result<void> MayContinue() const;
 
 private:
   const Clock& mClock;
--- a/src/serve/ModelCalls.cpp
+++ b/src/serve/ModelCalls.cpp
@@ -14,7 +14,7 @@
 constexpr int kTries = 3;
 
 Micros
-MicrosBetween(TimePoint aFrom, TimePoint aTo)
+ElapsedMicros(TimePoint aFrom, TimePoint aTo)
 {
   return std::chrono::duration_cast<Micros>(aTo - aFrom);
 }
@@ -31,7 +31,7 @@
 
 // The same for the same request sent again, at whichever instance.
 uint64_t
-LikeOf(const ModelCall& aCall)
+RequestDigest(const ModelCall& aCall)
 {
   constexpr size_t kDigits = 15;
   std::string text = aCall.mContext.mProfile.mName + " " +
@@ -52,7 +52,7 @@
   request.mTenant = aCall.mContext.mCaller.mTenant;
   request.mClass = profile.mClass;
   request.mTokens = ModelCallCost(aCall);
-  request.mRequestDigest = LikeOf(aCall);
+  request.mRequestDigest = RequestDigest(aCall);
   request.mStartWithin = profile.mFirstToken - passed;
   request.mColdWithin = profile.mColdStart - passed;
   request.mMaxHold = profile.mAnswer + profile.mColdStart;
@@ -141,12 +141,12 @@
 }
 
 Result<void>
-ModelCalls::MayTry(const ModelCall& aCall,
-                   const ModelAnswer& aSoFar,
-                   bool aOffered) const
+ModelCalls::MayStartAttempt(const ModelCall& aCall,
+                            const ModelAnswer& aSoFar,
+                            bool aOffered) const
 {
   if (!aSoFar.mTokens.empty()) {
-    return mLeave.MayGoOn();
+    return mLeave.MayContinue();
   }
   return mLeave.MayStart(aCall.mContext.mArrived +
                            aCall.mContext.mProfile.mAnswer,
@@ -154,7 +154,7 @@
 }
 
 ModelCalls::Try
-ModelCalls::GenerateOnce(
+ModelCalls::GenerateAttempt(
   const ModelCall& aCall,
   const EngineSlotGrant& aGrant,
   const std::function<bool(const std::string&)>& aOnToken,
@@ -172,10 +172,10 @@
       mMetrics.Observe("first_token",
                        context.mCaller.mTenant,
                        profile.mClass,
-                       MicrosBetween(context.mArrived, now));
+                       ElapsedMicros(context.mArrived, now));
     }
-    once.mKeyTrouble = mKeys.Trouble(context.mCaller);
-    if (once.mKeyTrouble || now > deadline) {
+    once.mKeyError = mKeys.Trouble(context.mCaller);
+    if (once.mKeyError || now > deadline) {
       return false;
     }
     aSoFar.mTokens.push_back(aToken);
@@ -200,7 +200,7 @@
     if (i > 0 && !mRetries.Spend()) {
       break;
     }
-    BOOST_LEAF_CHECK(MayTry(aCall, aSoFar, offered));
+    BOOST_LEAF_CHECK(MayStartAttempt(aCall, aSoFar, offered));
     InstanceInfo owner;
     // The last try is here: what broke the others may lie between the zones.
     bool here = i + 1 == kTries;
@@ -219,7 +219,8 @@
       break;
     }
     const EngineSlotGrant& grant = std::get<EngineSlotGrant>(acquired);
-    auto late = FailureIn([&] { return MayTry(aCall, aSoFar, offered); });
+    auto late =
+      FailureIn([&] { return MayStartAttempt(aCall, aSoFar, offered); });
     if (late) {
       mPlaces.ReleaseSlot(owner, { grant.mEngineSlotId, 0, false, false });
       return Fail(*late);
@@ -236,18 +237,18 @@
                      context.mCaller.mTenant,
                      profile.mClass,
                      Micros(grant.mWaited));
-    Try once = GenerateOnce(aCall, grant, aOnToken, aSoFar);
+    Try once = GenerateAttempt(aCall, grant, aOnToken, aSoFar);
     mPlaces.ReleaseSlot(owner, ReturnOf(grant, once.mResult, aSoFar));
     if (once.mResult.mEnd == GenerateOutcome::Complete) {
       aSoFar.mFinish = once.mResult.mReason;
       mMetrics.Observe("whole",
                        context.mCaller.mTenant,
                        profile.mClass,
-                       MicrosBetween(context.mArrived, mClock.Now()));
+                       ElapsedMicros(context.mArrived, mClock.Now()));
       return aSoFar;
     }
-    if (once.mKeyTrouble) {
-      Failure failure = FailureOf(*once.mKeyTrouble, "the key, meanwhile");
+    if (once.mKeyError) {
+      Failure failure = FailureOf(*once.mKeyError, "the key, meanwhile");
       failure.mRun = RunState::MayHaveRun;
       return Fail(failure);
     }
--- a/src/serve/ModelCalls.h
+++ b/src/serve/ModelCalls.h
@@ -57,17 +57,17 @@
   struct Try
   {
     GenerateResult mResult;
-    std::optional<ErrorKind> mKeyTrouble;
+    std::optional<ErrorKind> mKeyError;
   };
 
   // Before each try, and again when it has waited for its place.
-  Result<void> MayTry(const ModelCall& aCall,
-                      const ModelAnswer& aSoFar,
-                      bool aOffered) const;
-  Try GenerateOnce(const ModelCall& aCall,
-                   const EngineSlotGrant& aGrant,
-                   const std::function<bool(const std::string&)>& aOnToken,
-                   ModelAnswer& aSoFar);
+  Result<void> MayStartAttempt(const ModelCall& aCall,
+                               const ModelAnswer& aSoFar,
+                               bool aOffered) const;
+  Try GenerateAttempt(const ModelCall& aCall,
+                      const EngineSlotGrant& aGrant,
+                      const std::function<bool(const std::string&)>& aOnToken,
+                      ModelAnswer& aSoFar);
   Result<ModelAnswer> Generate(
     const ModelCall& aCall,
     const std::function<bool(const std::string&)>& aOnToken,
--- a/src/serve/Problem.cpp
+++ b/src/serve/Problem.cpp
@@ -21,9 +21,9 @@
 }
 
 void
-SetProblemHead(Poco::Net::HTTPServerResponse& aResponse,
-               const Failure& aFailure,
-               const std::string& aRequestId)
+SetProblemHeaders(Poco::Net::HTTPServerResponse& aResponse,
+                  const Failure& aFailure,
+                  const std::string& aRequestId)
 {
   if (aFailure.mRetryAfter > Millis(0)) {
     // The header knows whole seconds only; never less than asked for.
@@ -62,7 +62,7 @@
             const Failure& aFailure,
             const std::string& aRequestId)
 {
-  SetProblemHead(aResponse, aFailure, aRequestId);
+  SetProblemHeaders(aResponse, aFailure, aRequestId);
   Send(aResponse,
        ErrorAnswerOf(aFailure.mKind).mStatus,
        kProblemType,
@@ -74,7 +74,7 @@
                const Failure& aFailure,
                const std::string& aRequestId)
 {
-  SetProblemHead(aResponse, aFailure, aRequestId);
+  SetProblemHeaders(aResponse, aFailure, aRequestId);
   std::string text = JsonWrite(ProblemJson(aFailure, aRequestId)) + "\n";
   aResponse.setStatusAndReason(static_cast<HTTPResponse::HTTPStatus>(
     ErrorAnswerOf(aFailure.mKind).mStatus));
--- a/src/serve/ServiceCalls.cpp
+++ b/src/serve/ServiceCalls.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr double kTokensPerCall = 1;
-constexpr Millis kSuspectFor{ 2000 };
+constexpr double kTokensPerServiceCall = 1;
+constexpr Millis kSuspectPeriod{ 2000 };
 constexpr Millis kConnect{ 500 };
 constexpr Millis kLeast{ 1 };
 
@@ -55,17 +55,19 @@
   }
   TimePoint now = mClock.Now();
   // Suspects go last and not away: when all are suspect, one is still tried.
-  std::stable_sort(
-    endpoints.begin(),
-    endpoints.end(),
-    [&](const EndpointSpec& aLeft, const EndpointSpec& aRight) {
-      auto rank = [&](const EndpointSpec& aEndpoint) {
-        auto suspect = mSuspect.find(aEndpoint.mName);
-        int rank = suspect != mSuspect.end() && now < suspect->second ? 2 : 0;
-        return rank + (aEndpoint.mZone == mZone ? 0 : 1);
-      };
-      return rank(aLeft) < rank(aRight);
-    });
+  std::stable_sort(endpoints.begin(),
+                   endpoints.end(),
+                   [&](const EndpointSpec& aLeft, const EndpointSpec& aRight) {
+                     auto rank = [&](const EndpointSpec& aEndpoint) {
+                       auto suspect = mSuspectUntil.find(aEndpoint.mName);
+                       int rank =
+                         suspect != mSuspectUntil.end() && now < suspect->second
+                           ? 2
+                           : 0;
+                       return rank + (aEndpoint.mZone == mZone ? 0 : 1);
+                     };
+                     return rank(aLeft) < rank(aRight);
+                   });
   return endpoints;
 }
 
@@ -89,7 +91,7 @@
   HttpReply reply = HttpCallOnce(call);
   if (reply.mStage != HttpStage::Answered) {
     std::lock_guard<std::mutex> lock(mLock);
-    mSuspect[aEndpoint.mName] = mClock.Now() + kSuspectFor;
+    mSuspectUntil[aEndpoint.mName] = mClock.Now() + kSuspectPeriod;
   }
   // An echo that names another request is another request's answer.
   std::string echoed = reply.Header("x-request-id");
@@ -116,17 +118,17 @@
 // of this try of it: an earlier try may have run, and then its answer is what
 // the caller gets, for no tokens.
 Result<OrderAnswer>
-ServiceCalls::RefuseOnce(const ServiceCall& aCall,
-                         TimePoint aDeadline,
-                         const Failure& aFailure)
+ServiceCalls::RefuseOrder(const ServiceCall& aCall,
+                          TimePoint aDeadline,
+                          const Failure& aFailure)
 {
   Order order = OrderOf(aCall, aDeadline);
   switch (mClaims.Look(order)) {
-    case ClaimLook::Free:
+    case ClaimLookup::Free:
       return Fail(aFailure);
-    case ClaimLook::Unknown:
+    case ClaimLookup::Unknown:
       return Fail(ErrorKind::ClaimUnknown, aFailure.mDetail);
-    case ClaimLook::Held:
+    case ClaimLookup::Held:
       break;
   }
   return mClaims.Run(order, [] {
@@ -165,7 +167,7 @@
 }
 
 Result<OrderAnswer>
-ServiceCalls::RunRepeatable(const ServiceCall& aCall, TimePoint aDeadline)
+ServiceCalls::RunIdempotent(const ServiceCall& aCall, TimePoint aDeadline)
 {
   Failure last = FailureOf(ErrorKind::NoEndpoint, "no endpoint in its group");
   bool first = true;
@@ -202,15 +204,15 @@
   TimePoint deadline = context.mArrived + profile.mAnswer;
   auto taken = Outcome([&]() -> Result<ShareTicket> {
     BOOST_LEAF_CHECK(mLeave.MayStart(deadline));
-    return mShares.Take(tenant, kTokensPerCall);
+    return mShares.Take(tenant, kTokensPerServiceCall);
   });
   if (auto* refused = std::get_if<Failure>(&taken)) {
     return profile.mRepeatable ? Result<OrderAnswer>(Fail(*refused))
-                               : RefuseOnce(aCall, deadline, *refused);
+                               : RefuseOrder(aCall, deadline, *refused);
   }
   const ShareTicket& ticket = std::get<ShareTicket>(taken);
   auto answer = Outcome([&] {
-    return profile.mRepeatable ? RunRepeatable(aCall, deadline)
+    return profile.mRepeatable ? RunIdempotent(aCall, deadline)
                                : RunOnce(aCall, deadline);
   });
   if (auto* failure = std::get_if<Failure>(&answer)) {
--- a/src/serve/ServiceCalls.h
+++ b/src/serve/ServiceCalls.h
@@ -40,11 +40,11 @@
 
 private:
   static Order OrderOf(const ServiceCall& aCall, TimePoint aDeadline);
-  Result<OrderAnswer> RefuseOnce(const ServiceCall& aCall,
-                                 TimePoint aDeadline,
-                                 const Failure& aFailure);
+  Result<OrderAnswer> RefuseOrder(const ServiceCall& aCall,
+                                  TimePoint aDeadline,
+                                  const Failure& aFailure);
   Result<OrderAnswer> RunOnce(const ServiceCall& aCall, TimePoint aDeadline);
-  Result<OrderAnswer> RunRepeatable(const ServiceCall& aCall,
+  Result<OrderAnswer> RunIdempotent(const ServiceCall& aCall,
                                     TimePoint aDeadline);
   // The group's endpoints: those of our zone first, and those that lately
   // failed to answer last.
@@ -61,7 +61,7 @@
   RetryBudget mRetries;
   std::mutex mLock;
   size_t mTurn = 0;
-  std::map<std::string, TimePoint> mSuspect; // endpoint: until
+  std::map<std::string, TimePoint> mSuspectUntil; // endpoint: until
 };
 
 } // namespace caraway
--- a/src/share/ShareClient.cpp
+++ b/src/share/ShareClient.cpp
@@ -67,7 +67,7 @@
     }
     read = mClock.Now();
   }
-  for (const InstanceInfo& peer : mMembers.Fit(aZone)) {
+  for (const InstanceInfo& peer : mMembers.AvailablePeersIn(aZone)) {
     auto answer = Outcome([&] {
       return mPeers.Call(peer.mPeerAddress,
                          "share.table",
--- a/src/share/ShareManager.cpp
+++ b/src/share/ShareManager.cpp
@@ -225,7 +225,7 @@
   });
   auto* json = std::get_if<Json::Value>(&answer);
   if (!json) {
-    mMembers.Dead(aRenewer.mPeerAddress);
+    mMembers.MarkUnreachable(aRenewer.mPeerAddress);
     return false;
   }
   if (!(*json)["renewed"].asBool()) {
--- a/tests/demo/main.cpp
+++ b/tests/demo/main.cpp
@@ -45,7 +45,7 @@
 }
 
 void
-ColdAndWarm(Fleet& aFleet)
+ColdAndWarmStart(Fleet& aFleet)
 {
   std::string key = aFleet.mKeys["acme"];
   std::vector<std::future<HttpReply>> burst;
@@ -100,10 +100,10 @@
   setenv("CARAWAY_ADMIN", admin.c_str(), 1);
   setenv("CARAWAY_ADMIN_KEY", aFleet.mAdminKey.c_str(), 1);
   std::string ctl = std::string(CARAWAY_BIN_DIR) + "/carawayctl ";
-  auto run = [&](const std::string& aWords) {
-    std::printf("      $ carawayctl %s\n", aWords.c_str());
+  auto run = [&](const std::string& aArguments) {
+    std::printf("      $ carawayctl %s\n", aArguments.c_str());
     std::fflush(stdout);
-    return std::system((ctl + aWords).c_str()) == 0;
+    return std::system((ctl + aArguments).c_str()) == 0;
   };
   bool changed = run("set profile chat-m0 max_tokens=3");
   Step(changed && aFleet.AwaitRevision(2, Seconds(9)),
@@ -141,14 +141,14 @@
 } // namespace
 
 int
-main(int aCount, char** aWords)
+main(int aCount, char** aArguments)
 {
-  gflags::ParseCommandLineFlags(&aCount, &aWords, true);
+  gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   FleetPlan plan;
   Fleet fleet(plan);
   std::printf("3 instances in 2 zones, 2 engines, 2 services, a weight store "
               "and the platform: all processes of their own\n");
-  ColdAndWarm(fleet);
+  ColdAndWarmStart(fleet);
   Orders(fleet);
   Operators(fleet);
   Histograms(fleet);
--- a/tests/platform/LeavingEntryTest.cpp
+++ b/tests/platform/LeavingEntryTest.cpp
@@ -197,7 +197,7 @@
 }
 
 // Guards against a repeat that is sent so late that only the end can follow.
-TEST(LeavingEntry, RepeatThatTheEndWouldCutIsntSent)
+TEST(LeavingEntry, RetryPastTheLimitIsNotSent)
 {
   EntryTestFleet world(TwoInstances());
   for (auto& server : world.mPlain) {
--- a/tests/process/AtMostOnceTest.cpp
+++ b/tests/process/AtMostOnceTest.cpp
@@ -93,7 +93,7 @@
 
 // The caller gives up waiting and asks another instance: it gets the answer
 // of the run that is still under way.
-TEST_F(AtMostOnce, CallerLeavesAndAsksElsewhere)
+TEST_F(AtMostOnce, CallerTimesOutAndRetriesElsewhere)
 {
   ServiceFault("delay_ms", 900);
   HttpReply first = Send(0, "k", "close", Millis(300));
@@ -122,7 +122,7 @@
 // While the platform is out no order is handed on, and the refusal comes at
 // once. It can't say "not run": an earlier try may have. Once the platform is
 // back the same order runs.
-TEST_F(AtMostOnce, PlatformOut)
+TEST_F(AtMostOnce, PlatformOutage)
 {
   EXPECT_TRUE(Send(0, "k1", "before").Ok());
   mFleet.PlatformFault("outage", "refuse");
@@ -155,7 +155,7 @@
 
 // No service can be reached: "not run" is true and the key isn't used up.
 // With one of two gone, the order goes to the other.
-TEST_F(AtMostOnce, ServicesGone)
+TEST_F(AtMostOnce, ServicesUnreachable)
 {
   mFleet.mServiceProxies[0]->Kill();
   EXPECT_TRUE(Send(0, "k1", "one").Ok());
@@ -195,7 +195,7 @@
 // when its tenant is over its rate. "Over its rate, not run" would have it
 // send the order once more under another key: the order is looked up first,
 // and the kept answer costs no tokens.
-TEST(AtMostOnceRate, OverItsRateAnOrderThatRanIsStillAnswered)
+TEST(AtMostOnceRate, OrderThatRanIsAnsweredOverTheRate)
 {
   FleetPlan plan;
   plan.mRate = 0.001;
@@ -222,7 +222,7 @@
 // answers are lost at every hop, the platform goes out and instances are
 // killed and replaced, by a fixed seed. Whatever the callers saw: no order
 // ran twice, and none that was said not to have run had.
-TEST_F(AtMostOnce, TroubleEverywhere)
+TEST_F(AtMostOnce, NoOrderRunsTwiceUnderFaults)
 {
   std::mt19937 random(20261203);
   auto below = [&](int aLimit) {
--- a/tests/process/BadInputTest.cpp
+++ b/tests/process/BadInputTest.cpp
@@ -64,7 +64,7 @@
 
 // Eighty connections that say nothing, or half a request, are held open. Others
 // are served all the same; the bound is on connections, not on patience.
-TEST(BadInput, SilentConnectionsHarmNobody)
+TEST(BadInput, IdleConnectionsDontBlockOthers)
 {
   Fleet fleet({});
   Poco::Net::SocketAddress address(fleet.mInstances[0]->Address("caller"));
@@ -82,7 +82,7 @@
 }
 
 // Peers and administration are not open to whoever can reach the port.
-TEST(BadInput, PeerAndAdministrationPortsAreClosed)
+TEST(BadInput, PeerAndAdminPortsRequireAKey)
 {
   Fleet fleet({});
   std::string peer = fleet.mInstances[0]->Address("peer");
--- a/tests/process/BriefingTest.cpp
+++ b/tests/process/BriefingTest.cpp
@@ -46,7 +46,7 @@
 TEST(Briefings, SurviveAllInstances)
 {
   FleetPlan plan;
-  plan.mEngineWords = { "--store=", "--load_ms=1500" };
+  plan.mEngineFlags = { "--store=", "--load_ms=1500" };
   Fleet fleet(plan);
   std::vector<std::string> locations;
   for (size_t i = 0; i < 3; ++i) {
--- a/tests/process/WholeAnswerTest.cpp
+++ b/tests/process/CompleteAnswerTest.cpp
@@ -26,14 +26,14 @@
 
 } // namespace
 
-class WholeAnswer : public testing::TestWithParam<const char*>
+class CompleteAnswer : public testing::TestWithParam<const char*>
 {};
 
 // The engine cuts the stream, sends another request's token, leaves one out,
 // sends one twice, or ends early as if all were said. The caller sees the whole
 // answer, each token once: what was good is kept, and the rest is generated
 // elsewhere or again, after it.
-TEST_P(WholeAnswer, BrokenStreamsAreTakenUpAgain)
+TEST_P(CompleteAnswer, BrokenStreamsAreResumed)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
@@ -52,7 +52,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Faults,
-                         WholeAnswer,
+                         CompleteAnswer,
                          testing::Values("cut_after",
                                          "crossed_at",
                                          "skip_at",
@@ -64,13 +64,13 @@
 
 // Both engines die in the middle of a stream. The caller gets what came, then
 // an error event, and no end marker: a short answer never looks complete.
-TEST(WholeAnswerLost, ErrorEventInPlaceOfTheEnd)
+TEST(CompleteAnswerLost, ErrorEventInPlaceOfTheEnd)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
   plan.mInstances = { 1 };
   plan.mEngines = 1;
-  plan.mEngineWords = { "--token_ms=20" };
+  plan.mEngineFlags = { "--token_ms=20" };
   Fleet fleet(plan);
   std::string key = fleet.mKeys["acme"];
   fleet.Chat(0, key, "chat-m0", 1);
--- a/tests/process/ConfigTest.cpp
+++ b/tests/process/ConfigTest.cpp
@@ -45,7 +45,7 @@
 TEST(Keys, WithdrawnWhileStreaming)
 {
   FleetPlan plan;
-  plan.mEngineWords = { "--token_ms=50" };
+  plan.mEngineFlags = { "--token_ms=50" };
   Fleet fleet(plan);
   std::string key = fleet.mKeys["acme"];
   fleet.Chat(0, key, "chat-m0", 1);
--- a/tests/process/WholePathTest.cpp
+++ b/tests/process/EndToEndTest.cpp
@@ -5,7 +5,7 @@
 
 namespace caraway {
 
-TEST(WholePath, NoEndpointSeesTheKeyAndListsAreTheTenants)
+TEST(EndToEnd, NoEndpointSeesTheKeyAndListsAreTheTenants)
 {
   Fleet fleet({});
   std::string key = fleet.mKeys["acme"];
--- a/tests/process/HomeZoneTest.cpp
+++ b/tests/process/HomeZoneTest.cpp
@@ -59,7 +59,7 @@
 // that the home is silent, each would be late by an owner's time; the one that
 // found it and the model's owner both know, so that with three instances it is
 // found twice at most.
-TEST(HomeZones, CutOffHomeIsFoundSilentOnce)
+TEST(HomeZones, PartitionedHomeZoneIsDetectedOnce)
 {
   FleetPlan plan = Plan();
   plan.mInstances = { 2, 3 };
@@ -84,7 +84,7 @@
 
 // A replica that the home has is used from everywhere until the home is lost;
 // its engine's process dies with requests to come.
-TEST(HomeZones, WarmAtHomeServesTheOthers)
+TEST(HomeZones, WarmReplicaInHomeZoneServesOtherZones)
 {
   Fleet fleet(Plan());
   std::string profile = AtHomeIn(fleet, "mendoza-a").at(0);
@@ -102,7 +102,7 @@
 // The instance that owns the model at its home dies. The other one there is
 // asked; taken for the loss of the zone, one death would make the home's models
 // cold for everyone else.
-TEST(HomeZones, OneDeathAtHomeIsNoLostZone)
+TEST(HomeZones, OneInstanceDeathDoesNotLoseTheHomeZone)
 {
   Fleet fleet(Plan());
   std::string profile = AtHomeIn(fleet, "mendoza-a").at(0);
--- a/tests/process/InTimeTest.cpp
+++ b/tests/process/InTimeTest.cpp
@@ -12,7 +12,7 @@
 // model keep being served in their time: they pass the queue, and a place is
 // kept from the briefings. What is refused of the flood is refused with when
 // to come back.
-TEST(InTime, BulletinsPassAFloodOfBriefings)
+TEST(InTime, BulletinsAreServedDuringABriefingFlood)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
@@ -73,7 +73,7 @@
 
 // All engines are gone. Every request is refused at once and says when to come
 // back; none waits for its deadline, half a minute away.
-TEST(InTime, NothingToServeIsSaidAtOnce)
+TEST(InTime, RefusedAtOnceWhenAllEnginesAreDown)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
@@ -116,7 +116,7 @@
 // has begun goes on for seconds and can't be put aside. Bulletins of a small
 // tenant are served in their time or refused at once, with when to come back;
 // none is held until its time is over, and most are served.
-TEST(InTime, BulletinsOnAnEngineThatSlows)
+TEST(InTime, BulletinsOnASlowedEngine)
 {
   Fleet fleet(OneEngine());
   ASSERT_TRUE(fleet.Chat(0, fleet.mKeys["acme"], "notice", 1).Ok());
@@ -163,7 +163,7 @@
 // A burst of chat, several times what can be served in time. Those refused
 // come back when they were told, once, and most are served then. Told the
 // length of the queue as it stands, all would come back at one moment.
-TEST(InTime, MostOfABurstAreServedWhenTheyComeBack)
+TEST(InTime, MostOfABurstAreServedOnRetry)
 {
   Fleet fleet(OneEngine());
   for (int i = 0; i < 8; ++i) {
--- a/tests/process/LeavingTest.cpp
+++ b/tests/process/LeavingTest.cpp
@@ -77,7 +77,7 @@
   plan.mZones = { "mendoza-a" };
   plan.mInstances = { 2 };
   plan.mServices = 2;
-  plan.mEngineWords = { "--token_ms=40" };
+  plan.mEngineFlags = { "--token_ms=40" };
   plan.mSettings = std::move(aSettings);
   return plan;
 }
@@ -195,12 +195,12 @@
 
 // A guest is being streamed to when the instance is told to end. The stream
 // ends whole, though nothing new is let in meanwhile.
-TEST(Leaving, WhatIsUnderWayEndsWhole)
+TEST(Leaving, InFlightStreamCompletes)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
   plan.mInstances = { 2 };
-  plan.mEngineWords = { "--token_ms=20" };
+  plan.mEngineFlags = { "--token_ms=20" };
   plan.mSettings = { "[shutdown]", "lag_ms = 200" };
   Fleet fleet(plan);
   std::string key = fleet.mKeys["acme"];
@@ -218,7 +218,7 @@
 
 // The balancer goes on sending until it has seen that an instance isn't ready.
 // Whatever it sends in that time is served.
-TEST(Leaving, ServesOnUntilTheBalancerHasSeen)
+TEST(Leaving, ServesDuringTheBalancerLag)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
@@ -241,12 +241,12 @@
 // backlog it would wait for the end and then be reset, with its request sent;
 // it is told at once to ask another. Of an order that may have been sent
 // before, the refusal doesn't say that it never ran.
-TEST(Leaving, WhoeverStillComesIsToldAtOnce)
+TEST(Leaving, NewRequestsAreRefusedWhileDraining)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
   plan.mInstances = { 2 };
-  plan.mEngineWords = { "--token_ms=40" };
+  plan.mEngineFlags = { "--token_ms=40" };
   plan.mSettings = { "[shutdown]", "lag_ms = 200" };
   Fleet fleet(plan);
   std::string key = fleet.mKeys["acme"];
@@ -272,7 +272,7 @@
 
 // An engine is taken out of the configuration while it serves. What it is
 // serving ends whole; a second later it gets nothing new.
-TEST(Leaving, EndpointTakenOutGetsNoNewWork)
+TEST(Leaving, RemovedEndpointGetsNoNewWork)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
@@ -308,7 +308,7 @@
 }
 
 // Guards against: what the time limit cuts gets no last answer, or a late one.
-TEST(Leaving, WhatTheLimitCutsIsAnswered)
+TEST(Leaving, RequestsCutByTheLimitAreAnswered)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 200", "limit_s = 2" }));
   std::string key = fleet.mKeys["acme"];
@@ -343,7 +343,7 @@
 }
 
 // Guards against: a kept connection is closed under its caller's next request.
-TEST(Leaving, AnswersEndTheirConnections)
+TEST(Leaving, AnswersCloseTheirConnections)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 3000" }));
   std::string key = fleet.mKeys["acme"];
@@ -379,7 +379,7 @@
 
 // Guards against: a request that is whole only late is begun, for the end to
 // cut.
-TEST(Leaving, RequestThatIsWholeTooLateIsntBegun)
+TEST(Leaving, LateCompletedRequestIsNotStarted)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 500", "limit_s = 2" }));
   std::string key = fleet.mKeys["acme"];
@@ -400,7 +400,7 @@
 }
 
 // Guards against: peers that don't answer hold up the last answers.
-TEST(Leaving, FrozenPeersDontHoldItUp)
+TEST(Leaving, FrozenPeersDontDelayShutdown)
 {
   FleetPlan plan = SlowPlan({ "[shutdown]", "lag_ms = 200", "limit_s = 2" });
   plan.mInstances = { 6 };
@@ -424,7 +424,7 @@
 }
 
 // Guards against: an operator's request under way is dropped at the end.
-TEST(Leaving, OperatorsRequestUnderWayIsAnswered)
+TEST(Leaving, InFlightAdminRequestIsAnswered)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 200" }));
   SlowRequest request(fleet.mInstances[1]->Address("admin"),
@@ -440,7 +440,7 @@
 }
 
 // Guards against: a call is sent again so late that the end cuts the repeat.
-TEST(Leaving, RepeatThatTheEndWouldCutIsntSent)
+TEST(Leaving, RetryPastTheLimitIsNotSent)
 {
   Fleet fleet(SlowPlan({ "[shutdown]", "lag_ms = 200", "limit_s = 3" }));
   ServiceFaults(fleet, 1000, 1);
--- a/tests/process/PlacementTest.cpp
+++ b/tests/process/PlacementTest.cpp
@@ -131,7 +131,7 @@
   plan.mZones = { "mendoza-a" };
   plan.mInstances = { 3 };
   plan.mEngines = 2;
-  plan.mEngineWords = { "--store=", "--load_ms=1200" };
+  plan.mEngineFlags = { "--store=", "--load_ms=1200" };
   Fleet fleet(plan);
   auto first = std::async(std::launch::async, [&] {
     return fleet.Chat(0, fleet.mKeys["acme"], "chat-m0", 4);
@@ -151,13 +151,13 @@
 // The owner is frozen after it decided. The others give up on it, load and go
 // on; when it thaws it finds its decision old and orders nothing by it. The
 // engine's memory was never overcommitted.
-TEST(Placement, FrozenOwnerThaws)
+TEST(Placement, FrozenOwnerOrdersNothingAfterThaw)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
   plan.mInstances = { 3 };
   plan.mEngines = 1;
-  plan.mEngineWords = { "--store=", "--load_ms=400" };
+  plan.mEngineFlags = { "--store=", "--load_ms=400" };
   Fleet fleet(plan);
   Auditor auditor(fleet);
   auto first = std::async(std::launch::async, [&] {
@@ -181,7 +181,7 @@
   EXPECT_EQ(fleet.EngineAudit("overcommits"), 0);
 }
 
-class PlacementTrouble : public testing::TestWithParam<bool>
+class PlacementUnderFaults : public testing::TestWithParam<bool>
 {};
 
 // Four models want the memory of two engines of a zone, from three instances
@@ -189,14 +189,14 @@
 // out, and instances are killed and frozen, by a fixed seed. At no look from
 // outside does an engine hold what isn't decided, and never more bytes than
 // its memory, whether it checks fencing numbers or not.
-TEST_P(PlacementTrouble, NeverMoreThanDecided)
+TEST_P(PlacementUnderFaults, NeverMoreThanDecided)
 {
   FleetPlan plan;
   plan.mZones = { "mendoza-a" };
   plan.mInstances = { 3 };
   plan.mEngines = 2;
   plan.mFencing = GetParam();
-  plan.mEngineWords = { "--store=", "--load_ms=60" };
+  plan.mEngineFlags = { "--store=", "--load_ms=60" };
   plan.mSettings = { "timeout_ms = 300" }; // of [platform]
   Fleet fleet(plan);
   Auditor auditor(fleet);
@@ -248,7 +248,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Fencing,
-                         PlacementTrouble,
+                         PlacementUnderFaults,
                          testing::Bool(),
                          [](const auto& aInfo) {
                            return aInfo.param ? "Checked" : "Ignored";
--- a/tests/process/ShareTest.cpp
+++ b/tests/process/ShareTest.cpp
@@ -33,7 +33,7 @@
           call.mHeaders = { { "Authorization",
                               "Bearer " + aFleet.mKeys["acme"] } };
           HttpReply reply = HttpCallOnce(call);
-          mLetIn += reply.Ok() ? 1 : 0;
+          mAdmitted += reply.Ok() ? 1 : 0;
           mRefused += reply.mStatus == 429 ? 1 : 0;
           mOther += !reply.Ok() && reply.mStatus != 429 ? 1 : 0;
           next = std::max(next + aPeriod, std::chrono::steady_clock::now());
@@ -51,13 +51,13 @@
     }
     mThreads.clear();
   }
-  double Seconds1() const
+  double ElapsedSeconds() const
   {
     return std::chrono::duration<double>(std::chrono::steady_clock::now() -
                                          mBegun)
       .count();
   }
-  std::atomic<int> mLetIn{ 0 };
+  std::atomic<int> mAdmitted{ 0 };
   std::atomic<int> mRefused{ 0 };
   std::atomic<int> mOther{ 0 };
 
@@ -84,16 +84,16 @@
 // cut off and mended, the platform goes out, one instance is frozen and thawed
 // and one is killed and started again. Over the whole time it is let in no
 // more often than burst + rate x time, and it is let in throughout.
-TEST(Share, NeverMoreThanRateAndBurstUnderTrouble)
+TEST(Share, RateAndBurstHoldUnderFaults)
 {
   const double rate = 40;
   const double burst = 40;
   Fleet fleet(Plan(rate, burst));
   Load load(fleet, { 0, 0, 1, 1, 2, 2 });
-  auto letInDuring = [&](const std::function<void()>& aTrouble) {
-    int before = load.mLetIn;
-    aTrouble();
-    return load.mLetIn - before;
+  auto letInDuring = [&](const std::function<void()>& aTomlErrors) {
+    int before = load.mAdmitted;
+    aTomlErrors();
+    return load.mAdmitted - before;
   };
   auto wait = [] { std::this_thread::sleep_for(Millis(1500)); };
   EXPECT_GT(letInDuring(wait), 0);
@@ -116,8 +116,8 @@
   fleet.mInstances[0]->Kill();
   wait();
   load.Stop();
-  EXPECT_LE(load.mLetIn, burst + rate * load.Seconds1());
-  EXPECT_GT(load.mRefused, load.mLetIn);
+  EXPECT_LE(load.mAdmitted, burst + rate * load.ElapsedSeconds());
+  EXPECT_GT(load.mRefused, load.mAdmitted);
 }
 
 // All of a tenant's calls reach one instance of one zone, at well under its
@@ -131,7 +131,7 @@
   Load load(fleet, { 2 }, Micros(3700));
   std::this_thread::sleep_for(Millis(4000));
   load.Stop();
-  EXPECT_GT(load.mLetIn, 200);
+  EXPECT_GT(load.mAdmitted, 200);
   EXPECT_EQ(load.mRefused, 0);
   EXPECT_EQ(load.mOther, 0);
   EXPECT_GT(fleet.Metric(2, "caraway_share_borrowed_total") +
--- a/tests/process/StoreGateTest.cpp
+++ b/tests/process/StoreGateTest.cpp
@@ -11,7 +11,7 @@
 
 // A zone's loss in small: many models wake at once in both zones, and a
 // bulletin's model after them.
-class WakingFleet : public ::testing::Test
+class ColdStartFleet : public ::testing::Test
 {
 protected:
   static FleetPlan Plan()
@@ -59,7 +59,7 @@
 // Fourteen loads begin at once; the store would slow all of them, and the
 // bulletin that comes a moment later with them. Four go at a time, and the
 // bulletin's model before all that still wait.
-TEST_F(WakingFleet, BulletinsModelGoesBeforeThoseThatWait)
+TEST_F(ColdStartFleet, UrgentModelLoadsBeforeWaitingOnes)
 {
   Wake();
   EXPECT_TRUE(
@@ -81,7 +81,7 @@
 // The zones can't reach each other, only the platform. Each goes on with its
 // part of the store's limit instead of waiting for a gate it can't ask. Until
 // all have noticed the cut there may be two gates with the whole limit.
-TEST_F(WakingFleet, CutZonesGoOnWithTheirParts)
+TEST_F(ColdStartFleet, PartitionedZonesUseTheirParts)
 {
   mFleet.CutZone("uspallata-b", true);
   Json::Value pass;
--- a/tests/property/BriefingProperty.cpp
+++ b/tests/property/BriefingProperty.cpp
@@ -2,7 +2,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "caraway/PausedClock.h"
-#include "serve/BriefingTurns.h"
+#include "serve/BriefingSteps.h"
 #include "support/MemoryPlatform.h"
 #include "support/RandomChoices.h"
 
@@ -19,7 +19,7 @@
   {
   }
   BriefingStore mStore;
-  BriefingTurns mTurns;
+  BriefingSteps mTurns;
 };
 
 struct World
--- a/tests/property/ConfigProperty.cpp
+++ b/tests/property/ConfigProperty.cpp
@@ -117,9 +117,10 @@
     }
     Beat beat = mBeats.front();
     mBeats.erase(mBeats.begin());
-    mFollowers[beat.mTo]->mFollower.PeerSaid(beat.mSaid, beat.mAsked, [&] {
-      return aTape.Below(4) == 0 ? std::nullopt : std::optional(beat.mConfig);
-    });
+    mFollowers[beat.mTo]->mFollower.OnPeerFreshness(
+      beat.mSaid, beat.mAsked, [&] {
+        return aTape.Below(4) == 0 ? std::nullopt : std::optional(beat.mConfig);
+      });
   }
 
   void Step(RandomChoices& aTape)
--- a/tests/property/LeavePlanProperty.cpp
+++ b/tests/property/LeavePlanProperty.cpp
@@ -53,7 +53,7 @@
     } else {
       RC_ASSERT(start >= plan.End() || (!bounded && !fits));
     }
-    RC_ASSERT(plan.MayGoOn(start) == (start < plan.End()));
+    RC_ASSERT(plan.MayContinue(start) == (start < plan.End()));
   }
 }
 
--- a/tests/soak/SoakCall.h
+++ b/tests/soak/SoakCall.h
@@ -22,7 +22,7 @@
   SoakKind mKind = SoakKind::Order;
   std::string mTenant;
   size_t mInstance = 0;
-  int mOnConn = 0; // requests before it on its connection
+  int mRequestsOnConnection = 0; // requests before it on its connection
   TimePoint mSent{};
   TimePoint mEnded{}; // whole answer, or end of the connection
   int mStatus = 0;    // 0 = no head came
--- a/tests/soak/SoakCaller.cpp
+++ b/tests/soak/SoakCaller.cpp
@@ -52,7 +52,7 @@
 SoakCaller::Connect(size_t aInstance)
 {
   mInstance = aInstance;
-  mOnConn = 0;
+  mRequestsOnConnection = 0;
   EntryTestFleet& world = mSite.World();
   mChannel = Channel::Connect(
     world.mReactor, world.CallerAddress(aInstance), Seconds(1));
@@ -113,7 +113,7 @@
     Connect(*instance);
   }
   call.mConnected = kept;
-  call.mOnConn = mOnConn++;
+  call.mRequestsOnConnection = mRequestsOnConnection++;
   mCall = &call;
   mChannel->Write(TextOf(call));
   std::weak_ptr<SoakCaller> weak = weak_from_this();
--- a/tests/soak/SoakCaller.h
+++ b/tests/soak/SoakCaller.h
@@ -47,7 +47,7 @@
   std::string mTenant;
   std::shared_ptr<Channel> mChannel;
   size_t mInstance = 0;
-  int mOnConn = 0;
+  int mRequestsOnConnection = 0;
   SoakCall* mCall = nullptr; // under way
   std::optional<HttpHead> mHead;
   std::optional<BodyReader> mReader;
--- a/tests/soak/SoakChecks.cpp
+++ b/tests/soak/SoakChecks.cpp
@@ -44,7 +44,7 @@
     for (const SoakCall& call : mRecord.mCalls) {
       Answered(call);
       Once(call);
-      TrueRefusal(call);
+      RefusalNotRun(call);
       OwnAnswer(call);
       OwnTenant(call);
     }
@@ -60,14 +60,14 @@
       auto since = std::chrono::duration_cast<Millis>(aTime - mRecord.mBegan);
       return std::to_string(since.count());
     };
-    mBroken.push_back(std::string(aRule) + ": " + aCall.mId + " kind " +
-                      std::to_string(static_cast<int>(aCall.mKind)) +
-                      " at instance " + std::to_string(aCall.mInstance) +
-                      ", request " + std::to_string(aCall.mOnConn) +
-                      " on its connection, sent " + at(aCall.mSent) +
-                      " ended " + at(aCall.mEnded) + " ms, status " +
-                      std::to_string(aCall.mStatus) + ", runs " +
-                      std::to_string(Runs(aCall).size()));
+    mBroken.push_back(
+      std::string(aRule) + ": " + aCall.mId + " kind " +
+      std::to_string(static_cast<int>(aCall.mKind)) + " at instance " +
+      std::to_string(aCall.mInstance) + ", request " +
+      std::to_string(aCall.mRequestsOnConnection) +
+      " on its connection, sent " + at(aCall.mSent) + " ended " +
+      at(aCall.mEnded) + " ms, status " + std::to_string(aCall.mStatus) +
+      ", runs " + std::to_string(Runs(aCall).size()));
   }
   const std::vector<ServerRun>& Runs(const SoakCall& aCall) const
   {
@@ -76,22 +76,22 @@
     return found == mRecord.mRuns.end() ? kNone : found->second;
   }
   // A trouble of aKind came between a call's sending and its end.
-  bool Met(const SoakCall& aCall, TroubleKind aKind, bool aAnywhere) const
+  bool Met(const SoakCall& aCall, SoakFaultKind aKind, bool aAnywhere) const
   {
     return std::any_of(mRecord.mTroubles.begin(),
                        mRecord.mTroubles.end(),
-                       [&](const SoakTrouble& aTrouble) {
-                         return aTrouble.mKind == aKind &&
+                       [&](const SoakFault& aTomlErrors) {
+                         return aTomlErrors.mKind == aKind &&
                                 (aAnywhere ||
-                                 aTrouble.mInstance == aCall.mInstance) &&
-                                aTrouble.mFrom <= aCall.mEnded + kSlack &&
-                                aTrouble.mUntil + kSlack >= aCall.mSent;
+                                 aTomlErrors.mInstance == aCall.mInstance) &&
+                                aTomlErrors.mFrom <= aCall.mEnded + kSlack &&
+                                aTomlErrors.mUntil + kSlack >= aCall.mSent;
                        });
   }
-  bool CutByTheEnd(const SoakCall& aCall) const
+  bool CutByShutdown(const SoakCall& aCall) const
   {
-    for (const SoakTrouble& trouble : mRecord.mTroubles) {
-      if (trouble.mKind == TroubleKind::Terminate &&
+    for (const SoakFault& trouble : mRecord.mTroubles) {
+      if (trouble.mKind == SoakFaultKind::Terminate &&
           trouble.mInstance == aCall.mInstance &&
           aCall.mSent <= trouble.mFrom + kEarly &&
           aCall.mEnded >=
@@ -111,10 +111,10 @@
       return;
     }
     bool serverBroke =
-      !Runs(aCall).empty() && Met(aCall, TroubleKind::Servers, true);
-    bool excused = Met(aCall, TroubleKind::Kill, false) ||
-                   Met(aCall, TroubleKind::Freeze, false) || serverBroke ||
-                   CutByTheEnd(aCall);
+      !Runs(aCall).empty() && Met(aCall, SoakFaultKind::Servers, true);
+    bool excused = Met(aCall, SoakFaultKind::Kill, false) ||
+                   Met(aCall, SoakFaultKind::Freeze, false) || serverBroke ||
+                   CutByShutdown(aCall);
     if (!excused) {
       Break("lost", aCall);
     }
@@ -127,7 +127,7 @@
       Break("run twice", aCall);
     }
   }
-  void TrueRefusal(const SoakCall& aCall)
+  void RefusalNotRun(const SoakCall& aCall)
   {
     bool promised = aCall.mStatus == 429 || aCall.mStatus == 503 ||
                     aCall.mStatus == 408 || aCall.mStatus == 421;
@@ -197,8 +197,8 @@
     int sent = 0;
     int served = 0;
     for (const SoakCall& call : mRecord.mCalls) {
-      if (call.mTenant != kLimitedTenant && call.mSent >= mRecord.mCalmFrom &&
-          call.mEnded != TimePoint()) {
+      if (call.mTenant != kLimitedTenant &&
+          call.mSent >= mRecord.mFaultFreeFrom && call.mEnded != TimePoint()) {
         ++sent;
         served += call.mWhole && call.mStatus == 200 ? 1 : 0;
       }
@@ -216,7 +216,7 @@
 } // namespace
 
 std::vector<std::string>
-SoakBroken(const SoakRecord& aRecord)
+SoakViolations(const SoakRecord& aRecord)
 {
   return Checks(aRecord).All();
 }
--- a/tests/soak/SoakChecks.h
+++ b/tests/soak/SoakChecks.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "soak/SoakCall.h"
-#include "soak/SoakTrouble.h"
+#include "soak/SoakFault.h"
 #include "support/StandInServer.h"
 
 namespace caraway {
@@ -16,10 +16,10 @@
 struct SoakRecord
 {
   std::deque<SoakCall> mCalls;
-  std::vector<SoakTrouble> mTroubles;
+  std::vector<SoakFault> mTroubles;
   std::map<std::string, std::vector<ServerRun>> mRuns; // by request id
   TimePoint mBegan{};
-  TimePoint mCalmFrom{}; // no trouble any more
+  TimePoint mFaultFreeFrom{}; // no trouble any more
   TimePoint mEnded{};
 };
 
@@ -35,7 +35,7 @@
 
 // A line for each thing that doesn't hold; empty = all holds.
 std::vector<std::string>
-SoakBroken(const SoakRecord& aRecord);
+SoakViolations(const SoakRecord& aRecord);
 
 } // namespace caraway
 
--- a/tests/soak/SoakTrouble.h
+++ b/tests/soak/SoakFault.h
@@ -1,7 +1,7 @@
-// SoakTrouble.h: what was done to an instance or to what it depends on, and
+// SoakFault.h: what was done to an instance or to what it depends on, and
 // when.
-#ifndef caraway_soak_SoakTrouble_h
-#define caraway_soak_SoakTrouble_h
+#ifndef caraway_soak_SoakFault_h
+#define caraway_soak_SoakFault_h
 
 #include <string>
 
@@ -9,7 +9,7 @@
 
 namespace caraway {
 
-enum class TroubleKind
+enum class SoakFaultKind
 {
   Terminate, // SIGTERM
   Kill,      // SIGKILL
@@ -21,9 +21,9 @@
   Drain,     // a server leaves, and comes back
 };
 
-struct SoakTrouble
+struct SoakFault
 {
-  TroubleKind mKind = TroubleKind::Configure;
+  SoakFaultKind mKind = SoakFaultKind::Configure;
   size_t mInstance = 0; // of the first four
   TimePoint mFrom{};
   TimePoint mUntil{}; // of a process that was told to end: it is gone
--- a/tests/soak/SoakRun.cpp
+++ b/tests/soak/SoakRun.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 // The balancer's.
-constexpr Millis kAskReadiness{ 1000 };
+constexpr Millis kReadinessProbeInterval{ 1000 };
 
-constexpr int kMostMisses = 2;
+constexpr int kMaxMissedProbes = 2;
 
 constexpr Millis kLook{ 20 };
 
@@ -23,7 +23,7 @@
 // After the last trouble, before all must be served again; and how long then.
 constexpr Millis kRecovery{ 12000 };
 
-constexpr Millis kCalm{ 4000 };
+constexpr Millis kFaultFreePeriod{ 4000 };
 
 EntryFleetOptions
 WorldPlan(const SoakPlan& aPlan)
@@ -88,13 +88,14 @@
       mPlan.mProgram, name + ".toml", name + ".log");
     instance.mProcess->Start();
     mInstances.push_back(std::move(instance));
-    mWorld->mReactor.Every(kAskReadiness, [this, i] { AskReadiness(i); });
-    mWorld->mReactor.Every(kLook, [this, i] { LookAfter(i); });
+    mWorld->mReactor.Every(kReadinessProbeInterval,
+                           [this, i] { ProbeReadiness(i); });
+    mWorld->mReactor.Every(kLook, [this, i] { SuperviseInstance(i); });
   }
 }
 
 void
-SoakRun::AskReadiness(size_t aIndex)
+SoakRun::ProbeReadiness(size_t aIndex)
 {
   OutboundRequest request;
   request.mAddress = mWorld->ReadinessAddress(aIndex);
@@ -105,9 +106,9 @@
   StartBufferedCall(mWorld->mReactor,
                     mPool,
                     std::move(request),
-                    kAskReadiness / 2,
+                    kReadinessProbeInterval / 2,
                     [this, aIndex](BufferedAnswer& aAnswer) {
-                      int& misses = mInstances[aIndex].mMisses;
+                      int& misses = mInstances[aIndex].mMissedProbes;
                       misses = aAnswer.mStatus == 200 ? 0 : misses + 1;
                     });
 }
@@ -117,7 +118,7 @@
 {
   std::vector<size_t> ready;
   for (size_t i = 0; i < mInstances.size(); ++i) {
-    if (mInstances[i].mMisses < kMostMisses) {
+    if (mInstances[i].mMissedProbes < kMaxMissedProbes) {
       ready.push_back(i);
     }
   }
@@ -141,7 +142,7 @@
 // ---- Processes
 
 void
-SoakRun::LookAfter(size_t aIndex)
+SoakRun::SuperviseInstance(size_t aIndex)
 {
   Instance& instance = mInstances[aIndex];
   TimePoint now = Now();
@@ -150,35 +151,35 @@
     instance.mProcess->Signal(SIGCONT);
   }
   if (instance.mProcess->Running()) {
-    bool late = instance.mToldToEnd != TimePoint() &&
-                now > instance.mToldToEnd + kSoakGrace;
-    if (late && now > instance.mToldToEnd + kSoakGrace + kGraceSlack) {
+    bool late = instance.mTerminatedAt != TimePoint() &&
+                now > instance.mTerminatedAt + kSoakGrace;
+    if (late && now > instance.mTerminatedAt + kSoakGrace + kGraceSlack) {
       Kill(aIndex);
     }
     return;
   }
   if (instance.mStartAt == TimePoint()) {
-    OnGone(instance, aIndex);
+    OnExit(instance, aIndex);
   } else if (now >= instance.mStartAt && !mEnding) {
     instance.mStartAt = TimePoint();
-    instance.mToldToEnd = TimePoint();
-    instance.mEnds = SIZE_MAX;
+    instance.mTerminatedAt = TimePoint();
+    instance.mEndingFault = SIZE_MAX;
     instance.mProcess->Start();
   }
 }
 
 void
-SoakRun::OnGone(Instance& aInstance, size_t aIndex)
+SoakRun::OnExit(Instance& aInstance, size_t aIndex)
 {
   int code = aInstance.mProcess->Code();
-  bool told = aInstance.mToldToEnd != TimePoint();
+  bool told = aInstance.mTerminatedAt != TimePoint();
   bool killed = code == -SIGKILL;
   if ((told && !killed && code != 0) || (!told && !killed)) {
     mBroken.push_back("instance " + std::to_string(aIndex) +
                       " ended by itself with " + std::to_string(code));
   }
-  if (aInstance.mEnds != SIZE_MAX) {
-    mRecord.mTroubles[aInstance.mEnds].mUntil = Now();
+  if (aInstance.mEndingFault != SIZE_MAX) {
+    mRecord.mTroubles[aInstance.mEndingFault].mUntil = Now();
   }
   aInstance.mStartAt = Now() + Millis(Draw(200, 1500));
 }
@@ -187,11 +188,11 @@
 SoakRun::Terminate(size_t aIndex)
 {
   Instance& instance = mInstances[aIndex];
-  if (!instance.mProcess->Running() || instance.mToldToEnd != TimePoint()) {
+  if (!instance.mProcess->Running() || instance.mTerminatedAt != TimePoint()) {
     return;
   }
-  instance.mToldToEnd = Now();
-  instance.mEnds = Note(TroubleKind::Terminate, aIndex, kSoakGrace);
+  instance.mTerminatedAt = Now();
+  instance.mEndingFault = Note(SoakFaultKind::Terminate, aIndex, kSoakGrace);
   instance.mProcess->Signal(SIGTERM);
 }
 
@@ -200,13 +201,13 @@
 {
   Instance& instance = mInstances[aIndex];
   bool frozen = instance.mFrozenUntil != TimePoint();
-  bool late = instance.mToldToEnd != TimePoint() &&
-              Now() > instance.mToldToEnd + kSoakGrace;
+  bool late = instance.mTerminatedAt != TimePoint() &&
+              Now() > instance.mTerminatedAt + kSoakGrace;
   if (late && !frozen) {
     mBroken.push_back("instance " + std::to_string(aIndex) +
                       " still runs when its granted time is over");
   }
-  instance.mEnds = Note(TroubleKind::Kill, aIndex, Millis(0));
+  instance.mEndingFault = Note(SoakFaultKind::Kill, aIndex, Millis(0));
   instance.mProcess->Signal(SIGKILL);
 }
 
@@ -215,7 +216,7 @@
 {
   Instance& instance = mInstances[aIndex];
   if (instance.mProcess->Running() && instance.mFrozenUntil == TimePoint()) {
-    Note(TroubleKind::Freeze, aIndex, aFor);
+    Note(SoakFaultKind::Freeze, aIndex, aFor);
     instance.mFrozenUntil = Now() + aFor;
     instance.mProcess->Signal(SIGSTOP);
   }
@@ -224,60 +225,62 @@
 // ---- Troubles
 
 size_t
-SoakRun::Note(TroubleKind aKind, size_t aInstance, Millis aFor)
+SoakRun::Note(SoakFaultKind aKind, size_t aInstance, Millis aFor)
 {
   mRecord.mTroubles.push_back({ aKind, aInstance, Now(), Now() + aFor });
   return mRecord.mTroubles.size() - 1;
 }
 
 void
-SoakRun::NextTrouble()
+SoakRun::InjectNextFault()
 {
   if (mFaultsStopped) {
     return;
   }
   // Most often what changes processes and configurations: in series, over one
   // another.
-  constexpr TroubleKind kKinds[] = {
-    TroubleKind::Terminate, TroubleKind::Terminate, TroubleKind::Terminate,
-    TroubleKind::Configure, TroubleKind::Configure, TroubleKind::Configure,
-    TroubleKind::Reload,    TroubleKind::Kill,      TroubleKind::Freeze,
-    TroubleKind::Store,     TroubleKind::Servers,   TroubleKind::Drain,
+  constexpr SoakFaultKind kKinds[] = {
+    SoakFaultKind::Terminate, SoakFaultKind::Terminate,
+    SoakFaultKind::Terminate, SoakFaultKind::Configure,
+    SoakFaultKind::Configure, SoakFaultKind::Configure,
+    SoakFaultKind::Reload,    SoakFaultKind::Kill,
+    SoakFaultKind::Freeze,    SoakFaultKind::Store,
+    SoakFaultKind::Servers,   SoakFaultKind::Drain,
   };
   Do(kKinds[static_cast<size_t>(Draw(0, std::size(kKinds) - 1))]);
-  mWorld->mReactor.After(Millis(Draw(50, 2200)), [this] { NextTrouble(); });
+  mWorld->mReactor.After(Millis(Draw(50, 2200)), [this] { InjectNextFault(); });
 }
 
 void
-SoakRun::Do(TroubleKind aKind)
+SoakRun::Do(SoakFaultKind aKind)
 {
   size_t index =
     static_cast<size_t>(Draw(0, static_cast<int>(mInstances.size()) - 1));
   Millis lasts(Draw(200, 4000));
   switch (aKind) {
-    case TroubleKind::Terminate:
+    case SoakFaultKind::Terminate:
       Terminate(index);
       break;
-    case TroubleKind::Kill:
+    case SoakFaultKind::Kill:
       Kill(index);
       break;
-    case TroubleKind::Freeze:
+    case SoakFaultKind::Freeze:
       Freeze(index, lasts);
       break;
-    case TroubleKind::Reload:
+    case SoakFaultKind::Reload:
       Note(aKind, index, Millis(0));
       mInstances[index].mProcess->Signal(SIGHUP);
       break;
-    case TroubleKind::Configure:
+    case SoakFaultKind::Configure:
       ChangeConfiguration();
       break;
-    case TroubleKind::Store:
-      TroubleStore(lasts);
+    case SoakFaultKind::Store:
+      InjectStoreFault(lasts);
       break;
-    case TroubleKind::Servers:
-      TroubleServers(lasts / 2);
+    case SoakFaultKind::Servers:
+      InjectServerFault(lasts / 2);
       break;
-    case TroubleKind::Drain:
+    case SoakFaultKind::Drain:
       DrainServer(lasts);
       break;
   }
@@ -286,7 +289,7 @@
 void
 SoakRun::ChangeConfiguration()
 {
-  Note(TroubleKind::Configure, 0, Millis(0));
+  Note(SoakFaultKind::Configure, 0, Millis(0));
   Json::Value& config = mWorld->mConfig;
   switch (Draw(0, 3)) {
     case 0:
@@ -307,14 +310,14 @@
 }
 
 void
-SoakRun::TroubleStore(Millis aFor)
+SoakRun::InjectStoreFault(Millis aFor)
 {
   constexpr StandInStore::FaultMode kMoods[] = {
     StandInStore::FaultMode::Silent,
     StandInStore::FaultMode::Busy,
     StandInStore::FaultMode::Loses
   };
-  Note(TroubleKind::Store, 0, aFor);
+  Note(SoakFaultKind::Store, 0, aFor);
   mWorld->mStore->SetFaultModeOfAll(kMoods[static_cast<size_t>(Draw(0, 2))]);
   mWorld->mReactor.After(aFor, [this] {
     mWorld->mStore->SetFaultModeOfAll(StandInStore::FaultMode::Serves);
@@ -322,13 +325,13 @@
 }
 
 void
-SoakRun::TroubleServers(Millis aFor)
+SoakRun::InjectServerFault(Millis aFor)
 {
   constexpr ServerBehaviour kManners[] = { ServerBehaviour::RunsThenCloses,
                                            ServerBehaviour::StopsMidway,
                                            ServerBehaviour::Fails,
                                            ServerBehaviour::Refuses };
-  Note(TroubleKind::Servers, 0, aFor);
+  Note(SoakFaultKind::Servers, 0, aFor);
   auto& servers = Draw(0, 1) ? mWorld->mEngines : mWorld->mPlain;
   StandInServer* server = servers[static_cast<size_t>(Draw(0, 1))].get();
   server->mBehaviour = kManners[static_cast<size_t>(Draw(0, 3))];
@@ -339,7 +342,7 @@
 void
 SoakRun::DrainServer(Millis aFor)
 {
-  Note(TroubleKind::Drain, 0, aFor);
+  Note(SoakFaultKind::Drain, 0, aFor);
   StandInServer* server = mWorld->mPlain[static_cast<size_t>(Draw(0, 1))].get();
   mWorld->List(*server, "plain", "a", "draining");
   mWorld->mReactor.After(
@@ -359,12 +362,12 @@
     mCallers.push_back(std::make_shared<SoakCaller>(*this, tenant));
     mCallers.back()->Next(Millis(Draw(0, 1000)));
   }
-  mWorld->mReactor.After(Seconds(2), [this] { NextTrouble(); });
+  mWorld->mReactor.After(Seconds(2), [this] { InjectNextFault(); });
   mWorld->For(mPlan.mLength);
   mFaultsStopped = true;
   mWorld->For(kRecovery);
-  mRecord.mCalmFrom = Now();
-  mWorld->For(kCalm);
+  mRecord.mFaultFreeFrom = Now();
+  mWorld->For(kFaultFreePeriod);
   mEnding = true;
   mWorld->For(Seconds(14)); // every call has its end
   mRecord.mEnded = Now();
@@ -375,7 +378,7 @@
       }
     }
   }
-  std::vector<std::string> broken = SoakBroken(mRecord);
+  std::vector<std::string> broken = SoakViolations(mRecord);
   broken.insert(broken.end(), mBroken.begin(), mBroken.end());
   return broken;
 }
--- a/tests/soak/SoakRun.h
+++ b/tests/soak/SoakRun.h
@@ -39,27 +39,27 @@
   struct Instance
   {
     std::unique_ptr<EntryProcess> mProcess;
-    TimePoint mToldToEnd{}; // by SIGTERM
-    TimePoint mStartAt{};   // when it isn't running
+    TimePoint mTerminatedAt{}; // by SIGTERM
+    TimePoint mStartAt{};      // when it isn't running
     TimePoint mFrozenUntil{};
-    size_t mEnds = SIZE_MAX; // of mTroubles: what it ends by
-    int mMisses = 2;         // of the balancer's questions
+    size_t mEndingFault = SIZE_MAX; // of mTroubles: what it ends by
+    int mMissedProbes = 2;          // of the balancer's questions
   };
   void Prepare();
   void StartInstances();
-  void AskReadiness(size_t aIndex);
-  void LookAfter(size_t aIndex);
-  void OnGone(Instance& aInstance, size_t aIndex);
-  void NextTrouble();
-  void Do(TroubleKind aKind);
+  void ProbeReadiness(size_t aIndex);
+  void SuperviseInstance(size_t aIndex);
+  void OnExit(Instance& aInstance, size_t aIndex);
+  void InjectNextFault();
+  void Do(SoakFaultKind aKind);
   void Terminate(size_t aIndex);
   void Kill(size_t aIndex);
   void Freeze(size_t aIndex, Millis aFor);
   void ChangeConfiguration();
-  void TroubleStore(Millis aFor);
-  void TroubleServers(Millis aFor);
+  void InjectStoreFault(Millis aFor);
+  void InjectServerFault(Millis aFor);
   void DrainServer(Millis aFor);
-  size_t Note(TroubleKind aKind, size_t aInstance, Millis aFor);
+  size_t Note(SoakFaultKind aKind, size_t aInstance, Millis aFor);
   int Draw(int aFrom, int aTo);
   TimePoint Now() const { return mWorld->mClock.Now(); }
 
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -56,10 +56,10 @@
 } // namespace
 
 int
-main(int aCount, char** aWords)
+main(int aCount, char** aArguments)
 {
   gflags::SetUsageMessage("soaks entry instances under faults");
-  gflags::ParseCommandLineFlags(&aCount, &aWords, true);
+  gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   unsigned bad = 0;
   for (unsigned i = 0; i < FLAGS_seeds; ++i) {
     bad += RunSeed(FLAGS_first + i) ? 0 : 1;
--- a/tests/standin/Engine.cpp
+++ b/tests/standin/Engine.cpp
@@ -167,7 +167,7 @@
     state["audit"]["bytes"] = Json::Int64(Bytes());
     state["audit"]["generated"] = mGenerated;
     state["audit"]["cancelled"] = mCancelled;
-    state["audit"]["saw_key"] = mSawKey;
+    state["audit"]["saw_key"] = mReceivedKey;
     return state;
   }
 
@@ -289,7 +289,7 @@
   int mOvercommits = 0;
   int mGenerated = 0;
   int mCancelled = 0;
-  bool mSawKey = false;
+  bool mReceivedKey = false;
 };
 
 } // namespace
--- a/tests/standin/Service.cpp
+++ b/tests/standin/Service.cpp
@@ -33,12 +33,12 @@
     if (path == "/executions") {
       Json::Value answer(Json::objectValue);
       answer["runs"] = mRuns;
-      answer["saw_key"] = mSawKey;
+      answer["saw_key"] = mReceivedKey;
       lock.unlock();
       StandInSend(aOut, 200, answer);
       return;
     }
-    mSawKey = mSawKey || aIn.has("Authorization");
+    mReceivedKey = mReceivedKey || aIn.has("Authorization");
     mRuns[body] = mRuns[body].asInt() + 1;
     Millis delay(mFaults["delay_ms"].asInt64());
     bool lose = mFaults["lose_answers"].asInt() > 0;
@@ -67,7 +67,7 @@
   std::mutex mLock;
   Json::Value mRuns{ Json::objectValue }; // by body
   Json::Value mFaults{ Json::objectValue };
-  bool mSawKey = false;
+  bool mReceivedKey = false;
 };
 
 } // namespace
--- a/tests/standin/main.cpp
+++ b/tests/standin/main.cpp
@@ -77,16 +77,16 @@
 } // namespace caraway
 
 int
-main(int aCount, char** aWords)
+main(int aCount, char** aArguments)
 {
-  gflags::ParseCommandLineFlags(&aCount, &aWords, true);
+  gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
   sigaddset(&signals, SIGINT);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
-  std::string what = aCount > 1 ? aWords[1] : "";
+  std::string what = aCount > 1 ? aArguments[1] : "";
   if (what == "platform") {
     return caraway::RunPlatform();
   }
--- a/tests/support/Child.cpp
+++ b/tests/support/Child.cpp
@@ -29,12 +29,12 @@
 } // namespace
 
 Child::Child(const std::string& aProgram,
-             const std::vector<std::string>& aWords,
+             const std::vector<std::string>& aArguments,
              const std::string& aLog)
 {
   std::string path = std::string(CARAWAY_BIN_DIR) + "/" + aProgram;
   std::vector<char*> words = { const_cast<char*>(path.c_str()) };
-  for (const std::string& word : aWords) {
+  for (const std::string& word : aArguments) {
     words.push_back(const_cast<char*>(word.c_str()));
   }
   words.push_back(nullptr);
--- a/tests/support/Child.h
+++ b/tests/support/Child.h
@@ -15,7 +15,7 @@
 {
 public:
   Child(const std::string& aProgram,
-        const std::vector<std::string>& aWords,
+        const std::vector<std::string>& aArguments,
         const std::string& aLog);
   ~Child();
   Child(const Child&) = delete;
--- a/tests/support/Fleet.cpp
+++ b/tests/support/Fleet.cpp
@@ -131,9 +131,9 @@
 void
 Fleet::StartStandIns()
 {
-  auto start = [&](std::vector<std::string> aWords) {
+  auto start = [&](std::vector<std::string> aArguments) {
     return std::make_unique<Child>(
-      "caraway-standin", aWords, mFolder + "/standins.log");
+      "caraway-standin", aArguments, mFolder + "/standins.log");
   };
   mPlatform = start({ "platform" });
   mStore =
@@ -151,7 +151,7 @@
         std::string("--checks_fencing=") + (mPlan.mFencing ? "true" : "false")
       };
       words.insert(
-        words.end(), mPlan.mEngineWords.begin(), mPlan.mEngineWords.end());
+        words.end(), mPlan.mEngineFlags.begin(), mPlan.mEngineFlags.end());
       mEngines.push_back(start(words));
     }
     for (int i = 0; i < mPlan.mServices; ++i) {
--- a/tests/support/Fleet.h
+++ b/tests/support/Fleet.h
@@ -28,7 +28,7 @@
   double mBurst = 100000;
   int mModels = 4;                       // m0…, of 40 bytes
   int mWeightsMs = 200;                  // of a load at full speed
-  std::vector<std::string> mEngineWords; // more flags for engines
+  std::vector<std::string> mEngineFlags; // more flags for engines
   std::vector<std::string> mSettings;    // more TOML lines, by table
 };
 
--- a/tests/unit/ConfigCodecTest.cpp
+++ b/tests/unit/ConfigCodecTest.cpp
@@ -30,7 +30,7 @@
 } // namespace
 
 // An operator's slip is refused whole, with the place, before it is accepted.
-TEST(ConfigCodec, SlipsAreToldWithTheirPlace)
+TEST(ConfigCodec, InvalidConfigIsReportedWithItsLocation)
 {
   EXPECT_EQ(Trouble("{}"), "");
   EXPECT_EQ(Trouble(R"({"profiles":{"model":"x"}})"),
@@ -52,7 +52,7 @@
 // A model's profile said that its calls must not be repeated, and they were
 // all the same: claims are made for services only. Refused, rather than
 // accepted and not kept.
-TEST(ConfigCodec, OnlyServicesCanBeKeptFromRunningTwice)
+TEST(ConfigCodec, NonRepeatableModelProfileIsRejected)
 {
   EXPECT_EQ(Trouble(R"({"profiles":{"repeatable":false}})"),
             "profiles.p.repeatable: only a service's calls can be kept from "
--- a/tests/unit/EventLogTest.cpp
+++ b/tests/unit/EventLogTest.cpp
@@ -27,14 +27,14 @@
 }
 
 // One event floods: the others keep their lines, and what was left out is told.
-TEST(EventLog, FloodOfOneEventLeavesTheOthersTheirLines)
+TEST(EventLog, FloodOfOneEventDoesNotDropOthers)
 {
   PausedClock clock;
   EventLog log(clock, "i1", -1);
   for (int i = 0; i < 1000; ++i) {
     log.Line("flood");
   }
-  EXPECT_EQ(800, log.LeftOut());
+  EXPECT_EQ(800, log.DroppedLines());
   log.Line("other");
   EXPECT_NE(std::string::npos, log.Gathered().find("\"other\""));
   clock.Advance(Seconds(1));
@@ -44,7 +44,7 @@
 
 // Nobody reads the pipe: writing returns at once, memory stays bounded, and
 // lines flow again when somebody reads.
-TEST(EventLog, FullPipeBlocksNobody)
+TEST(EventLog, FullPipeDoesNotBlock)
 {
   int ends[2];
   ASSERT_EQ(0, pipe(ends));
@@ -60,7 +60,7 @@
   }
   EXPECT_LT(std::chrono::steady_clock::now() - begin, Seconds(2));
   EXPECT_LE(log.Waiting(), 300u * 1024);
-  EXPECT_GT(log.LeftOut(), 0);
+  EXPECT_GT(log.DroppedLines(), 0);
   size_t waiting = log.Waiting();
   char bytes[65536];
   ASSERT_GT(read(ends[0], bytes, sizeof bytes), 0);
@@ -72,7 +72,7 @@
 
 // Guards against half a line of a process that ended while nobody read, with
 // the first line of its successor behind it.
-TEST(EventLog, ProcessThatEndsLeavesNoHalfLine)
+TEST(EventLog, ExitingProcessLeavesNoPartialLine)
 {
   int ends[2];
   ASSERT_EQ(0, pipe(ends));
--- a/tests/unit/HeartbeatTest.cpp
+++ b/tests/unit/HeartbeatTest.cpp
@@ -37,7 +37,7 @@
   std::atomic<int> mBeats{ 0 };
 };
 
-class Newcomer : public ::testing::Test
+class NewInstance : public ::testing::Test
 {
 protected:
   void Meet(int aMembers)
@@ -47,7 +47,7 @@
       mOthers.emplace_back("i" + std::to_string(i));
       list.push_back(mOthers.back().mInfo);
     }
-    mMembers.TakeList(list);
+    mMembers.UpdateFromList(list);
   }
   int Beats() const
   {
@@ -75,7 +75,7 @@
 // An instance that starts reads the list; the others read it seconds later.
 // Until then they took another for the owner of what the newcomer owns: two
 // gates before the weight store, two queues for one model.
-TEST_F(Newcomer, IsKnownToAllAfterOneRound)
+TEST_F(NewInstance, IsKnownToAllAfterOneRound)
 {
   Meet(5);
   mHeartbeat.Round();
@@ -89,7 +89,7 @@
 
 // In a large fleet that is replaced whole, each greeting all would be the
 // square of its size.
-TEST_F(Newcomer, GreetsNoMoreThanSixteen)
+TEST_F(NewInstance, GreetsNoMoreThanSixteen)
 {
   Meet(20);
   for (int round = 0; round < 3; ++round) {
--- a/tests/unit/LeavePlanTest.cpp
+++ b/tests/unit/LeavePlanTest.cpp
@@ -29,7 +29,7 @@
   EXPECT_FALSE(plan.Leaving());
   EXPECT_TRUE(plan.ExpectsCallers(kNow));
   EXPECT_TRUE(plan.MayStart(kNow, kNow + Seconds(600), Seconds(600)));
-  EXPECT_TRUE(plan.MayGoOn(kNow));
+  EXPECT_TRUE(plan.MayContinue(kNow));
   EXPECT_EQ(TimePoint::max(), plan.End());
 }
 
@@ -41,8 +41,8 @@
   EXPECT_EQ(kNow + Millis(7500), plan.End());
   EXPECT_TRUE(plan.ExpectsCallers(kNow + Millis(2499)));
   EXPECT_FALSE(plan.ExpectsCallers(kNow + Millis(2500)));
-  EXPECT_TRUE(plan.MayGoOn(kNow + Millis(7499)));
-  EXPECT_FALSE(plan.MayGoOn(kNow + Millis(7500)));
+  EXPECT_TRUE(plan.MayContinue(kNow + Millis(7499)));
+  EXPECT_FALSE(plan.MayContinue(kNow + Millis(7500)));
 }
 
 // Guards against a request that its time bounds, and that is sent away though
@@ -86,7 +86,7 @@
     EXPECT_FALSE(plan.MayStart(end, end, Millis(0))) << grace.count();
     EXPECT_FALSE(plan.MayStart(end, end + Seconds(9), Millis(0)))
       << grace.count();
-    EXPECT_FALSE(plan.MayGoOn(end)) << grace.count();
+    EXPECT_FALSE(plan.MayContinue(end)) << grace.count();
   }
 }
 
--- a/tests/unit/LossReportTest.cpp
+++ b/tests/unit/LossReportTest.cpp
@@ -43,7 +43,7 @@
   EXPECT_EQ(0u, report.Unreadable());
 }
 
-TEST(LossReport, TellsWhatWasLetInWhileATenantWasRefused)
+TEST(LossReport, ReportsAdmittedTokensWhileTenantIsRefused)
 {
   LossReport report;
   report.Read(
@@ -58,7 +58,7 @@
 }
 
 // Guards against a report that ends at a torn or foreign line.
-TEST(LossReport, UnreadableLinesAreCountedAndPassedOver)
+TEST(LossReport, UnreadableLinesAreCountedAndSkipped)
 {
   LossReport report;
   report.Read("no event\n{\"at\":1,\"eve\n{\"event\":7}\n{}\n" +
--- a/tests/unit/RequestStoryTest.cpp
+++ b/tests/unit/RequestStoryTest.cpp
@@ -30,7 +30,7 @@
 
 // The holder's clock is 700 ms ahead: by time alone the load would have ended
 // after the request that waited for it was sent.
-TEST(RequestTrace, CausesComeBeforeEffectsThoughClocksDiffer)
+TEST(RequestTrace, OrdersCausesBeforeEffectsDespiteClockSkew)
 {
   RequestTrace story("r1");
   story.Read(Line("a", 0, "request_waits", ",\"id\":\"r1\",\"model\":\"m\"") +
@@ -53,7 +53,7 @@
   EXPECT_EQ(expected, EventsOf(story));
 }
 
-TEST(RequestTrace, WhatBearsOnItIsShownAndTheRestIsNot)
+TEST(RequestTrace, ShowsOnlyRelatedLines)
 {
   RequestTrace story("r1");
   story.Read(
--- a/tests/unit/SettingsTest.cpp
+++ b/tests/unit/SettingsTest.cpp
@@ -32,14 +32,14 @@
 
 } // namespace
 
-TEST(Settings, GoodOnesAreTaken)
+TEST(Settings, ValidSettingsAreAccepted)
 {
   EXPECT_EQ(Trouble(kGood), "");
 }
 
 // An operator's slip is told with file, line and what was expected, before
 // anything starts. Taken in silence, it would run with a default instead.
-TEST(Settings, SlipsAreToldWithTheirLine)
+TEST(Settings, InvalidSettingsAreReportedWithTheirLine)
 {
   EXPECT_EQ(Trouble(kGood + "[keys]\nmax_age = 3\n"),
             "f.toml:16: keys.max_age: unknown field");
@@ -55,7 +55,7 @@
 
 // A zone that shares models with one that doesn't exist, or not with itself,
 // would load nothing where it is sent.
-TEST(Settings, NearZonesAreZonesAndOurs)
+TEST(Settings, NearZonesAreKnownAndIncludeOwnZone)
 {
   auto near = [](const std::string& aZones) {
     std::string text = kGood;
