--- a/bench/BenchCallers.cpp
+++ b/bench/BenchCallers.cpp
@@ -9,21 +9,22 @@
 
 namespace {
 
-constexpr Millis kBetween{ 50 };
+constexpr Millis kPause{ 50 };
 constexpr int kModels = 4; // of FleetPlan
-constexpr size_t kInstancesTried = 4;
+constexpr size_t kMaxInstancesTried = 4;
 
 std::string
-BodyFor(unsigned aDrawn)
+BodyFor(unsigned aRandom)
 {
   Json::Value body;
   // One in five is a bulletin.
-  body["model"] = aDrawn % 5 == 0 ? std::string("notice")
-                                  : "chat-m" + std::to_string(aDrawn % kModels);
+  body["model"] = aRandom % 5 == 0
+                    ? std::string("notice")
+                    : "chat-m" + std::to_string(aRandom % kModels);
   body["max_tokens"] = 4;
   body["messages"][0]["role"] = "user";
   body["messages"][0]["content"] =
-    "is the pass open? " + std::to_string(aDrawn);
+    "is the pass open? " + std::to_string(aRandom);
   return JsonWrite(body);
 }
 
@@ -49,7 +50,7 @@
 }
 
 void
-BenchCallers::At(size_t aInstance, const std::string& aAddress)
+BenchCallers::SetAddress(size_t aInstance, const std::string& aAddress)
 {
   std::lock_guard<std::mutex> lock(mLock);
   mAddresses[aInstance] = aAddress;
@@ -81,7 +82,7 @@
 }
 
 void
-BenchCallers::Note(const HttpReply& aReply, double aSeconds)
+BenchCallers::Record(const HttpReply& aReply, double aSeconds)
 {
   std::lock_guard<std::mutex> lock(mLock);
   if (aReply.Ok()) {
@@ -92,7 +93,7 @@
   Json::Value problem = JsonParseOrEmpty(aReply.mBody);
   bool refused = problem.isMember("type");
   ++(refused ? mCounts.mRefused : mCounts.mCut);
-  ++mCounts.mWhy[refused ? problem["type"].asString() : aReply.mError];
+  ++mCounts.mFailureKinds[refused ? problem["type"].asString() : aReply.mError];
 }
 
 void
@@ -103,7 +104,7 @@
     std::string body = BodyFor(random());
     auto begun = std::chrono::steady_clock::now();
     HttpReply reply;
-    for (size_t i = 0; i < kInstancesTried; ++i) {
+    for (size_t i = 0; i < kMaxInstancesTried; ++i) {
       reply = Send(random(), body);
       if (reply.mStage != HttpStage::NotSent) {
         break;
@@ -111,8 +112,8 @@
     }
     std::chrono::duration<double> took =
       std::chrono::steady_clock::now() - begun;
-    Note(reply, took.count());
-    std::this_thread::sleep_for(kBetween);
+    Record(reply, took.count());
+    std::this_thread::sleep_for(kPause);
   }
 }
 
--- a/bench/BenchCallers.h
+++ b/bench/BenchCallers.h
@@ -17,10 +17,10 @@
 struct BenchCounts
 {
   int mAnswered = 0;
-  int mRefused = 0;                // with a problem document
-  int mCut = 0;                    // no answer, or half of one
-  double mSlowest = 0;             // s, of those answered
-  std::map<std::string, int> mWhy; // refusals by kind
+  int mRefused = 0;                         // with a problem document
+  int mCut = 0;                             // no answer, or half of one
+  double mSlowest = 0;                      // s, of those answered
+  std::map<std::string, int> mFailureKinds; // refusals by kind
 };
 
 // Each sends one request after the other, to any instance but those that don't
@@ -32,13 +32,13 @@
   ~BenchCallers();
 
   // Where an instance takes callers; to be told before it is replaced, too.
-  void At(size_t aInstance, const std::string& aAddress);
+  void SetAddress(size_t aInstance, const std::string& aAddress);
   BenchCounts Take(); // since the last time
 
 private:
   void Run(unsigned aSeed);
   HttpReply Send(unsigned aInstance, const std::string& aBody);
-  void Note(const HttpReply& aReply, double aSeconds);
+  void Record(const HttpReply& aReply, double aSeconds);
 
   std::string mKey;
   std::mutex mLock;
--- a/bench/ColdBench.cpp
+++ b/bench/ColdBench.cpp
@@ -30,7 +30,7 @@
 constexpr size_t kDiskKeeps = 10;       // checkpoints on an engine's disk
 constexpr double kStep = 0.1;           // s
 constexpr double kDay = 86400;          // s
-constexpr double kPatience = 60;        // s a request waits for a load
+constexpr double kMaxWait = 60;         // s a request waits for a load
 
 struct Deployment
 {
@@ -146,8 +146,8 @@
 {
 public:
   Day(Policy aPolicy, double aIdleLimit, unsigned aSeed)
-    : mOurs(aPolicy != Policy::Baseline)
-    , mHomes(aPolicy == Policy::HomeZone)
+    : mIsProduct(aPolicy != Policy::Baseline)
+    , mUsesHomeZones(aPolicy == Policy::HomeZone)
     , mIdleLimit(aIdleLimit)
     , mRandom(aSeed)
     , mEngines(kEngines)
@@ -178,20 +178,20 @@
   std::string ReplicaName(const Call& aCall) const
   {
     std::string name = ModelName(aCall.mModel);
-    return mOurs ? name : name + "@" + std::to_string(aCall.mRouter);
+    return mIsProduct ? name : name + "@" + std::to_string(aCall.mRouter);
   }
 
   void Serve(const Call& aCall)
   {
-    int near = aCall.mRouter % kZones;
-    int zone = mHomes ? aCall.mModel % kZones : near;
+    int routerZone = aCall.mRouter % kZones;
+    int zone = mUsesHomeZones ? aCall.mModel % kZones : routerZone;
     std::string replica = ReplicaName(aCall);
     for (size_t i = 0; i < mEngines.size(); ++i) {
       auto found = mEngines[i].mLoaded.find(replica);
-      bool here =
-        found != mEngines[i].mLoaded.end() &&
-        (!mOurs || mEngines[i].mZone == zone || mEngines[i].mZone == near);
-      if (!here) {
+      bool usable = found != mEngines[i].mLoaded.end() &&
+                    (!mIsProduct || mEngines[i].mZone == zone ||
+                     mEngines[i].mZone == routerZone);
+      if (!usable) {
         continue;
       }
       if (found->second.mReadyAt < 0) {
@@ -201,8 +201,8 @@
       }
       return;
     }
-    int engine = mOurs ? ChooseByProduct(zone, aCall.mModel)
-                       : ChooseBaseline(zone, aCall.mModel);
+    int engine = mIsProduct ? ChooseByProduct(zone, aCall.mModel)
+                            : ChooseBaseline(zone, aCall.mModel);
 
     if (engine < 0) {
       ++mResult.mRefused;
@@ -329,12 +329,13 @@
       auto& loaded = mEngines[waiting->mEngine].mLoaded;
       auto found = loaded.find(waiting->mReplica);
       bool ready = found != loaded.end() && found->second.mReadyAt >= 0;
-      bool over = mNow - waiting->mSince > kPatience;
+      bool timedOut = mNow - waiting->mSince > kMaxWait;
       if (ready) {
         mResult.mCold.push_back(mNow - waiting->mSince);
       }
-      mResult.mRefused += !ready && over ? 1 : 0;
-      waiting = ready || over ? mWaiting.erase(waiting) : std::next(waiting);
+      mResult.mRefused += !ready && timedOut ? 1 : 0;
+      waiting =
+        ready || timedOut ? mWaiting.erase(waiting) : std::next(waiting);
     }
   }
 
@@ -346,18 +347,18 @@
       report.mCachedOnDisk = { engine.mDisk.begin(), engine.mDisk.end() };
       for (const PlacedReplica& replica : engine.mRecord.mReplicas) {
         const Loaded& loaded = engine.mLoaded[replica.mName];
-        double quiet = mNow - loaded.mUsed;
-        if (loaded.mReadyAt < 0 || quiet < 1) {
+        double idleSeconds = mNow - loaded.mUsed;
+        if (loaded.mReadyAt < 0 || idleSeconds < 1) {
           continue;
         }
         mResult.mIdleHours +=
           kStep / 3600 * static_cast<double>(replica.mBytes) / kMemory;
         Millis base(static_cast<int64_t>(mIdleLimit * 1000));
-        Millis limit = mOurs
+        Millis limit = mIsProduct
                          ? LoadPlanIdleLimit(
                              report, replica.mName, base, LoadPlanParameters())
                          : base;
-        if (quiet * 1000 > static_cast<double>(limit.count())) {
+        if (idleSeconds * 1000 > static_cast<double>(limit.count())) {
           idle.push_back(replica.mName);
         }
       }
@@ -367,8 +368,8 @@
     }
   }
 
-  bool mOurs;
-  bool mHomes;
+  bool mIsProduct;
+  bool mUsesHomeZones;
   double mIdleLimit;
   std::mt19937 mRandom;
   std::vector<Engine> mEngines;
@@ -379,12 +380,13 @@
 };
 
 double
-Part(std::vector<double> aTimes, double aPart)
+QuantileOf(std::vector<double> aTimes, double aFraction)
 {
   std::sort(aTimes.begin(), aTimes.end());
-  return aTimes.empty() ? 0
-                        : aTimes[static_cast<size_t>(
-                            aPart * static_cast<double>(aTimes.size() - 1))];
+  return aTimes.empty()
+           ? 0
+           : aTimes[static_cast<size_t>(
+               aFraction * static_cast<double>(aTimes.size() - 1))];
 }
 
 } // namespace
@@ -427,9 +429,9 @@
           seed,
           result.mLoads,
           result.mCold.size(),
-          Part(result.mCold, 0.5),
-          Part(result.mCold, 0.99),
-          Part(result.mCold, 0.999),
+          QuantileOf(result.mCold, 0.5),
+          QuantileOf(result.mCold, 0.99),
+          QuantileOf(result.mCold, 0.999),
           result.mIdleHours,
           100.0 * result.mRefused / result.mCalls);
         std::fflush(stdout);
--- a/bench/DecideBench.cpp
+++ b/bench/DecideBench.cpp
@@ -79,12 +79,12 @@
   TimePoint later = kNow + Seconds(1000);
   uint64_t id = 0;
   auto item = [&] {
-    QueuedRequest one;
-    one.mId = ++id;
-    one.mTenant = "t" + std::to_string(id % 5);
-    one.mTokens = 100;
-    one.mStartBy = later;
-    return one;
+    QueuedRequest item;
+    item.mId = ++id;
+    item.mTenant = "t" + std::to_string(id % 5);
+    item.mTokens = 100;
+    item.mStartBy = later;
+    return item;
   };
   for (int64_t i = 0; i < aState.range(0); ++i) {
     queue.Offer(item(), 1e9, Millis(0), kNow);
--- a/bench/FailureBench.cpp
+++ b/bench/FailureBench.cpp
@@ -38,35 +38,36 @@
       mThread.join();
     }
   }
-  double Most() const { return mMost; }
-  double MostWrites() const { return mMostWrites; }
+  double MaxCalls() const { return mMaxCalls; }
+  double MaxWrites() const { return mMaxWrites; }
 
 private:
-  static constexpr size_t kLooks = 4; // a second
+  static constexpr size_t kPollsPerSecond = 4; // a second
 
   void Run()
   {
-    std::vector<std::pair<double, double>> past; // calls, writes
+    std::vector<std::pair<double, double>> samples; // calls, writes
     while (!mEnding) {
       Json::Value now = mFleet.PlatformCounters();
       double calls = 0;
       for (const char* op : { "reads", "lists", "writes", "watches" }) {
         calls += now[op].asDouble();
       }
-      past.emplace_back(calls, now["writes"].asDouble());
-      if (past.size() > kLooks) {
-        auto& before = past[past.size() - 1 - kLooks];
-        mMost = std::max(mMost, calls - before.first);
-        mMostWrites = std::max(mMostWrites, past.back().second - before.second);
+      samples.emplace_back(calls, now["writes"].asDouble());
+      if (samples.size() > kPollsPerSecond) {
+        auto& before = samples[samples.size() - 1 - kPollsPerSecond];
+        mMaxCalls = std::max(mMaxCalls, calls - before.first);
+        mMaxWrites =
+          std::max(mMaxWrites, samples.back().second - before.second);
       }
-      std::this_thread::sleep_for(Millis(1000 / kLooks));
+      std::this_thread::sleep_for(Millis(1000 / kPollsPerSecond));
     }
   }
 
   Fleet& mFleet;
   std::atomic<bool> mEnding{ false };
-  double mMost = 0;
-  double mMostWrites = 0;
+  double mMaxCalls = 0;
+  double mMaxWrites = 0;
   std::thread mThread;
 };
 
@@ -104,18 +105,18 @@
 }
 
 void
-PrintWhy(const BenchCounts& aCounts)
+PrintFailures(const BenchCounts& aCounts)
 {
-  for (const auto& why : aCounts.mWhy) {
-    std::printf("    %d: %s\n", why.second, why.first.c_str());
+  for (const auto& failure : aCounts.mFailureKinds) {
+    std::printf("    %d: %s\n", failure.second, failure.first.c_str());
   }
 }
 
 void
-Event(Fleet& aFleet,
-      BenchCallers& aCallers,
-      const char* aName,
-      const std::function<void()>& aHappens)
+MeasureEvent(Fleet& aFleet,
+             BenchCallers& aCallers,
+             const char* aName,
+             const std::function<void()>& aEvent)
 {
   constexpr int kSlotsAZone = 16;
   int all = kSlotsAZone * static_cast<int>(aFleet.mPlan.mZones.size());
@@ -123,10 +124,10 @@
   std::this_thread::sleep_for(Seconds(2));
   aCallers.Take();
   int loads = aFleet.EngineAudit("loads");
-  aHappens();
+  aEvent();
 
   auto begun = std::chrono::steady_clock::now();
-  bool normal = Eventually(
+  bool recovered = Eventually(
     Seconds(20), [&] { return AllReady(aFleet) && Spendable(aFleet) == all; });
   double seconds =
     std::chrono::duration<double>(std::chrono::steady_clock::now() - begun)
@@ -136,16 +137,16 @@
   BenchCounts counts = aCallers.Take();
   std::printf("%-36s %6s %8.1f %6.0f %6.0f %9d %8d %5d %8.1f %6d\n",
               aName,
-              normal ? "yes" : "NO",
+              recovered ? "yes" : "NO",
               seconds,
-              meter.Most(),
-              meter.MostWrites(),
+              meter.MaxCalls(),
+              meter.MaxWrites(),
               counts.mAnswered,
               counts.mRefused,
               counts.mCut,
               counts.mSlowest,
               aFleet.EngineAudit("loads") - loads);
-  PrintWhy(counts);
+  PrintFailures(counts);
 
   std::fflush(stdout);
 }
@@ -155,7 +156,8 @@
 {
   aFleet.mInstances[aInstance] = aFleet.StartInstance(aInstance);
   aFleet.Announce(aInstance, false);
-  aCallers.At(aInstance, aFleet.mInstances[aInstance]->Address("caller"));
+  aCallers.SetAddress(aInstance,
+                      aFleet.mInstances[aInstance]->Address("caller"));
 }
 
 void
@@ -205,8 +207,8 @@
               "slowest",
               "loads");
   BenchCallers callers(fleet, static_cast<size_t>(FLAGS_callers));
-  auto event = [&](const char* aName, const std::function<void()>& aHappens) {
-    Event(fleet, callers, aName, aHappens);
+  auto event = [&](const char* aName, const std::function<void()>& aEvent) {
+    MeasureEvent(fleet, callers, aName, aEvent);
   };
   auto replace = [&](const std::vector<size_t>& aWhich) {
     Replace(fleet, callers, aWhich);
--- a/bench/FleetBench.cpp
+++ b/bench/FleetBench.cpp
@@ -89,7 +89,7 @@
 }
 
 void
-AtRest(int aInstances)
+MeasureIdle(int aInstances)
 {
   FleetPlan plan;
   plan.mInstances = { (aInstances + 1) / 2, aInstances / 2 };
@@ -170,19 +170,19 @@
 Quantiles(const char* aWhat, std::vector<double> aTimes)
 {
   std::sort(aTimes.begin(), aTimes.end());
-  auto part = [&](double aPart) {
-    return aTimes[static_cast<size_t>(aPart *
+  auto quantile = [&](double aFraction) {
+    return aTimes[static_cast<size_t>(aFraction *
                                       static_cast<double>(aTimes.size() - 1))];
   };
   std::printf("%-34s p50 %.2f ms, p95 %.2f ms, p99 %.2f ms\n",
               aWhat,
-              part(0.5),
-              part(0.95),
-              part(0.99));
+              quantile(0.5),
+              quantile(0.95),
+              quantile(0.99));
 }
 
 void
-PerPiece()
+MeasureWork()
 {
   FleetPlan plan;
   plan.mInstances = { 3, 3 };
@@ -288,8 +288,8 @@
   std::stringstream sizes(FLAGS_sizes);
   std::string size;
   while (std::getline(sizes, size, ',')) {
-    AtRest(std::stoi(size));
+    MeasureIdle(std::stoi(size));
   }
-  PerPiece();
+  MeasureWork();
   return 0;
 }
--- a/bench/GateBench.cpp
+++ b/bench/GateBench.cpp
@@ -24,12 +24,12 @@
 {
   std::string mId;
   RequestClass mClass = RequestClass::Interactive;
-  TimePoint mWanted{};
+  TimePoint mRequestedAt{};
   double mLeft = 0; // s at full speed
   bool mHasPermit = false;
-  TimePoint mAsked{};
+  TimePoint mLastAskedAt{};
   Millis mPollAfter{ 0 };
-  double mTook = -1; // s; -1 = not ready yet
+  double mDuration = -1; // s; -1 = not ready yet
 };
 
 struct Policy
@@ -41,7 +41,7 @@
 };
 
 std::vector<Load>
-Wake(int aModels, unsigned aSeed, TimePoint aStart)
+ColdLoads(int aModels, unsigned aSeed, TimePoint aStart)
 {
   std::mt19937 random(aSeed);
   std::vector<Load> loads;
@@ -51,7 +51,7 @@
     load.mClass = i % 10 < 2   ? RequestClass::Urgent
                   : i % 10 < 7 ? RequestClass::Interactive
                                : RequestClass::Batch;
-    load.mWanted = aStart + Millis(random() % 2000);
+    load.mRequestedAt = aStart + Millis(random() % 2000);
     load.mLeft = 3.2 + 0.4 * static_cast<double>(random() % 23);
     loads.push_back(load);
   }
@@ -72,12 +72,12 @@
   LoadGate gate(terms, aStart);
   size_t ready = 0;
   for (TimePoint now = aStart; ready < aLoads.size(); now += kStep) {
-    int inside = 0;
+    int admitted = 0;
     for (Load& load : aLoads) {
-      bool due = load.mTook < 0 && now >= load.mWanted &&
-                 now - load.mAsked >= load.mPollAfter;
+      bool due = load.mDuration < 0 && now >= load.mRequestedAt &&
+                 now - load.mLastAskedAt >= load.mPollAfter;
       if (due && aPolicy.mGate) {
-        load.mAsked = now;
+        load.mLastAskedAt = now;
         LoadGateReply answer =
           LoadGateAcquire(gate, { load.mId, load.mClass, false }, now);
         load.mHasPermit = answer.mHasPermit;
@@ -86,10 +86,10 @@
       } else if (due) {
         load.mHasPermit = true;
       }
-      inside += load.mHasPermit ? 1 : 0;
+      admitted += load.mHasPermit ? 1 : 0;
     }
     double speed =
-      std::min(1.0, static_cast<double>(kFullSpeed) / std::max(1, inside));
+      std::min(1.0, static_cast<double>(kFullSpeed) / std::max(1, admitted));
     for (Load& load : aLoads) {
       if (!load.mHasPermit) {
         continue;
@@ -97,7 +97,8 @@
       load.mLeft -= std::chrono::duration<double>(kStep).count() * speed;
       if (load.mLeft <= 0) {
         load.mHasPermit = false;
-        load.mTook = std::chrono::duration<double>(now - load.mWanted).count();
+        load.mDuration =
+          std::chrono::duration<double>(now - load.mRequestedAt).count();
         LoadGateRelease(gate, load.mId);
         ++ready;
       }
@@ -121,7 +122,7 @@
     std::vector<double> times;
     for (const Load& load : aLoads) {
       if (static_cast<int>(load.mClass) == one) {
-        times.push_back(load.mTook);
+        times.push_back(load.mDuration);
       }
     }
     std::sort(times.begin(), times.end());
@@ -153,7 +154,7 @@
       std::vector<Load> all;
       int asks = 0;
       for (unsigned seed = 201; seed < 211; ++seed) {
-        std::vector<Load> loads = Wake(models, seed, start);
+        std::vector<Load> loads = ColdLoads(models, seed, start);
         asks = std::max(asks, Run(policy, loads, start));
         all.insert(all.end(), loads.begin(), loads.end());
       }
--- a/bench/PlaceBench.cpp
+++ b/bench/PlaceBench.cpp
@@ -21,9 +21,9 @@
   return "model-" + std::to_string(aIndex);
 }
 
-struct World
+struct BenchFleet
 {
-  World()
+  BenchFleet()
   {
     mEngine.mMemoryMb = 230000;
     mEngine.mAdapterSlots = 8;
@@ -72,9 +72,9 @@
 void
 PlacementFactsOfAFleet(benchmark::State& aState)
 {
-  World world;
+  BenchFleet fleet;
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(world.Facts());
+    benchmark::DoNotOptimize(fleet.Facts());
   }
 }
 BENCHMARK(PlacementFactsOfAFleet);
@@ -82,12 +82,12 @@
 void
 ChoosePlaceInAFleet(benchmark::State& aState)
 {
-  World world;
-  PlacementFacts facts = world.Facts();
+  BenchFleet fleet;
+  PlacementFacts facts = fleet.Facts();
   int next = 0;
   for (auto _ : aState) {
     benchmark::DoNotOptimize(ChoosePlacement(
-      world.mEngine, ModelName(next++ % kModels), world.mServers, facts));
+      fleet.mEngine, ModelName(next++ % kModels), fleet.mServers, facts));
   }
 }
 BENCHMARK(ChoosePlaceInAFleet);
@@ -95,15 +95,15 @@
 void
 ChooseServerInAFleet(benchmark::State& aState)
 {
-  World world;
+  BenchFleet fleet;
   std::mt19937 random(1);
-  ServerRequirements wish;
-  wish.mService = "e";
-  wish.mZone = "zone-1";
+  ServerRequirements requirements;
+  requirements.mService = "e";
+  requirements.mZone = "zone-1";
   int next = 0;
   for (auto _ : aState) {
-    wish.mModel = ModelName(next++ % 180);
-    benchmark::DoNotOptimize(world.mServers.Choose(wish, kNow, random));
+    requirements.mModel = ModelName(next++ % 180);
+    benchmark::DoNotOptimize(fleet.mServers.Choose(requirements, kNow, random));
   }
 }
 BENCHMARK(ChooseServerInAFleet);
--- a/bench/QueueBench.cpp
+++ b/bench/QueueBench.cpp
@@ -20,7 +20,7 @@
 using namespace caraway;
 
 constexpr double kRate = 2000; // tokens a second, over all places
-constexpr size_t kModelCapacity = 8;
+constexpr size_t kEngineSlots = 8;
 constexpr Seconds kLength{ 300 };
 
 struct Arrival
@@ -90,10 +90,10 @@
 
 // Eight places, as the engine batches. The product keeps the last free one for
 // bulletins, and another from batch work.
-struct Places
+struct EngineSlots
 {
-  std::vector<TimePoint> mFree = std::vector<TimePoint>(kModelCapacity);
-  std::vector<bool> mBatch = std::vector<bool>(kModelCapacity);
+  std::vector<TimePoint> mFree = std::vector<TimePoint>(kEngineSlots);
+  std::vector<bool> mBatch = std::vector<bool>(kEngineSlots);
 
   size_t First() const
   {
@@ -110,7 +110,7 @@
   int BatchAt(TimePoint aNow) const
   {
     int count = 0;
-    for (size_t i = 0; i < kModelCapacity; ++i) {
+    for (size_t i = 0; i < kEngineSlots; ++i) {
       count += mBatch[i] && mFree[i] > aNow ? 1 : 0;
     }
     return count;
@@ -121,18 +121,18 @@
 RunQueue(const std::vector<Arrival>& aAll,
          bool aFair,
          bool aSlowed,
-         bool aReturns = false)
+         bool aRetries = false)
 {
-  std::multimap<TimePoint, QueuedRequest> coming;
+  std::multimap<TimePoint, QueuedRequest> arrivals;
   for (const Arrival& arrival : aAll) {
-    coming.emplace(arrival.mAt, arrival.mItem);
+    arrivals.emplace(arrival.mAt, arrival.mItem);
   }
-  std::set<uint64_t> returned;
+  std::set<uint64_t> retried;
   std::map<std::string, QueueOutcome> outcomes;
   WaitQueue queue;
   std::deque<QueuedRequest> fifo;
-  double learnt = 0;
-  Places places;
+  double learntRate = 0;
+  EngineSlots slots;
   auto key = [](const QueuedRequest& aItem) {
     return aItem.mTenant + " " + RequestClassName(aItem.mClass);
   };
@@ -141,11 +141,13 @@
       for (const QueuedRequest& late : queue.Expire(aNow)) {
         ++outcomes[key(late)].mLate;
       }
-      bool fits = places.BatchAt(aNow) < static_cast<int>(kModelCapacity) - 2;
-      if (places.BusyAt(aNow) >= static_cast<int>(kModelCapacity) - 1) {
+      bool allowsBatch =
+        slots.BatchAt(aNow) < static_cast<int>(kEngineSlots) - 2;
+      if (slots.BusyAt(aNow) >= static_cast<int>(kEngineSlots) - 1) {
         return queue.Next(RequestClass::Urgent);
       }
-      return queue.Next(fits ? RequestClass::Batch : RequestClass::Interactive);
+      return queue.Next(allowsBatch ? RequestClass::Batch
+                                    : RequestClass::Interactive);
     }
     while (!fifo.empty()) {
       QueuedRequest item = fifo.front();
@@ -159,49 +161,50 @@
   };
   auto serve = [&](TimePoint aUntil) {
     for (;;) {
-      size_t place = places.First();
-      TimePoint now = places.mFree[place];
+      size_t slot = slots.First();
+      TimePoint now = slots.mFree[slot];
       if (now > aUntil) {
         return;
       }
       auto item = next(now);
       if (!item) {
-        places.mFree[place] = aUntil + Micros(1);
+        slots.mFree[slot] = aUntil + Micros(1);
         continue;
       }
       double wait =
         std::chrono::duration<double, std::milli>(now - item->mArrived).count();
       outcomes[key(*item)].mWaits.push_back(std::max(0.0, wait));
-      outcomes[key(*item)].mRetryServed += returned.count(item->mId) ? 1 : 0;
+      outcomes[key(*item)].mRetryServed += retried.count(item->mId) ? 1 : 0;
       double rate = RateAt(now, aSlowed);
-      learnt = learnt == 0 ? rate : learnt + 0.2 * (rate - learnt);
-      double seconds = item->mTokens / (rate / kModelCapacity);
-      places.mFree[place] = now + Micros(static_cast<int64_t>(seconds * 1e6));
-      places.mBatch[place] = item->mClass == RequestClass::Batch;
+      learntRate =
+        learntRate == 0 ? rate : learntRate + 0.2 * (rate - learntRate);
+      double seconds = item->mTokens / (rate / kEngineSlots);
+      slots.mFree[slot] = now + Micros(static_cast<int64_t>(seconds * 1e6));
+      slots.mBatch[slot] = item->mClass == RequestClass::Batch;
     }
   };
-  while (!coming.empty()) {
-    TimePoint at = coming.begin()->first;
-    QueuedRequest item = coming.begin()->second;
-    coming.erase(coming.begin());
+  while (!arrivals.empty()) {
+    TimePoint at = arrivals.begin()->first;
+    QueuedRequest item = arrivals.begin()->second;
+    arrivals.erase(arrivals.begin());
     serve(at);
     if (!aFair) {
       fifo.push_back(item);
       continue;
     }
-    auto refusal = queue.Offer(item, learnt, Millis(0), at);
+    auto refusal = queue.Offer(item, learntRate, Millis(0), at);
     if (!refusal) {
       continue;
     }
     QueueOutcome& outcome = outcomes[key(item)];
     ++outcome.mAtOnce;
-    outcome.mRetryRefused += returned.count(item.mId) ? 1 : 0;
-    if (aReturns && returned.insert(item.mId).second) {
+    outcome.mRetryRefused += retried.count(item.mId) ? 1 : 0;
+    if (aRetries && retried.insert(item.mId).second) {
       ++outcome.mRetried;
       Millis within = std::chrono::duration_cast<Millis>(item.mStartBy - at);
       item.mArrived = at + refusal->mRetryAfter;
       item.mStartBy = item.mArrived + within;
-      coming.emplace(item.mArrived, item);
+      arrivals.emplace(item.mArrived, item);
     }
   }
   serve(aAll.back().mAt + Seconds(60));
@@ -211,7 +214,7 @@
 // Coming back once, when told to. aFlood: the large tenant comes only in every
 // fifth 20 s; else all the time, and then its coming back is more of the flood.
 void
-Returns(const char* aName, bool aBursts, bool aSlowed)
+PrintRetries(const char* aName, bool aBursts, bool aSlowed)
 {
   std::vector<Arrival> all = Arrivals(1);
   if (aBursts) {
@@ -236,7 +239,7 @@
 }
 
 void
-Table(const char* aName, bool aSlowed)
+PrintTable(const char* aName, bool aSlowed)
 {
   std::printf("%s\n  %-22s %30s   %30s\n  %-22s %10s %9s %9s   %10s %9s %9s\n",
               aName,
@@ -278,12 +281,12 @@
 int
 main()
 {
-  Table("a flood of briefings and chat by one large tenant", false);
-  Table("the same, the engine at a tenth of its speed in the middle third",
-        true);
-  Returns("bursts of 20 s", true, false);
-  Returns(
+  PrintTable("a flood of briefings and chat by one large tenant", false);
+  PrintTable("the same, the engine at a tenth of its speed in the middle third",
+             true);
+  PrintRetries("bursts of 20 s", true, false);
+  PrintRetries(
     "bursts of 20 s, the engine at a tenth in the middle third", true, true);
-  Returns("a flood without end", false, false);
+  PrintRetries("a flood without end", false, false);
   return 0;
 }
--- a/bench/RateBench.cpp
+++ b/bench/RateBench.cpp
@@ -27,8 +27,8 @@
 };
 
 constexpr Seconds kLength{ 120 };
-constexpr Seconds kTroubleFrom{ 30 };
-constexpr Seconds kTroubleTo{ 90 };
+constexpr Seconds kFaultFrom{ 30 };
+constexpr Seconds kFaultTo{ 90 };
 constexpr Seconds kTakeover{ 8 };  // a dead holder's slots, until taken
 constexpr double kGrantLife = 0.1; // seconds
 
@@ -38,14 +38,14 @@
 public:
   virtual ~Policy() = default;
   virtual bool Take(int aInstance, double aTokens, TimePoint aNow) = 0;
-  virtual void Die(int) {}
+  virtual void Kill(int) {}
   virtual void Cut(bool) {}
 };
 
-class WholeBucket : public Policy
+class SingleBucket : public Policy
 {
 public:
-  WholeBucket(const Fleet& aFleet, TimePoint aNow)
+  SingleBucket(const Fleet& aFleet, TimePoint aNow)
     : mBucket(aFleet.mRate, aFleet.mBurst, aNow)
   {
     mBucket.Fill(aFleet.mBurst, aNow);
@@ -97,27 +97,27 @@
   bool Take(int aInstance, double aTokens, TimePoint aNow) override
   {
     int zone = aInstance % mFleet.mZones;
-    double missing = aTokens;
+    double lacking = aTokens;
     std::vector<std::pair<size_t, double>> taken;
-    for (int i = 0; i < mFleet.mZones && missing > 1e-9; ++i) {
+    for (int i = 0; i < mFleet.mZones && lacking > 1e-9; ++i) {
       int at = (zone + i) % mFleet.mZones;
       if (mCut && at != zone) {
         continue;
       }
-      for (int half = 0; half < 2 && missing > 1e-9; ++half) {
-        size_t slot = static_cast<size_t>(at * 2 + (half + mTurn) % 2);
+      for (int half = 0; half < 2 && lacking > 1e-9; ++half) {
+        size_t slot = static_cast<size_t>(at * 2 + (half + mFirstHalf) % 2);
         ++mAsks;
         double there = aNow < mUsableFrom[slot]
                          ? 0
-                         : std::min(missing, mBuckets[slot].Level(aNow));
+                         : std::min(lacking, mBuckets[slot].Level(aNow));
         if (there > 0 && mBuckets[slot].Take(there, aNow)) {
           taken.emplace_back(slot, there);
-          missing -= there;
+          lacking -= there;
         }
       }
     }
-    mTurn = 1 - mTurn;
-    if (missing <= 1e-9) {
+    mFirstHalf = 1 - mFirstHalf;
+    if (lacking <= 1e-9) {
       return true;
     }
     for (const auto& back : taken) {
@@ -126,10 +126,10 @@
     return false;
   }
   // The instance holds one half of its zone's share; its taker starts empty.
-  void Die(int aInstance) override
+  void Kill(int aInstance) override
   {
     size_t slot = static_cast<size_t>(aInstance % mFleet.mZones) * 2;
-    TimePoint now = TimePoint(Seconds(1000)) + kTroubleFrom;
+    TimePoint now = TimePoint(Seconds(1000)) + kFaultFrom;
     mUsableFrom[slot] = now + kTakeover;
     mBuckets[slot] = TokenBucket(
       mBuckets[slot].Rate(), mBuckets[slot].Burst(), mUsableFrom[slot]);
@@ -142,37 +142,40 @@
   std::vector<TokenBucket> mBuckets; // zone * 2 + half
   std::vector<TimePoint> mUsableFrom;
   bool mCut = false;
-  int mTurn = 0;
+  int mFirstHalf = 0;
   int64_t mAsks = 0;
 };
 
-struct Scene
+struct Scenario
 {
   const char* mName;
-  std::function<int(std::mt19937&, const Fleet&)> mWhere;
+  std::function<int(std::mt19937&, const Fleet&)> mPickInstance;
   bool mDies = false;
   bool mCut = false;
 };
 
 struct Count
 {
-  int mInside = 0; // would have been let in by one bucket
+  int mWithinRate = 0; // would have been let in by one bucket
   int mWronglyRefused = 0;
 };
 
 int
-Anywhere(std::mt19937& aRandom, const Fleet& aFleet)
+AnyInstance(std::mt19937& aRandom, const Fleet& aFleet)
 {
   return static_cast<int>(aRandom() % static_cast<unsigned>(aFleet.mInstances));
 }
 
 // aOffered: requests' tokens a second as a part of the rate.
 std::vector<Count>
-Run(const Fleet& aFleet, const Scene& aScene, double aOffered, unsigned aSeed)
+Run(const Fleet& aFleet,
+    const Scenario& aScenario,
+    double aOffered,
+    unsigned aSeed)
 {
   std::mt19937 random(aSeed);
   TimePoint begun = TimePoint(Seconds(1000));
-  WholeBucket whole(aFleet, begun);
+  SingleBucket singleBucket(aFleet, begun);
   std::vector<std::unique_ptr<Policy>> policies;
   policies.push_back(std::make_unique<StaticSplit>(aFleet, begun));
   policies.push_back(std::make_unique<Shares>(aFleet, begun));
@@ -183,26 +186,26 @@
   bool died = false;
   for (TimePoint now = begun; now < begun + kLength;) {
     now += Micros(static_cast<int64_t>(gap(random) * 1e6));
-    bool trouble = now >= begun + kTroubleFrom && now < begun + kTroubleTo;
-    int at = aScene.mWhere(random, aFleet);
-    if (aScene.mDies && now >= begun + kTroubleFrom) {
+    bool partitioned = now >= begun + kFaultFrom && now < begun + kFaultTo;
+    int at = aScenario.mPickInstance(random, aFleet);
+    if (aScenario.mDies && now >= begun + kFaultFrom) {
       for (auto& policy : policies) {
         if (!died) {
-          policy->Die(0);
+          policy->Kill(0);
         }
       }
       died = true;
       at = at == 0 ? 1 : at; // the balancer sends its callers elsewhere
     }
     for (auto& policy : policies) {
-      policy->Cut(aScene.mCut && trouble);
+      policy->Cut(aScenario.mCut && partitioned);
     }
     double cost = tokens * size(random);
-    bool inside = whole.Take(at, cost, now);
+    bool withinRate = singleBucket.Take(at, cost, now);
     for (size_t i = 0; i < policies.size(); ++i) {
-      bool let = policies[i]->Take(at, cost, now);
-      counts[i].mInside += inside ? 1 : 0;
-      counts[i].mWronglyRefused += inside && !let ? 1 : 0;
+      bool admitted = policies[i]->Take(at, cost, now);
+      counts[i].mWithinRate += withinRate ? 1 : 0;
+      counts[i].mWronglyRefused += withinRate && !admitted ? 1 : 0;
     }
   }
   return counts;
@@ -211,32 +214,32 @@
 void
 Table(const char* aName, const Fleet& aFleet, double aOffered)
 {
-  const Scene scenes[] = {
-    { "even load", Anywhere },
+  const Scenario scenarios[] = {
+    { "even load", AnyInstance },
     { "load at one instance", [](auto&, const Fleet&) { return 0; } },
     { "load at one zone",
       [](auto& aRandom, const Fleet& aSize) {
-        return Anywhere(aRandom, aSize) / aSize.mZones * aSize.mZones %
+        return AnyInstance(aRandom, aSize) / aSize.mZones * aSize.mZones %
                aSize.mInstances;
       } },
-    { "an instance dies", Anywhere, true, false },
-    { "zones cut from each other", Anywhere, false, true },
+    { "an instance dies", AnyInstance, true, false },
+    { "zones cut from each other", AnyInstance, false, true },
   };
   std::printf("%s, offered %.0f%% of the rate\n", aName, aOffered * 100);
   std::printf("  %-28s %12s %12s\n", "scene", "static split", "shares");
-  for (const Scene& scene : scenes) {
-    int inside = 0;
-    int wrongful[2] = { 0, 0 };
+  for (const Scenario& scenario : scenarios) {
+    int withinRate = 0;
+    int wronglyRefused[2] = { 0, 0 };
     for (unsigned seed = 1; seed <= 5; ++seed) {
-      std::vector<Count> counts = Run(aFleet, scene, aOffered, seed);
-      inside += counts[0].mInside;
-      wrongful[0] += counts[0].mWronglyRefused;
-      wrongful[1] += counts[1].mWronglyRefused;
+      std::vector<Count> counts = Run(aFleet, scenario, aOffered, seed);
+      withinRate += counts[0].mWithinRate;
+      wronglyRefused[0] += counts[0].mWronglyRefused;
+      wronglyRefused[1] += counts[1].mWronglyRefused;
     }
     std::printf("  %-28s %11.2f%% %11.2f%%\n",
-                scene.mName,
-                100.0 * wrongful[0] / inside,
-                100.0 * wrongful[1] / inside);
+                scenario.mName,
+                100.0 * wronglyRefused[0] / withinRate,
+                100.0 * wronglyRefused[1] / withinRate);
   }
 }
 
