--- a/bench/BenchCallers.cpp
+++ b/bench/BenchCallers.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Millis kPause{ 50 };
-constexpr int kModels = 4; // of FleetPlan
+constexpr int kModels = 4; // default of FleetPlan
 constexpr size_t kMaxInstancesTried = 4;
 
 std::string
--- a/bench/BenchCallers.h
+++ b/bench/BenchCallers.h
@@ -1,4 +1,4 @@
-// BenchCallers.h: callers behind a balancer, under way while things fail.
+// BenchCallers.h: callers behind a balancer that run while faults are injected.
 #ifndef caraway_bench_BenchCallers_h
 #define caraway_bench_BenchCallers_h
 
@@ -17,23 +17,23 @@
 struct BenchCounts
 {
   int mAnswered = 0;
-  int mRefused = 0;                         // with a problem document
-  int mCut = 0;                             // no answer, or half of one
-  double mSlowest = 0;                      // s, of those answered
-  std::map<std::string, int> mFailureKinds; // refusals by kind
+  int mRefused = 0;                         // answered with a problem document
+  int mCut = 0;                             // no answer, or an incomplete one
+  double mSlowest = 0;                      // s, of answered requests
+  std::map<std::string, int> mFailureKinds; // number of failures by kind
 };
 
-// Each sends one request after the other, to any instance but those that don't
-// accept a connection, as a balancer would.
+// Each sends one request after the other to random instances and skips those
+// that don't accept a connection, as a balancer would.
 class BenchCallers
 {
 public:
   BenchCallers(Fleet& aFleet, size_t aCallers);
   ~BenchCallers();
 
-  // Where an instance takes callers; to be told before it is replaced, too.
+  // Sets the caller address of an instance that was replaced.
   void SetAddress(size_t aInstance, const std::string& aAddress);
-  BenchCounts Take(); // since the last time
+  BenchCounts Take(); // counts since the last call
 
 private:
   void Run(unsigned aSeed);
--- a/bench/ColdBench.cpp
+++ b/bench/ColdBench.cpp
@@ -1,10 +1,10 @@
 // ColdBench: cold starts and idle accelerator hours over a synthetic day.
 //
-// The product's steps (LoadPlanChoose, PlacementStep, one load per model and
-// zone) beside a plain baseline (every router loads for itself at a random
-// engine, a fixed idle timer), on the same requests, with fakes for engines and
-// the weight store and a clock that is stepped. Sizes are the users'; the
-// times of loads are assumed and printed.
+// Compares the product's steps (LoadPlanChoose, PlacementStep, one load per
+// model and zone) with a plain baseline (every router loads for itself at a
+// random engine, fixed idle timer) on the same requests, with simulated engines
+// and weight store and a stepped clock. Sizes are the users'; the durations of
+// loads are assumptions and are printed.
 #include <algorithm>
 #include <cstdio>
 #include <list>
@@ -24,19 +24,19 @@
 constexpr int kEngines = 20;
 constexpr int kRouters = 8;
 constexpr int kModels = 100;
-constexpr int64_t kMemory = 80;         // units of an engine
-constexpr double kSecondsPerUnit = 0.4; // of a load from the store, full speed
-constexpr int kFullSpeed = 4;           // loads at once at full speed
-constexpr size_t kDiskKeeps = 10;       // checkpoints on an engine's disk
+constexpr int64_t kMemory = 80;         // units per engine
+constexpr double kSecondsPerUnit = 0.4; // load from the store at full speed
+constexpr int kFullSpeed = 4;           // concurrent loads at full speed
+constexpr size_t kDiskKeeps = 10;       // checkpoints kept on an engine's disk
 constexpr double kStep = 0.1;           // s
 constexpr double kDay = 86400;          // s
-constexpr double kMaxWait = 60;         // s a request waits for a load
+constexpr double kMaxWait = 60; // s; longest wait of a request for a load
 
 struct Deployment
 {
   const char* mName;
-  double mActiveMean; // s a model stays in use
-  double mIdleMean;   // s between, for the middle of the models
+  double mActiveMean; // s; mean time a model stays in use
+  double mIdleMean;   // s; mean time between uses, for the median model
 };
 
 struct Call
@@ -48,9 +48,9 @@
 
 struct Loaded
 {
-  double mReadyAt = -1; // -1: loading
+  double mReadyAt = -1; // -1 while loading
   double mUsed = 0;
-  int mRouter = -1; // baseline: whose it is
+  int mRouter = -1; // baseline only: the router that loaded it
 };
 
 struct Engine
@@ -65,7 +65,7 @@
 {
   size_t mEngine;
   std::string mReplica;
-  double mLeft; // s at full speed
+  double mLeft; // remaining s at full speed
   bool mStore;
 };
 
@@ -79,7 +79,7 @@
 struct Result
 {
   std::vector<double> mCold; // s
-  double mIdleHours = 0;     // engines' memory held idle, as engine hours
+  double mIdleHours = 0; // engine memory held by idle models, as engine hours
   int mRefused = 0;
   int mLoads = 0;
   int mCalls = 0;
@@ -110,7 +110,7 @@
     double at = exponential(aDeployment.mIdleMean * rarity);
     while (at < kDay) {
       double end = at + exponential(aDeployment.mActiveMean);
-      // The first requests of a burst come at many routers at once.
+      // The first requests of a burst arrive at several routers at once.
       for (int i = 0; i < 4; ++i) {
         int router = static_cast<int>(random() % kRouters);
         calls.push_back({ at + 0.05 * i, model, router });
@@ -131,7 +131,7 @@
 enum class Policy
 {
   Baseline,
-  EachZone, // the product until it had home zones
+  EachZone, // one load per zone, without home zones
   HomeZone  // the product
 };
 
@@ -174,7 +174,7 @@
   }
 
 private:
-  // In the baseline a router knows and uses only what it loaded itself.
+  // In the baseline each router knows and uses only its own replicas.
   std::string ReplicaName(const Call& aCall) const
   {
     std::string name = ModelName(aCall.mModel);
--- a/bench/DecideBench.cpp
+++ b/bench/DecideBench.cpp
@@ -1,4 +1,4 @@
-// DecideBench: processor time of each decision as its state grows.
+// DecideBench: processor time of each decision for growing state.
 #include <benchmark/benchmark.h>
 
 #include "base/ConfigCodec.h"
--- a/bench/FailureBench.cpp
+++ b/bench/FailureBench.cpp
@@ -1,10 +1,11 @@
-// FailureBench: what failure days cost, and how long until things are normal.
+// FailureBench: cost of failures, and time to recovery.
 //
-// Real processes, two zones, one platform stand-in whose calls are counted.
-// After each event: how long until every slot of every zone's shares is
-// spendable again and every instance is ready, and the most calls at the
-// platform in one second meanwhile; what the callers under way were told, and
-// what was loaded again. docs/CAPACITY.md does the arithmetic.
+// Real processes in two zones, one platform stand-in whose calls are counted.
+// After each event it measures how long until every share slot of every zone
+// can be spent again and every instance is ready, the highest number of
+// platform calls within one second meanwhile, what the active callers were
+// answered, and which loads were repeated. docs/CAPACITY.md evaluates the
+// numbers.
 #include <atomic>
 #include <cstdio>
 #include <gflags/gflags.h>
@@ -21,7 +22,7 @@
 
 using namespace caraway;
 
-// The most calls in any second, by looking four times a second.
+// Measures the highest number of platform calls within one second, by polling.
 class CallsMeter
 {
 public:
@@ -42,7 +43,7 @@
   double MaxWrites() const { return mMaxWrites; }
 
 private:
-  static constexpr size_t kPollsPerSecond = 4; // a second
+  static constexpr size_t kPollsPerSecond = 4;
 
   void Run()
   {
@@ -78,7 +79,7 @@
          aFleet.mInstances[aInstance]->Running();
 }
 
-// Slots that somebody may spend, over all zones.
+// Number of share slots that can be spent, over all zones.
 int
 Spendable(Fleet& aFleet)
 {
@@ -183,7 +184,7 @@
   FleetPlan plan;
   int half = FLAGS_instances / 2;
   plan.mInstances = { half, half };
-  plan.mMemory = 200; // room for all models in each zone
+  plan.mMemory = 200; // holds all models in each zone
   Fleet fleet(plan);
   std::vector<size_t> zone;
   std::vector<size_t> all;
--- a/bench/FleetBench.cpp
+++ b/bench/FleetBench.cpp
@@ -1,9 +1,9 @@
-// FleetBench: what real processes cost, at rest and per piece of work.
+// FleetBench: cost of real processes, idle and per unit of work.
 //
-// Counts processor time from /proc/PID/stat, memory from /proc/PID/statm, bytes
-// from the loopback interface (TCP/IP headers included, every byte of every
-// process), and calls from the platform stand-in. Prints slopes; the page
-// docs/CAPACITY.md does the arithmetic.
+// Takes processor time from /proc/PID/stat, memory from /proc/PID/statm, bytes
+// from the loopback interface (TCP/IP headers included, all bytes of all
+// processes), and calls from the platform stand-in. Prints costs per unit;
+// docs/CAPACITY.md evaluates them.
 #include <algorithm>
 #include <cstdio>
 #include <fstream>
@@ -16,8 +16,8 @@
 #include "peer/PeerClient.h"
 #include "support/Fleet.h"
 
-DEFINE_string(sizes, "3,6,12,24,48", "instances, for the costs at rest");
-DEFINE_int32(rest_s, 6, "how long each size rests");
+DEFINE_string(sizes, "3,6,12,24,48", "numbers of instances for the idle costs");
+DEFINE_int32(rest_s, 6, "seconds of idle measurement per size");
 
 namespace {
 
--- a/bench/GateBench.cpp
+++ b/bench/GateBench.cpp
@@ -1,10 +1,12 @@
-// GateBench: cold starts when many models wake at once, by class.
+// GateBench: cold start times by request class when many models are requested
+// at once.
 //
-// A zone is lost and its models are loaded anew elsewhere: a fifth for
-// bulletins, a half for chat, the rest for briefings, within two seconds, all
-// from the store. The product's LoadGate beside none, beside first come first
-// served, and without letting urgent ones in beyond the limit; a store of the
-// users' sizes that slows in proportion above its limit; a stepped clock.
+// A zone is lost and its models are loaded elsewhere within two seconds, all
+// from the store: a fifth for bulletins, half for chat, the rest for briefings.
+// Compares the product's LoadGate with no gate, with first come first served,
+// and with a gate that admits no urgent loads beyond the limit. The simulated
+// store has the users' sizes and slows in proportion above its limit; the clock
+// is stepped.
 #include <algorithm>
 #include <cstdio>
 #include <map>
@@ -25,11 +27,11 @@
   std::string mId;
   RequestClass mClass = RequestClass::Interactive;
   TimePoint mRequestedAt{};
-  double mLeft = 0; // s at full speed
+  double mLeft = 0; // remaining s at full speed
   bool mHasPermit = false;
   TimePoint mLastAskedAt{};
   Millis mPollAfter{ 0 };
-  double mDuration = -1; // s; -1 = not ready yet
+  double mDuration = -1; // s; -1 while not ready
 };
 
 struct Policy
@@ -59,7 +61,7 @@
   return loads;
 }
 
-// The most questions within one second.
+// Returns the highest number of gate requests within one second.
 int
 Run(const Policy& aPolicy, std::vector<Load>& aLoads, TimePoint aStart)
 {
--- a/bench/PlaceBench.cpp
+++ b/bench/PlaceBench.cpp
@@ -1,5 +1,5 @@
-// What a zone's lease holder computes to place a missing model: a grown fleet
-// of 60 servers, 353 models known by demand, one instance.
+// Cost of placing a missing model at a zone's lease holder, in a large fleet:
+// 60 servers, 353 models known by demand, one instance.
 
 #include <benchmark/benchmark.h>
 
--- a/bench/QueueBench.cpp
+++ b/bench/QueueBench.cpp
@@ -1,9 +1,9 @@
-// QueueBench: waits under a flood of briefings, WaitQueue against FIFO.
+// QueueBench: waiting times under a flood of briefings, WaitQueue against FIFO.
 //
 // One engine group of a given rate; three small tenants with bulletins and
-// chat, one large with briefings at several times what is left over. A paused
-// clock, fixed seeds. A request is refused when it can't start in time: at
-// once by prediction (WaitQueue), or at its deadline (FIFO).
+// chat, one large tenant with briefings at several times the remaining rate.
+// Paused clock, fixed seeds. A request that can't start in time is refused at
+// once by prediction (WaitQueue) or at its deadline (FIFO).
 #include <algorithm>
 #include <cstdio>
 #include <deque>
@@ -19,7 +19,7 @@
 
 using namespace caraway;
 
-constexpr double kRate = 2000; // tokens a second, over all places
+constexpr double kRate = 2000; // tokens/s over all engine slots
 constexpr size_t kEngineSlots = 8;
 constexpr Seconds kLength{ 300 };
 
@@ -31,12 +31,12 @@
 
 struct QueueOutcome
 {
-  std::vector<double> mWaits; // ms, of the served
+  std::vector<double> mWaits; // ms, of served requests
   int mLate = 0;              // refused at their deadline
-  int mAtOnce = 0;            // refused when they came
-  int mRetried = 0;           // of those, came back when they were told to
+  int mAtOnce = 0;            // refused on arrival
+  int mRetried = 0;           // of those, retried at their retry-after time
   int mRetryRefused = 0;
-  int mRetryServed = 0; // and were served then
+  int mRetryServed = 0; // retried and served
 };
 
 std::vector<Arrival>
@@ -78,7 +78,7 @@
   return all;
 }
 
-// aSlowed: the engine falls to a tenth from a third to two thirds of the time.
+// aSlowed: the engine runs at a tenth of its speed in the middle third.
 double
 RateAt(TimePoint aNow, bool aSlowed)
 {
@@ -88,8 +88,8 @@
   return slow ? kRate / 10 : kRate;
 }
 
-// Eight places, as the engine batches. The product keeps the last free one for
-// bulletins, and another from batch work.
+// Eight slots, as the engine batches. The product reserves the last free slot
+// for bulletins, and another one from batch work.
 struct EngineSlots
 {
   std::vector<TimePoint> mFree = std::vector<TimePoint>(kEngineSlots);
@@ -211,8 +211,8 @@
   return outcomes;
 }
 
-// Coming back once, when told to. aFlood: the large tenant comes only in every
-// fifth 20 s; else all the time, and then its coming back is more of the flood.
+// Retries once at the retry-after time. aBursts: the large tenant sends only in
+// every fifth 20 s; otherwise all the time, and its retries add to the flood.
 void
 PrintRetries(const char* aName, bool aBursts, bool aSlowed)
 {
--- a/bench/RateBench.cpp
+++ b/bench/RateBench.cpp
@@ -1,10 +1,10 @@
-// RateBench: requests refused although their tenant was inside its rate.
+// RateBench: requests refused although their tenant was within its rate.
 //
-// One tenant, requests at random moments by a fixed seed, a paused clock, and
-// the same TokenBucket steps as the product. "Inside its rate" is what one
-// bucket for the whole fleet, asked with no delay, would have let in. Beside
-// it run the product's shares (two holders per zone, gathered from the own
-// zone first) and the static split (every instance its own n-th part).
+// One tenant sends requests at random times from a fixed seed, with a paused
+// clock and the product's TokenBucket. "Within its rate" is what a single
+// bucket for the whole fleet, queried without delay, would have admitted.
+// Compared are the product's shares (two holders per zone, tokens taken from
+// the own zone first) and a static split (every instance has an n-th part).
 #include <cstdio>
 #include <functional>
 #include <memory>
@@ -22,17 +22,17 @@
 {
   int mInstances;
   int mZones;
-  double mRate;  // tokens a second
+  double mRate;  // tokens/s
   double mBurst; // tokens
 };
 
 constexpr Seconds kLength{ 120 };
 constexpr Seconds kFaultFrom{ 30 };
 constexpr Seconds kFaultTo{ 90 };
-constexpr Seconds kTakeover{ 8 };  // a dead holder's slots, until taken
-constexpr double kGrantLife = 0.1; // seconds
+constexpr Seconds kTakeover{ 8 };  // until a dead holder's slots are taken
+constexpr double kGrantLife = 0.1; // s
 
-// A policy lets a request at an instance in or not.
+// Decides whether a request at an instance is admitted.
 class Policy
 {
 public:
@@ -120,12 +120,13 @@
     if (lacking <= 1e-9) {
       return true;
     }
-    for (const auto& back : taken) {
-      mBuckets[back.first].GiveBack(back.second, aNow, aNow);
+    for (const auto& part : taken) {
+      mBuckets[part.first].GiveBack(part.second, aNow, aNow);
     }
     return false;
   }
-  // The instance holds one half of its zone's share; its taker starts empty.
+  // The instance holds half of its zone's share; the instance that takes it
+  // over starts with an empty bucket.
   void Kill(int aInstance) override
   {
     size_t slot = static_cast<size_t>(aInstance % mFleet.mZones) * 2;
@@ -139,7 +140,7 @@
 
 private:
   Fleet mFleet;
-  std::vector<TokenBucket> mBuckets; // zone * 2 + half
+  std::vector<TokenBucket> mBuckets; // index: zone * 2 + half
   std::vector<TimePoint> mUsableFrom;
   bool mCut = false;
   int mFirstHalf = 0;
@@ -156,7 +157,7 @@
 
 struct Count
 {
-  int mWithinRate = 0; // would have been let in by one bucket
+  int mWithinRate = 0; // would have been admitted by one bucket
   int mWronglyRefused = 0;
 };
 
@@ -166,7 +167,7 @@
   return static_cast<int>(aRandom() % static_cast<unsigned>(aFleet.mInstances));
 }
 
-// aOffered: requests' tokens a second as a part of the rate.
+// aOffered: tokens requested per second, relative to the rate.
 std::vector<Count>
 Run(const Fleet& aFleet,
     const Scenario& aScenario,
@@ -226,7 +227,7 @@
     { "zones cut from each other", AnyInstance, false, true },
   };
   std::printf("%s, offered %.0f%% of the rate\n", aName, aOffered * 100);
-  std::printf("  %-28s %12s %12s\n", "scene", "static split", "shares");
+  std::printf("  %-28s %12s %12s\n", "scenario", "static split", "shares");
   for (const Scenario& scenario : scenarios) {
     int withinRate = 0;
     int wronglyRefused[2] = { 0, 0 };
@@ -248,8 +249,8 @@
 int
 main()
 {
-  std::printf("requests refused although inside the tenant's rate, as a part "
-              "of those inside; 5 seeds of %lld s\n",
+  std::printf("requests refused although within the tenant's rate, as a share "
+              "of those within it; 5 seeds of %lld s\n",
               static_cast<long long>(kLength.count()));
   Fleet today{ 8, 3, 1000, 5000 };
   Fleet later{ 350, 6, 20000, 100000 };
