--- a/bench/BenchCallers.h
+++ b/bench/BenchCallers.h
@@ -1,4 +1,4 @@
-// BenchCallers.h: callers behind a balancer that run while faults are injected.
+// BenchCallers.h: callers behind a balancer, running while faults are injected.
 #ifndef caraway_bench_BenchCallers_h
 #define caraway_bench_BenchCallers_h
 
@@ -23,8 +23,8 @@
   std::map<std::string, int> mFailureKinds; // number of failures by kind
 };
 
-// Each sends one request after the other to random instances and skips those
-// that don't accept a connection, as a balancer would.
+// Each caller sends one request after the other to random instances and skips
+// those that don't accept a connection, as a balancer would.
 class BenchCallers
 {
 public:
--- a/bench/ColdBench.cpp
+++ b/bench/ColdBench.cpp
@@ -3,8 +3,8 @@
 // Compares the product's steps (LoadPlanChoose, PlacementStep, one load per
 // model and zone) with a plain baseline (every router loads for itself at a
 // random engine, fixed idle timer) on the same requests, with simulated engines
-// and weight store and a stepped clock. Sizes are the users'; the durations of
-// loads are assumptions and are printed.
+// and weight store and a stepped clock. The fleet has the size of the users'
+// deployments; the durations of loads are assumptions and are printed.
 #include <algorithm>
 #include <cstdio>
 #include <list>
@@ -30,7 +30,7 @@
 constexpr size_t kDiskCapacity = 10;    // checkpoints kept on an engine's disk
 constexpr double kStep = 0.1;           // s
 constexpr double kDay = 86400;          // s
-constexpr double kMaxWait = 60; // s; longest wait of a request for a load
+constexpr double kMaxWait = 60;         // s; a request's wait for a load
 
 struct Deployment
 {
--- a/bench/FailureBench.cpp
+++ b/bench/FailureBench.cpp
@@ -3,8 +3,8 @@
 // Real processes in two zones, one platform stand-in whose calls are counted.
 // After each event it measures how long until every share slot of every zone
 // can be spent again and every instance is ready, the highest number of
-// platform calls within one second meanwhile, what the active callers were
-// answered, and which loads were repeated. docs/CAPACITY.md evaluates the
+// platform calls within one second meanwhile, what callers were answered in
+// this time, and how many loads it took. docs/CAPACITY.md evaluates the
 // numbers.
 #include <atomic>
 #include <cstdio>
@@ -14,9 +14,9 @@
 #include "BenchCallers.h"
 #include "support/Fleet.h"
 
-DEFINE_int32(instances, 24, "in two zones; 14 or more");
-DEFINE_int32(outage_s, 10, "of the platform");
-DEFINE_int32(callers, 16, "at a time");
+DEFINE_int32(instances, 24, "instances over both zones; 14 or more");
+DEFINE_int32(outage_s, 10, "duration of the platform's outage, in s");
+DEFINE_int32(callers, 16, "concurrent callers");
 
 namespace {
 
@@ -194,19 +194,20 @@
       zone.push_back(i);
     }
   }
-  std::printf("%d instances in 2 zones; most calls at the platform in one "
-              "second\n%-36s %6s %8s %6s %6s %9s %8s %5s %8s %6s\n",
-              FLAGS_instances,
-              "event",
-              "normal",
-              "after s",
-              "calls",
-              "writes",
-              "answered",
-              "refused",
-              "cut",
-              "slowest",
-              "loads");
+  std::printf(
+    "%d instances in 2 zones; highest number of platform calls in one "
+    "second\n%-36s %6s %8s %6s %6s %9s %8s %5s %8s %6s\n",
+    FLAGS_instances,
+    "event",
+    "normal",
+    "after s",
+    "calls",
+    "writes",
+    "answered",
+    "refused",
+    "cut",
+    "slowest",
+    "loads");
   BenchCallers callers(fleet, static_cast<size_t>(FLAGS_callers));
   auto event = [&](const char* aName, const std::function<void()>& aEvent) {
     MeasureEvent(fleet, callers, aName, aEvent);
--- a/bench/FleetBench.cpp
+++ b/bench/FleetBench.cpp
@@ -195,9 +195,9 @@
   std::string key = fleet.mKeys["acme"];
   fleet.Chat(0, key, "chat-m0", 1);
   fleet.Chat(3, key, "chat-m0", 1);
-  std::printf("\nper piece of work, 6 instances in 2 zones; at-rest cost "
+  std::printf("\nper unit of work, 6 instances in 2 zones; idle cost "
               "included\n%-34s %9s %9s %9s %7s %7s %7s\n",
-              "piece",
+              "work",
               "cpu ms",
               "KB moved",
               "peer",
@@ -239,7 +239,7 @@
                        Seconds(1));
     });
   }
-  Report(fleet, "peer call, its server's side", before, 1000);
+  Report(fleet, "peer call, server side", before, 1000);
   before = Measure(fleet);
   std::vector<double> inForce;
   for (int i = 0; i < 10; ++i) {
@@ -250,7 +250,7 @@
       fleet.AwaitRevision(revision, Seconds(9));
     }));
   }
-  Report(fleet, "change of configuration", before, 10);
+  Report(fleet, "configuration change", before, 10);
   std::printf("\n");
   Quantiles("warm request of 1 token", times);
   std::vector<double> direct;
@@ -264,8 +264,8 @@
       fleet.Call(fleet.mEngines[0]->Address(), "POST", "/generate", body);
     }));
   }
-  Quantiles("the same at the engine itself", direct);
-  Quantiles("change in force everywhere", inForce);
+  Quantiles("the same, directly at the engine", direct);
+  Quantiles("configuration change in force", inForce);
 }
 
 } // namespace
@@ -274,7 +274,7 @@
 main(int aCount, char** aArguments)
 {
   gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
-  std::printf("at rest, per instance and second (writes: whole fleet)\n"
+  std::printf("idle, per instance and second (writes: whole fleet)\n"
               "%9s %9s %9s %11s %11s %9s %9s %9s %9s\n",
               "instances",
               "cpu",
--- a/bench/GateBench.cpp
+++ b/bench/GateBench.cpp
@@ -4,9 +4,9 @@
 // A zone is lost and its models are loaded elsewhere within two seconds, all
 // from the store: a fifth for bulletins, half for chat, the rest for briefings.
 // Compares the product's LoadGate with no gate, with first come first served,
-// and with a gate that admits no urgent loads beyond the limit. The simulated
-// store has the users' sizes and slows in proportion above its limit; the clock
-// is stepped.
+// and with a gate that admits no urgent loads beyond the limit. Models have the
+// users' sizes, the simulated store slows in proportion above its limit, and
+// the clock is stepped.
 #include <algorithm>
 #include <cstdio>
 #include <map>
@@ -150,7 +150,7 @@
               "urgent p50 max",
               "chat p50 max",
               "batch p50 max",
-              "asks/s");
+              "req/s");
   for (int models : { 10, 30, 100 }) {
     for (const Policy& policy : policies) {
       std::vector<Load> all;
--- a/bench/PlaceBench.cpp
+++ b/bench/PlaceBench.cpp
@@ -1,5 +1,6 @@
-// Cost of placing a missing model at a zone's lease holder, in a large fleet:
-// 60 servers, 353 models known by demand, one instance.
+// PlaceBench: processor time of placing a missing model, as a zone's lease
+// holder does it, in a large fleet: 60 servers, 353 models with recorded
+// demand, one instance.
 
 #include <benchmark/benchmark.h>
 
--- a/bench/QueueBench.cpp
+++ b/bench/QueueBench.cpp
@@ -35,8 +35,8 @@
   int mLate = 0;              // refused at their deadline
   int mAtOnce = 0;            // refused on arrival
   int mRetried = 0;           // of those, retried at their retry-after time
-  int mRetryRefused = 0;
-  int mRetryServed = 0; // retried and served
+  int mRetryRefused = 0;      // retried and refused again
+  int mRetryServed = 0;       // retried and served
 };
 
 std::vector<Arrival>
@@ -88,8 +88,8 @@
   return slow ? kRate / 10 : kRate;
 }
 
-// Eight slots, as the engine batches. The product reserves the last free slot
-// for bulletins, and another one from batch work.
+// Eight slots, like the engine's batch. The product reserves the last free slot
+// for bulletins, and closes another one to batch work.
 struct EngineSlots
 {
   std::vector<TimePoint> mFree = std::vector<TimePoint>(kEngineSlots);
@@ -211,8 +211,9 @@
   return outcomes;
 }
 
-// Retries once at the retry-after time. aBursts: the large tenant sends only in
-// every fifth 20 s; otherwise all the time, and its retries add to the flood.
+// Refused requests retry once at their retry-after time. aBursts: the large
+// tenant sends only in the first 20 s of every 100 s; otherwise it sends all
+// the time, and its retries add to the flood.
 void
 PrintRetries(const char* aName, bool aBursts, bool aSlowed)
 {
--- a/bench/RateBench.cpp
+++ b/bench/RateBench.cpp
@@ -3,8 +3,9 @@
 // One tenant sends requests at random times from a fixed seed, with a paused
 // clock and the product's TokenBucket. "Within its rate" is what a single
 // bucket for the whole fleet, queried without delay, would have admitted.
-// Compared are the product's shares (two holders per zone, tokens taken from
-// the own zone first) and a static split (every instance has an n-th part).
+// Compares the product's shares (two holders per zone; tokens are taken from
+// the instance's own zone first) with a static split (each of n instances has
+// 1/n of the limit).
 #include <cstdio>
 #include <functional>
 #include <memory>
@@ -29,8 +30,8 @@
 constexpr Seconds kLength{ 120 };
 constexpr Seconds kFaultFrom{ 30 };
 constexpr Seconds kFaultTo{ 90 };
-constexpr Seconds kTakeover{ 8 };  // until a dead holder's slots are taken
-constexpr double kGrantLife = 0.1; // s
+constexpr Seconds kTakeover{ 8 };  // until a dead holder's slots are taken over
+constexpr double kGrantLife = 0.1; // s; lifetime of a token grant
 
 // Decides whether a request at an instance is admitted.
 class Policy
@@ -125,8 +126,8 @@
     }
     return false;
   }
-  // The instance holds half of its zone's share; the instance that takes it
-  // over starts with an empty bucket.
+  // The instance holds half of its zone's share; whichever instance takes that
+  // half over starts with an empty bucket.
   void Kill(int aInstance) override
   {
     size_t slot = static_cast<size_t>(aInstance % mFleet.mZones) * 2;
@@ -167,7 +168,7 @@
   return static_cast<int>(aRandom() % static_cast<unsigned>(aFleet.mInstances));
 }
 
-// aOffered: tokens requested per second, relative to the rate.
+// aOffered: tokens requested per second, as a multiple of the rate.
 std::vector<Count>
 Run(const Fleet& aFleet,
     const Scenario& aScenario,
