--- a/bench/ColdBench.cpp
+++ b/bench/ColdBench.cpp
@@ -46,7 +46,7 @@
   int mRouter;
 };
 
-struct Loaded
+struct LoadedReplica
 {
   double mReadyAt = -1; // -1 while loading
   double mUsed = 0;
@@ -57,8 +57,8 @@
 {
   int mZone = 0;
   PlacementRecord mRecord;
-  std::map<std::string, Loaded> mLoaded; // by replica name
-  std::list<std::string> mDisk;          // newest first
+  std::map<std::string, LoadedReplica> mLoaded; // by replica name
+  std::list<std::string> mDisk;                 // newest first
 };
 
 struct Load
@@ -98,7 +98,7 @@
 }
 
 std::vector<Call>
-Calls(const Deployment& aDeployment, unsigned aSeed)
+GenerateCalls(const Deployment& aDeployment, unsigned aSeed)
 {
   std::mt19937 random(aSeed);
   std::vector<Call> calls;
@@ -142,10 +142,10 @@
   return names[static_cast<size_t>(aPolicy)];
 }
 
-class Day
+class SimulatedDay
 {
 public:
-  Day(Policy aPolicy, double aIdleLimit, unsigned aSeed)
+  SimulatedDay(Policy aPolicy, double aIdleLimit, unsigned aSeed)
     : mIsProduct(aPolicy != Policy::Baseline)
     , mUsesHomeZones(aPolicy == Policy::HomeZone)
     , mIdleLimit(aIdleLimit)
@@ -166,8 +166,8 @@
       for (; next < aCalls.size() && aCalls[next].mAt <= mNow; ++next) {
         Serve(aCalls[next]);
       }
-      Progress();
-      Idle();
+      AdvanceLoads();
+      UnloadIdle();
     }
     mResult.mCalls = static_cast<int>(aCalls.size());
     return mResult;
@@ -288,7 +288,7 @@
     load.mBytes = BytesOf(aModel);
     load.mDecision = std::to_string(++mResult.mLoads);
     PlacementDecideLoad(engine.mRecord, load);
-    engine.mLoaded[aReplica] = Loaded();
+    engine.mLoaded[aReplica] = LoadedReplica();
     engine.mLoaded[aReplica].mUsed = mNow;
     std::string model = ModelName(aModel);
     auto disk = std::find(engine.mDisk.begin(), engine.mDisk.end(), model);
@@ -305,7 +305,7 @@
     }
   }
 
-  void Progress()
+  void AdvanceLoads()
   {
     int store = 0;
     for (const Load& load : mLoads) {
@@ -339,14 +339,14 @@
     }
   }
 
-  void Idle()
+  void UnloadIdle()
   {
     for (Engine& engine : mEngines) {
       std::vector<std::string> idle;
       EngineReport report;
       report.mCachedOnDisk = { engine.mDisk.begin(), engine.mDisk.end() };
       for (const PlacedReplica& replica : engine.mRecord.mReplicas) {
-        const Loaded& loaded = engine.mLoaded[replica.mName];
+        const LoadedReplica& loaded = engine.mLoaded[replica.mName];
         double idleSeconds = mNow - loaded.mUsed;
         if (loaded.mReadyAt < 0 || idleSeconds < 1) {
           continue;
@@ -418,10 +418,10 @@
               "refused");
   for (const Deployment& deployment : deployments) {
     for (unsigned seed : { 101u, 102u }) {
-      std::vector<Call> calls = Calls(deployment, seed);
+      std::vector<Call> calls = GenerateCalls(deployment, seed);
       for (Policy policy :
            { Policy::Baseline, Policy::EachZone, Policy::HomeZone }) {
-        Result result = Day(policy, 300, seed).Run(calls);
+        Result result = SimulatedDay(policy, 300, seed).Run(calls);
         std::printf(
           "%-12s %-10s %5u %8d %8zu %8.1f %8.1f %8.1f %11.1f %8.2f%%\n",
           deployment.mName,
--- a/bench/FailureBench.cpp
+++ b/bench/FailureBench.cpp
@@ -81,7 +81,7 @@
 
 // Number of share slots that can be spent, over all zones.
 int
-Spendable(Fleet& aFleet)
+SpendableSlots(Fleet& aFleet)
 {
   int slots = 0;
   for (size_t i = 0; i < aFleet.mInstances.size(); ++i) {
@@ -119,8 +119,8 @@
              const char* aName,
              const std::function<void()>& aEvent)
 {
-  constexpr int kSlotsAZone = 16;
-  int all = kSlotsAZone * static_cast<int>(aFleet.mPlan.mZones.size());
+  constexpr int kSlotsPerZone = 16;
+  int all = kSlotsPerZone * static_cast<int>(aFleet.mPlan.mZones.size());
   CallsMeter meter(aFleet);
   std::this_thread::sleep_for(Seconds(2));
   aCallers.Take();
@@ -128,8 +128,9 @@
   aEvent();
 
   auto begun = std::chrono::steady_clock::now();
-  bool recovered = Eventually(
-    Seconds(20), [&] { return AllReady(aFleet) && Spendable(aFleet) == all; });
+  bool recovered = Eventually(Seconds(20), [&] {
+    return AllReady(aFleet) && SpendableSlots(aFleet) == all;
+  });
   double seconds =
     std::chrono::duration<double>(std::chrono::steady_clock::now() - begun)
       .count();
--- a/bench/FleetBench.cpp
+++ b/bench/FleetBench.cpp
@@ -105,7 +105,7 @@
   std::this_thread::sleep_for(Seconds(FLAGS_rest_s));
   double moved = LoopbackBytes() - bytes;
   double used = AllCpu(fleet) - cpu;
-  double asked = SumMetric(fleet, "caraway_peer_calls_total") - calls;
+  double peerCalls = SumMetric(fleet, "caraway_peer_calls_total") - calls;
   Json::Value after = fleet.PlatformCounters();
   double memory = 0;
   for (auto& instance : fleet.mInstances) {
@@ -116,7 +116,7 @@
               100 * used / seconds / n,
               memory,
               moved / seconds / n / 1000,
-              asked / seconds / n,
+              peerCalls / seconds / n,
               Counter(after, before, "reads") / seconds / n,
               Counter(after, before, "lists") / seconds / n,
               Counter(after, before, "writes") / seconds,
@@ -133,7 +133,7 @@
 };
 
 Cost
-Measure(Fleet& aFleet)
+ReadCost(Fleet& aFleet)
 {
   return { AllCpu(aFleet),
            LoopbackBytes(),
@@ -142,9 +142,9 @@
 }
 
 void
-Report(Fleet& aFleet, const char* aWhat, const Cost& aBefore, double aCount)
+PrintCost(Fleet& aFleet, const char* aWhat, const Cost& aBefore, double aCount)
 {
-  Cost after = Measure(aFleet);
+  Cost after = ReadCost(aFleet);
   std::printf("%-34s %9.2f %9.2f %9.2f %7.2f %7.2f %7.2f\n",
               aWhat,
               1000 * (after.mCpu - aBefore.mCpu) / aCount,
@@ -167,7 +167,7 @@
 }
 
 void
-Quantiles(const char* aWhat, std::vector<double> aTimes)
+PrintQuantiles(const char* aWhat, std::vector<double> aTimes)
 {
   std::sort(aTimes.begin(), aTimes.end());
   auto quantile = [&](double aFraction) {
@@ -205,31 +205,31 @@
               "writes",
               "lists");
   const int requests = 400;
-  Cost before = Measure(fleet);
+  Cost before = ReadCost(fleet);
   std::vector<double> times;
   for (int i = 0; i < requests; ++i) {
     times.push_back(MillisOf(
       [&] { fleet.Chat(static_cast<size_t>(i % 6), key, "chat-m0", 1); }));
   }
-  Report(fleet, "warm request of 1 token", before, requests);
-  before = Measure(fleet);
+  PrintCost(fleet, "warm request of 1 token", before, requests);
+  before = ReadCost(fleet);
   const int tokens = 200;
   for (int i = 0; i < 10; ++i) {
     fleet.Chat(static_cast<size_t>(i % 6), key, "chat-m0", tokens, true);
   }
-  Report(fleet, "streamed token", before, 10.0 * tokens);
-  before = Measure(fleet);
+  PrintCost(fleet, "streamed token", before, 10.0 * tokens);
+  before = ReadCost(fleet);
   for (int i = 0; i < 100; ++i) {
     std::string number = std::to_string(i);
     fleet.OrderCall(static_cast<size_t>(i % 6), key, number, number);
   }
-  Report(fleet, "non-repeatable order", before, 100);
-  before = Measure(fleet);
+  PrintCost(fleet, "non-repeatable order", before, 100);
+  before = ReadCost(fleet);
   for (int i = 1; i < 8; ++i) {
     fleet.Chat(0, key, "chat-m" + std::to_string(i), 1);
   }
-  Report(fleet, "load of a cold model", before, 7);
-  before = Measure(fleet);
+  PrintCost(fleet, "load of a cold model", before, 7);
+  before = ReadCost(fleet);
   PeerClient peer("0123456789abcdef", "bench/bench");
   for (int i = 0; i < 1000; ++i) {
     Outcome([&] {
@@ -239,8 +239,8 @@
                        Seconds(1));
     });
   }
-  Report(fleet, "peer call, server side", before, 1000);
-  before = Measure(fleet);
+  PrintCost(fleet, "peer call, server side", before, 1000);
+  before = ReadCost(fleet);
   std::vector<double> inForce;
   for (int i = 0; i < 10; ++i) {
     inForce.push_back(MillisOf([&] {
@@ -250,9 +250,9 @@
       fleet.AwaitRevision(revision, Seconds(9));
     }));
   }
-  Report(fleet, "configuration change", before, 10);
+  PrintCost(fleet, "configuration change", before, 10);
   std::printf("\n");
-  Quantiles("warm request of 1 token", times);
+  PrintQuantiles("warm request of 1 token", times);
   std::vector<double> direct;
   Json::Value body;
   body["request_id"] = "direct";
@@ -264,8 +264,8 @@
       fleet.Call(fleet.mEngines[0]->Address(), "POST", "/generate", body);
     }));
   }
-  Quantiles("the same, directly at the engine", direct);
-  Quantiles("configuration change in force", inForce);
+  PrintQuantiles("the same, directly at the engine", direct);
+  PrintQuantiles("configuration change in force", inForce);
 }
 
 } // namespace
--- a/bench/GateBench.cpp
+++ b/bench/GateBench.cpp
@@ -29,7 +29,7 @@
   TimePoint mRequestedAt{};
   double mLeft = 0; // remaining s at full speed
   bool mHasPermit = false;
-  TimePoint mLastAskedAt{};
+  TimePoint mLastRequestAt{};
   Millis mPollAfter{ 0 };
   double mDuration = -1; // s; -1 while not ready
 };
@@ -65,26 +65,26 @@
 int
 Run(const Policy& aPolicy, std::vector<Load>& aLoads, TimePoint aStart)
 {
-  std::map<Seconds, int> asks;
-  LoadGateParameters terms;
-  terms.mUrgentExtra = aPolicy.mUrgentExtra;
+  std::map<Seconds, int> gateRequests;
+  LoadGateParameters parameters;
+  parameters.mUrgentExtra = aPolicy.mUrgentExtra;
   if (!aPolicy.mClasses) {
-    terms.mClassDelay = {};
+    parameters.mClassDelay = {};
   }
-  LoadGate gate(terms, aStart);
+  LoadGate gate(parameters, aStart);
   size_t ready = 0;
   for (TimePoint now = aStart; ready < aLoads.size(); now += kStep) {
     int admitted = 0;
     for (Load& load : aLoads) {
       bool due = load.mDuration < 0 && now >= load.mRequestedAt &&
-                 now - load.mLastAskedAt >= load.mPollAfter;
+                 now - load.mLastRequestAt >= load.mPollAfter;
       if (due && aPolicy.mGate) {
-        load.mLastAskedAt = now;
+        load.mLastRequestAt = now;
         LoadGateReply answer =
           LoadGateAcquire(gate, { load.mId, load.mClass, false }, now);
         load.mHasPermit = answer.mHasPermit;
         load.mPollAfter = answer.mPollAfter;
-        ++asks[std::chrono::duration_cast<Seconds>(now - aStart)];
+        ++gateRequests[std::chrono::duration_cast<Seconds>(now - aStart)];
       } else if (due) {
         load.mHasPermit = true;
       }
@@ -107,7 +107,7 @@
     }
   }
   int most = 0;
-  for (const auto& second : asks) {
+  for (const auto& second : gateRequests) {
     most = std::max(most, second.second);
   }
   return most;
@@ -117,13 +117,14 @@
 Print(const Policy& aPolicy,
       int aModels,
       const std::vector<Load>& aLoads,
-      int aAsks)
+      int aGateRequests)
 {
   std::printf("%-26s %6d", aPolicy.mName, aModels);
-  for (int one = 0; one < kRequestClassCount; ++one) {
+  for (int requestClass = 0; requestClass < kRequestClassCount;
+       ++requestClass) {
     std::vector<double> times;
     for (const Load& load : aLoads) {
-      if (static_cast<int>(load.mClass) == one) {
+      if (static_cast<int>(load.mClass) == requestClass) {
         times.push_back(load.mDuration);
       }
     }
@@ -131,7 +132,7 @@
     std::printf(
       "  %6.1f %6.1f", times[times.size() / 2], times[times.size() - 1]);
   }
-  std::printf("  %6d\n", aAsks);
+  std::printf("  %6d\n", aGateRequests);
 }
 
 } // namespace
@@ -154,13 +155,13 @@
   for (int models : { 10, 30, 100 }) {
     for (const Policy& policy : policies) {
       std::vector<Load> all;
-      int asks = 0;
+      int gateRequests = 0;
       for (unsigned seed = 201; seed < 211; ++seed) {
         std::vector<Load> loads = ColdLoads(models, seed, start);
-        asks = std::max(asks, Run(policy, loads, start));
+        gateRequests = std::max(gateRequests, Run(policy, loads, start));
         all.insert(all.end(), loads.begin(), loads.end());
       }
-      Print(policy, models, all, asks);
+      Print(policy, models, all, gateRequests);
     }
   }
   return 0;
--- a/bench/QueueBench.cpp
+++ b/bench/QueueBench.cpp
@@ -40,7 +40,7 @@
 };
 
 std::vector<Arrival>
-Arrivals(unsigned aSeed)
+GenerateArrivals(unsigned aSeed)
 {
   std::mt19937 random(aSeed);
   std::vector<Arrival> all;
@@ -131,7 +131,7 @@
   std::map<std::string, QueueOutcome> outcomes;
   WaitQueue queue;
   std::deque<QueuedRequest> fifo;
-  double learntRate = 0;
+  double learnedRate = 0;
   EngineSlots slots;
   auto key = [](const QueuedRequest& aItem) {
     return aItem.mTenant + " " + RequestClassName(aItem.mClass);
@@ -176,8 +176,8 @@
       outcomes[key(*item)].mWaits.push_back(std::max(0.0, wait));
       outcomes[key(*item)].mRetryServed += retried.count(item->mId) ? 1 : 0;
       double rate = RateAt(now, aSlowed);
-      learntRate =
-        learntRate == 0 ? rate : learntRate + 0.2 * (rate - learntRate);
+      learnedRate =
+        learnedRate == 0 ? rate : learnedRate + 0.2 * (rate - learnedRate);
       double seconds = item->mTokens / (rate / kEngineSlots);
       slots.mFree[slot] = now + Micros(static_cast<int64_t>(seconds * 1e6));
       slots.mBatch[slot] = item->mClass == RequestClass::Batch;
@@ -192,7 +192,7 @@
       fifo.push_back(item);
       continue;
     }
-    auto refusal = queue.Offer(item, learntRate, Millis(0), at);
+    auto refusal = queue.Offer(item, learnedRate, Millis(0), at);
     if (!refusal) {
       continue;
     }
@@ -217,7 +217,7 @@
 void
 PrintRetries(const char* aName, bool aBursts, bool aSlowed)
 {
-  std::vector<Arrival> all = Arrivals(1);
+  std::vector<Arrival> all = GenerateArrivals(1);
   if (aBursts) {
     auto quiet = [](const Arrival& aArrival) {
       auto since = aArrival.mAt - TimePoint(Seconds(1000));
@@ -254,7 +254,7 @@
               "p99 ms",
               "late",
               "at once");
-  std::vector<Arrival> all = Arrivals(1);
+  std::vector<Arrival> all = GenerateArrivals(1);
   auto fifo = RunQueue(all, false, aSlowed);
   auto fair = RunQueue(all, true, aSlowed);
   for (auto& entry : fair) {
--- a/bench/RateBench.cpp
+++ b/bench/RateBench.cpp
@@ -98,27 +98,27 @@
   bool Take(int aInstance, double aTokens, TimePoint aNow) override
   {
     int zone = aInstance % mFleet.mZones;
-    double lacking = aTokens;
+    double missing = aTokens;
     std::vector<std::pair<size_t, double>> taken;
-    for (int i = 0; i < mFleet.mZones && lacking > 1e-9; ++i) {
+    for (int i = 0; i < mFleet.mZones && missing > 1e-9; ++i) {
       int at = (zone + i) % mFleet.mZones;
       if (mCut && at != zone) {
         continue;
       }
-      for (int half = 0; half < 2 && lacking > 1e-9; ++half) {
+      for (int half = 0; half < 2 && missing > 1e-9; ++half) {
         size_t slot = static_cast<size_t>(at * 2 + (half + mFirstHalf) % 2);
-        ++mAsks;
-        double there = aNow < mUsableFrom[slot]
-                         ? 0
-                         : std::min(lacking, mBuckets[slot].Level(aNow));
-        if (there > 0 && mBuckets[slot].Take(there, aNow)) {
-          taken.emplace_back(slot, there);
-          lacking -= there;
+        ++mBucketQueries;
+        double available = aNow < mUsableFrom[slot]
+                             ? 0
+                             : std::min(missing, mBuckets[slot].Level(aNow));
+        if (available > 0 && mBuckets[slot].Take(available, aNow)) {
+          taken.emplace_back(slot, available);
+          missing -= available;
         }
       }
     }
     mFirstHalf = 1 - mFirstHalf;
-    if (lacking <= 1e-9) {
+    if (missing <= 1e-9) {
       return true;
     }
     for (const auto& part : taken) {
@@ -137,7 +137,7 @@
       mBuckets[slot].Rate(), mBuckets[slot].Burst(), mUsableFrom[slot]);
   }
   void Cut(bool aCut) override { mCut = aCut; }
-  int64_t Asks() const { return mAsks; }
+  int64_t BucketQueries() const { return mBucketQueries; }
 
 private:
   Fleet mFleet;
@@ -145,7 +145,7 @@
   std::vector<TimePoint> mUsableFrom;
   bool mCut = false;
   int mFirstHalf = 0;
-  int64_t mAsks = 0;
+  int64_t mBucketQueries = 0;
 };
 
 struct Scenario
@@ -214,7 +214,7 @@
 }
 
 void
-Table(const char* aName, const Fleet& aFleet, double aOffered)
+PrintTable(const char* aName, const Fleet& aFleet, double aOffered)
 {
   const Scenario scenarios[] = {
     { "even load", AnyInstance },
@@ -255,8 +255,8 @@
               static_cast<long long>(kLength.count()));
   Fleet today{ 8, 3, 1000, 5000 };
   Fleet later{ 350, 6, 20000, 100000 };
-  Table("8 instances, 3 zones, burst 5 s", today, 0.8);
-  Table("8 instances, 3 zones, burst 5 s", today, 1.5);
-  Table("350 instances, 6 zones, burst 5 s", later, 0.8);
+  PrintTable("8 instances, 3 zones, burst 5 s", today, 0.8);
+  PrintTable("8 instances, 3 zones, burst 5 s", today, 1.5);
+  PrintTable("350 instances, 6 zones, burst 5 s", later, 0.8);
   return 0;
 }
